--- a/answer.go
+++ b/answer.go
@@ -22,30 +22,30 @@
 		return reply(r)
 	}
 	switch q.Kind {
-	case box.KindAsk:
-		b.owners.Ask(ctx, q.Ask, answer)
-	case box.KindAway, box.KindLeaving, box.KindServed:
+	case box.KindPlacement:
+		b.owners.Ask(ctx, q.Placement, answer)
+	case box.KindListUnreadable, box.KindLeaving, box.KindServed:
 		b.noteAnnouncement(q)
 		_ = answer(&box.Reply{})
 	case box.KindChanges:
 		_ = answer(&box.Reply{Changes: b.view.Missing(q.Revisions)})
-	case box.KindCleared, box.KindCrashed, box.KindCrashes:
+	case box.KindCleared, box.KindReportCrashes, box.KindListCrashes:
 		_ = answer(b.answerCrashes(q))
 	case box.KindHeartbeat:
 		now := time.Now()
-		_ = answer(&box.Reply{Age: b.follower.Age(), Limited: b.relay.Limits().Digest(now), Loads: b.owners.Loads(), Quarantine: b.relay.Quarantine().Digest(now)})
+		_ = answer(&box.Reply{ViewAge: b.follower.Age(), LimitsDigest: b.relay.Limits().Digest(now), Loads: b.owners.Loads(), CrashesDigest: b.relay.Quarantine().Digest(now)})
 	case box.KindInForce:
 		_ = answer(&box.Reply{Halls: b.inForceHere(ctx, q.Forward)})
 	case box.KindLimits, box.KindPermit:
 		_ = answer(b.answerLimits(ctx, q))
 	case box.KindMembers:
 		_ = answer(&box.Reply{Members: b.members.Members()})
-	case box.KindNews:
+	case box.KindWatchChanges:
 		_ = answer(b.follower.News(ctx, q.Revisions, q.Wait))
-	case box.KindTurn:
-		b.answerTurn(ctx, q.Turn, answer)
-	case box.KindUpdate:
-		_ = answer(b.owners.Update(q.Update))
+	case box.KindMoveSlot:
+		b.answerTurn(ctx, q.MoveSlot, answer)
+	case box.KindProgress:
+		_ = answer(b.owners.Update(q.Progress))
 	default:
 		_ = answer(&box.Reply{Error: "bad_message"})
 	}
@@ -53,13 +53,13 @@
 
 // answerTurn tells a caller that its run's turn has come, and holds the turn until
 // the caller hangs up.
-func (b *Box) answerTurn(ctx context.Context, t *box.Turn, answer func(*box.Reply) error) {
-	release, err := b.turns.Take(ctx, t.Upstream, t.Arriving, &t.Run)
+func (b *Box) answerTurn(ctx context.Context, t *box.MoveSlotRequest, answer func(*box.Reply) error) {
+	release, err := b.turns.Take(ctx, t.Upstream, t.Inbound, &t.Run)
 	if err != nil {
 		return
 	}
 	defer release()
-	if answer(&box.Reply{Turn: &box.TurnAnswer{Granted: true}}) == nil {
+	if answer(&box.Reply{MoveSlot: &box.MoveSlotReply{Granted: true}}) == nil {
 		<-ctx.Done()
 	}
 }
@@ -86,10 +86,10 @@
 // it served.
 func (b *Box) noteAnnouncement(q *box.Request) {
 	switch q.Kind { //nolint:exhaustive // The others are answered elsewhere.
-	case box.KindAway:
-		b.follower.HeardAway(q.From.Name, q.Away)
+	case box.KindListUnreadable:
+		b.follower.HeardAway(q.From.Name, q.ListUnreadable)
 	case box.KindLeaving:
-		b.noteLeaving(q.Leaving, q.Born, q.From.Name)
+		b.noteLeaving(q.LeavingUpstream, q.Born, q.From.Name)
 	case box.KindServed:
 		b.addRuns(q.Served)
 	}
--- a/ask.go
+++ b/ask.go
@@ -12,17 +12,17 @@
 const askPeriod = time.Second // for an owner's first answer
 
 // callAsk makes an ask of another box and passes its replies on until the last.
-func (b *Box) callAsk(ctx context.Context, owner string, a *box.Ask, answer func(*box.Reply) error) error {
-	c, err := b.links.Call(ctx, b.members.Address(owner), b.request(box.Request{Ask: a, Kind: box.KindAsk}))
+func (b *Box) callAsk(ctx context.Context, owner string, a *box.PlacementRequest, answer func(*box.Reply) error) error {
+	c, err := b.links.Call(ctx, b.members.Address(owner), b.request(box.Request{Placement: a, Kind: box.KindPlacement}))
 	if err != nil {
 		return err
 	}
 	defer func() { _ = c.Close() }()
 	for first := true; ; first = false {
 		if first {
-			c.ReadTill(time.Now().Add(askPeriod))
+			c.SetReadDeadline(time.Now().Add(askPeriod))
 		} else {
-			c.ReadTill(a.Work.Deadline)
+			c.SetReadDeadline(a.Work.Deadline)
 		}
 		r, err := c.Next()
 		if err != nil {
@@ -47,7 +47,7 @@
 	// The wait ends with ctx; the turn, once it has come, only with its release.
 	call, hangUp := context.WithCancel(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, hangUp)
-	c, err := b.links.Call(call, b.members.Address(o), b.request(box.Request{Kind: box.KindTurn, Turn: &box.Turn{Arriving: arriving, Run: *r, Upstream: u.Name}}))
+	c, err := b.links.Call(call, b.members.Address(o), b.request(box.Request{Kind: box.KindMoveSlot, MoveSlot: &box.MoveSlotRequest{Inbound: arriving, Run: *r, Upstream: u.Name}}))
 	if err != nil {
 		hangUp()
 		return nil, err
@@ -65,7 +65,7 @@
 }
 
 // sendUpdate sends an update to the owner of its upstream.
-func (b *Box) sendUpdate(ctx context.Context, u *box.Update) (*box.Reply, error) {
+func (b *Box) sendUpdate(ctx context.Context, u *box.ProgressReport) (*box.Reply, error) {
 	x := b.view.Upstream(u.Upstream)
 	if x == nil {
 		return &box.Reply{}, nil
@@ -74,5 +74,5 @@
 	if o == b.settings.Box {
 		return b.owners.Update(u), nil
 	}
-	return b.links.Once(ctx, b.members.Address(o), b.request(box.Request{Kind: box.KindUpdate, Update: u}))
+	return b.links.CallOnce(ctx, b.members.Address(o), b.request(box.Request{Kind: box.KindProgress, Progress: u}))
 }
--- a/assemble.go
+++ b/assemble.go
@@ -106,7 +106,7 @@
 
 func (b *Box) assembleFollower(s *platform.Store) {
 	b.follower = configuration.NewFollower(b.view, b.members, b.log)
-	b.follower.Ask = b.links.Once
+	b.follower.Ask = b.links.CallOnce
 	b.follower.Reconnect = func() { _ = s.Close() }
 	b.follower.Restored = b.keys.Restored
 	b.follower.TellAway = b.announceAway
--- a/broadcast.go
+++ b/broadcast.go
@@ -17,7 +17,7 @@
 		b.start(func() {
 			ctx, cancel := context.WithDeadline(b.running, time.Now().Add(heartbeatPeriod))
 			defer cancel()
-			_, _ = b.links.Once(ctx, m.Address, b.request(q)) // repeated later, or by others
+			_, _ = b.links.CallOnce(ctx, m.Address, b.request(q)) // repeated later, or by others
 		})
 	}
 }
@@ -25,5 +25,5 @@
 // announceAway announces to the boxes of the hall that the platform's list of upstreams cannot be
 // read, or can be again: those that do not read it themselves own upstreams, too.
 func (b *Box) announceAway(away bool) {
-	b.broadcast(b.settings.Hall, box.Request{Away: away, Kind: box.KindAway})
+	b.broadcast(b.settings.Hall, box.Request{ListUnreadable: away, Kind: box.KindListUnreadable})
 }
--- a/crashes.go
+++ b/crashes.go
@@ -49,7 +49,7 @@
 		l := c.pending
 		c.pending = nil
 		c.mutex.Unlock()
-		b.broadcast("", box.Request{Crashes: l, Kind: box.KindCrashed})
+		b.broadcast("", box.Request{Crashes: l, Kind: box.KindReportCrashes})
 	})
 }
 
@@ -59,10 +59,10 @@
 	switch q.Kind { //nolint:exhaustive // The others are answered elsewhere.
 	case box.KindCleared:
 		b.relay.NoteCleared(q.Fingerprints, q.From.Name)
-	case box.KindCrashed:
+	case box.KindReportCrashes:
 		b.relay.NoteCrashes(q.Crashes, q.From.Name)
-	case box.KindCrashes:
-		return &box.Reply{Crashes: b.relay.Quarantine().Missing(q.Known, time.Now())}
+	case box.KindListCrashes:
+		return &box.Reply{Crashes: b.relay.Quarantine().Missing(q.KnownCrashes, time.Now())}
 	}
 	return &box.Reply{}
 }
@@ -74,7 +74,7 @@
 	if digest == 0 || digest == q.Digest(time.Now()) {
 		return
 	}
-	r, err := b.links.Once(ctx, m.Address, b.request(box.Request{Kind: box.KindCrashes, Known: q.Known(time.Now())}))
+	r, err := b.links.CallOnce(ctx, m.Address, b.request(box.Request{Kind: box.KindListCrashes, KnownCrashes: q.Known(time.Now())}))
 	if err != nil {
 		return // the next heartbeat tries again
 	}
--- a/evacuation_test.go
+++ b/evacuation_test.go
@@ -164,7 +164,7 @@
 		time.Sleep(2 * time.Second)
 		for n, b := range r.boxes {
 			for _, u := range b.view.Upstreams(func(*resource.Upstream) bool { return true }) {
-				if got, want := u.Takes(time.Now()), u.Spec.Hall != "a"; got != want {
+				if got, want := u.AcceptsWork(time.Now()), u.Spec.Hall != "a"; got != want {
 					t.Errorf("%s: %s: got takes %v, want %v", n, u.Name, got, want)
 				}
 			}
--- a/heartbeat.go
+++ b/heartbeat.go
@@ -42,11 +42,11 @@
 	b.limits.heard(q.From.Name)
 	b.learnAll(q.Loads)
 	if b.follower.CatchUp(ctx, q.From.Address, q.Revisions) == nil { // or the next message tries again
-		b.follower.HeardAge(q.Age)
+		b.follower.HeardAge(q.ViewAge)
 	}
-	b.fetchCrashes(ctx, q.From, q.Quarantine)
+	b.fetchCrashes(ctx, q.From, q.CrashesDigest)
 	if q.Kind == box.KindHeartbeat {
-		b.fetchLimits(ctx, q.From, q.Limited)
+		b.fetchLimits(ctx, q.From, q.LimitsDigest)
 	}
 }
 
@@ -55,8 +55,8 @@
 	ctx, cancel := context.WithTimeout(ctx, heartbeatPeriod)
 	defer cancel()
 	began := time.Now()
-	q := box.Request{Age: b.follower.Age(), Kind: box.KindHeartbeat, Limited: b.relay.Limits().Digest(began), Loads: b.owners.Loads(), Quarantine: b.relay.Quarantine().Digest(began)}
-	r, err := b.links.Once(ctx, m.Address, b.request(q))
+	q := box.Request{ViewAge: b.follower.Age(), Kind: box.KindHeartbeat, LimitsDigest: b.relay.Limits().Digest(began), Loads: b.owners.Loads(), CrashesDigest: b.relay.Quarantine().Digest(began)}
+	r, err := b.links.CallOnce(ctx, m.Address, b.request(q))
 	if err != nil {
 		if b.members.Failed(m.Name, began, time.Now()) {
 			event.PeerLost.Log(b.log, "box", m.Name, "error", err.Error())
@@ -69,10 +69,10 @@
 		event.PeerBack.Log(b.log, "box", m.Name)
 	}
 	if b.follower.CatchUp(ctx, m.Address, r.Revisions) == nil { // or the next heartbeat tries again
-		b.follower.HeardAge(r.Age)
+		b.follower.HeardAge(r.ViewAge)
 	}
-	b.fetchCrashes(ctx, m, r.Quarantine)
-	b.fetchLimits(ctx, m, r.Limited)
+	b.fetchCrashes(ctx, m, r.CrashesDigest)
+	b.fetchLimits(ctx, m, r.LimitsDigest)
 }
 
 // heartbeats sends a heartbeat to each neighbour and waits for the answers.
--- a/inforce.go
+++ b/inforce.go
@@ -40,7 +40,7 @@
 func (b *Box) inForceHall(ctx context.Context, hall string) []box.HallRevisions {
 	boxes := b.members.Alive(hall)
 	for _, n := range policy.Rank(b.settings.Box, boxes) {
-		r, err := b.links.Once(ctx, b.members.Address(n), b.request(box.Request{Forward: true, Kind: box.KindInForce}))
+		r, err := b.links.CallOnce(ctx, b.members.Address(n), b.request(box.Request{Forward: true, Kind: box.KindInForce}))
 		if err == nil {
 			return r.Halls
 		}
@@ -48,7 +48,7 @@
 			break
 		}
 	}
-	return []box.HallRevisions{{Hall: hall, Silent: max(1, len(boxes))}}
+	return []box.HallRevisions{{Hall: hall, Unanswered: max(1, len(boxes))}}
 }
 
 // inForceHere returns this box's revision, and where all is set those of the
@@ -68,11 +68,11 @@
 			continue
 		}
 		g.Go(func() error {
-			r, err := b.links.Once(ctx, m.Address, b.request(box.Request{Kind: box.KindInForce}))
+			r, err := b.links.CallOnce(ctx, m.Address, b.request(box.Request{Kind: box.KindInForce}))
 			mutex.Lock()
 			defer mutex.Unlock()
 			if err != nil {
-				h.Silent++
+				h.Unanswered++
 				return nil
 			}
 			h.Revisions = append(h.Revisions, r.Revisions[resource.SourceResources])
--- a/internal/box/clock.go
+++ b/internal/box/clock.go
@@ -18,12 +18,12 @@
 		return
 	}
 	by := now.Sub(q.SentAt)
-	if q.Ask != nil {
-		shift(&q.Ask.Work.Arrived, by)
-		shift(&q.Ask.Work.Deadline, by)
+	if q.Placement != nil {
+		shift(&q.Placement.Work.Arrived, by)
+		shift(&q.Placement.Work.Deadline, by)
 	}
-	if q.Turn != nil {
-		shift(&q.Turn.Run.Deadline, by)
+	if q.MoveSlot != nil {
+		shift(&q.MoveSlot.Run.Deadline, by)
 	}
 	for i := range q.Loads {
 		shift(&q.Loads[i].AsOf, by)
@@ -37,8 +37,8 @@
 		shift(&q.Permit.Limit.At, by)
 		shift(&q.Permit.WaitTill, by)
 	}
-	if q.Update != nil {
-		q.Update.shift(by)
+	if q.Progress != nil {
+		q.Progress.shift(by)
 	}
 }
 
@@ -67,7 +67,7 @@
 }
 
 // shift moves the times in u.
-func (u *Update) shift(by time.Duration) {
+func (u *ProgressReport) shift(by time.Duration) {
 	for i := range u.Items {
 		if w := u.Items[i].Work; w != nil {
 			shift(&w.Arrived, by)
--- a/internal/box/clock_test.go
+++ b/internal/box/clock_test.go
@@ -12,12 +12,12 @@
 func TestTimesFollowTheReceiversClock(t *testing.T) {
 	here := time.Unix(10_000, 0)
 	there := here.Add(40 * time.Minute)
-	q := &Request{SentAt: there, Ask: &Ask{Work: policy.Work{Arrived: there.Add(-time.Second), Deadline: there.Add(5 * time.Second)}}}
+	q := &Request{SentAt: there, Placement: &PlacementRequest{Work: policy.Work{Arrived: there.Add(-time.Second), Deadline: there.Add(5 * time.Second)}}}
 	q.Shift(here)
-	if got, want := q.Ask.Work.Deadline.Sub(here), 5*time.Second; got != want {
+	if got, want := q.Placement.Work.Deadline.Sub(here), 5*time.Second; got != want {
 		t.Errorf("left: got %s, want %s", got, want)
 	}
-	if got, want := here.Sub(q.Ask.Work.Arrived), time.Second; got != want {
+	if got, want := here.Sub(q.Placement.Work.Arrived), time.Second; got != want {
 		t.Errorf("age: got %s, want %s", got, want)
 	}
 	q = &Request{SentAt: there, Crashes: []policy.Crash{{At: there.Add(-time.Minute)}}}
@@ -47,7 +47,7 @@
 // come out as a second or none.
 func TestTimesKeepTheirFractions(t *testing.T) {
 	now := time.Unix(1_800_000_000, 987_654_321)
-	q := &Request{SentAt: now, Ask: &Ask{Work: policy.Work{Arrived: now.Add(-300 * time.Millisecond), Deadline: now.Add(1700 * time.Millisecond)}}}
+	q := &Request{SentAt: now, Placement: &PlacementRequest{Work: policy.Work{Arrived: now.Add(-300 * time.Millisecond), Deadline: now.Add(1700 * time.Millisecond)}}}
 	b, err := Encoding.Marshal(q)
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +57,7 @@
 		t.Fatal(err)
 	}
 	for name, x := range map[string][2]time.Time{
-		"sent": {got.SentAt, q.SentAt}, "arrived": {got.Ask.Work.Arrived, q.Ask.Work.Arrived}, "deadline": {got.Ask.Work.Deadline, q.Ask.Work.Deadline},
+		"sent": {got.SentAt, q.SentAt}, "arrived": {got.Placement.Work.Arrived, q.Placement.Work.Arrived}, "deadline": {got.Placement.Work.Deadline, q.Placement.Work.Deadline},
 	} {
 		if d := x[0].Sub(x[1]).Abs(); d > time.Microsecond {
 			t.Errorf("%s: got %v off, want at most a microsecond", name, d)
--- a/internal/box/links.go
+++ b/internal/box/links.go
@@ -10,9 +10,9 @@
 // ReasonUnreachable is the reason of a call that did not reach the other box, or whose answer was lost.
 const ReasonUnreachable = "box_unreachable"
 
-// Links are the calls that a box makes to others. Its fields are seams: a
+// Endpoint are the calls that a box makes to others. Its fields are seams: a
 // Transport fills them with QUIC, a Plain with HTTP, tests with links in memory.
-type Links struct {
+type Endpoint struct {
 	// Address returns the address for the other boxes.
 	Address func() string
 	// Call sends a request to the box at address.
@@ -23,36 +23,36 @@
 
 // Call is one call in progress. Its fields are seams.
 type Call struct {
-	// End reads on to the end of the replies, where that lets a connection be kept;
+	// Drain reads on to the end of the replies, where that lets a connection be kept;
 	// nil where it does not.
-	End func()
-	// HangUp ends the call.
-	HangUp func()
+	Drain func()
+	// Abort ends the call.
+	Abort func()
 	// Peer names the other box, for errors.
 	Peer string
 	// Read reads the next reply.
 	Read func(r *Reply) error
-	// ReadTill bounds the wait for replies; the zero time lifts the bound.
-	ReadTill func(t time.Time)
+	// SetReadDeadline bounds the wait for replies; the zero time lifts the bound.
+	SetReadDeadline func(t time.Time)
 }
 
-// Once sends q and returns its one reply.
-func (l *Links) Once(ctx context.Context, address string, q *Request) (*Reply, error) {
+// CallOnce sends q and returns its one reply.
+func (l *Endpoint) CallOnce(ctx context.Context, address string, q *Request) (*Reply, error) {
 	c, err := l.Call(ctx, address, q)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = c.Close() }()
 	r, err := c.Next()
-	if err == nil && c.End != nil {
-		c.End()
+	if err == nil && c.Drain != nil {
+		c.Drain()
 	}
 	return r, err
 }
 
 // Close hangs up.
 func (c *Call) Close() error {
-	c.HangUp()
+	c.Abort()
 	return nil
 }
 
--- a/internal/box/plain.go
+++ b/internal/box/plain.go
@@ -14,10 +14,10 @@
 	"github.com/linetiller/linetiller/internal/fail"
 )
 
-// Plain calls other boxes and answers their calls over HTTP on TCP, without
+// HTTPTransport calls other boxes and answers their calls over HTTP on TCP, without
 // encryption and without knowing who calls: it is for networks that only boxes
 // can reach, where nobody hands out certificates. It is safe for concurrent use.
-type Plain struct {
+type HTTPTransport struct {
 	cancel   context.CancelFunc
 	clients  map[string]*http.Client // by address, each with connections of its own
 	ctx      context.Context
@@ -29,50 +29,50 @@
 }
 
 const (
-	callPath           = "/call"
-	maxIdlePlain       = 8                      // connections kept to one box
-	plainDialPeriod    = time.Second            // a box that does not answer a connection in that time counts as gone
-	plainEndPeriod     = 100 * time.Millisecond // for the end of an answer after its last reply
-	plainIdlePeriod    = 30 * time.Second       // that an unused connection is kept: heartbeats come each second
-	plainRequestPeriod = 2 * time.Second        // for a request to arrive whole
-	plainWritePeriod   = 2 * time.Second        // for one reply to be taken
+	callPath         = "/call"
+	maxIdlePerBox    = 8                      // connections kept to one box
+	httpDialTimeout  = time.Second            // a box that does not answer a connection in that time counts as gone
+	httpDrainTimeout = 100 * time.Millisecond // for the end of an answer after its last reply
+	httpIdleTimeout  = 30 * time.Second       // that an unused connection is kept: heartbeats come each second
+	httpReadTimeout  = 2 * time.Second        // for a request to arrive whole
+	httpWriteTimeout = 2 * time.Second        // for one reply to be taken
 )
 
-// ListenPlain returns links at address (IP:port) that answer by h.
-func ListenPlain(address string, h Handler) (*Plain, error) {
+// ListenHTTP returns links at address (IP:port) that answer by h.
+func ListenHTTP(address string, h Handler) (*HTTPTransport, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fail.Wrap(fail.Unavailable, fail.Place{Peer: "boxes", Step: "listen"}, "listen", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &Plain{cancel: cancel, clients: make(map[string]*http.Client), ctx: ctx, handler: h, listener: l}
+	p := &HTTPTransport{cancel: cancel, clients: make(map[string]*http.Client), ctx: ctx, handler: h, listener: l}
 	p.server = &http.Server{
 		ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug), Handler: http.HandlerFunc(p.serve),
-		IdleTimeout: 2 * plainIdlePeriod, ReadTimeout: plainRequestPeriod,
+		IdleTimeout: 2 * httpIdleTimeout, ReadTimeout: httpReadTimeout,
 	}
 	p.workers.Go(func() { _ = p.server.Serve(l) })
 	return p, nil
 }
 
 // Address returns the address for the other boxes.
-func (p *Plain) Address() string {
+func (p *HTTPTransport) Address() string {
 	return p.listener.Addr().String()
 }
 
 // Call sends q to the box at address. The caller closes the call.
-func (p *Plain) Call(ctx context.Context, address string, q *Request) (*Call, error) {
+func (p *HTTPTransport) Call(ctx context.Context, address string, q *Request) (*Call, error) {
 	place := fail.Place{Peer: "box " + address, Step: "call " + string(q.Kind)}
 	ctx, cancel := context.WithCancel(ctx)
-	c := &plainCall{cancel: cancel, lost: func() { p.reconnect(address) }, sent: make(chan struct{})}
+	c := &httpCall{cancel: cancel, onTimeout: func() { p.dropIdleConnections(address) }, ready: make(chan struct{})}
 	go func() {
-		defer close(c.sent)
-		c.response, c.err = p.send(ctx, address, q) //nolint:bodyclose // hangUp closes it.
+		defer close(c.ready)
+		c.response, c.err = p.send(ctx, address, q) //nolint:bodyclose // abort closes it.
 	}()
-	return &Call{End: c.end, HangUp: c.hangUp, Peer: place.Peer, Read: c.read, ReadTill: c.readTill}, nil
+	return &Call{Drain: c.drain, Abort: c.abort, Peer: place.Peer, Read: c.read, SetReadDeadline: c.setReadDeadline}, nil
 }
 
 // Close hangs up on every box and waits for the calls in progress.
-func (p *Plain) Close() error {
+func (p *HTTPTransport) Close() error {
 	p.cancel()
 	err := p.server.Close()
 	p.mutex.Lock()
@@ -84,13 +84,13 @@
 	return err
 }
 
-// Links returns the calls.
-func (p *Plain) Links() *Links {
-	return &Links{Address: p.Address, Call: p.Call, Close: p.Close}
+// Endpoint returns the calls.
+func (p *HTTPTransport) Endpoint() *Endpoint {
+	return &Endpoint{Address: p.Address, Call: p.Call, Close: p.Close}
 }
 
 // serve answers one call by the handler.
-func (p *Plain) serve(w http.ResponseWriter, r *http.Request) {
+func (p *HTTPTransport) serve(w http.ResponseWriter, r *http.Request) {
 	p.workers.Add(1)
 	defer p.workers.Done()
 	e := Encoding.NewEncoder(w)
@@ -108,7 +108,7 @@
 	defer context.AfterFunc(p.ctx, cancel)()
 	c := http.NewResponseController(w)
 	p.handler(ctx, q, func(v *Reply) error {
-		_ = c.SetWriteDeadline(time.Now().Add(plainWritePeriod))
+		_ = c.SetWriteDeadline(time.Now().Add(httpWriteTimeout))
 		if len(v.Changes) > 0 {
 			return writeCompressed(w, v)
 		}
--- a/internal/box/plaincall.go
+++ b/internal/box/plaincall.go
@@ -10,35 +10,35 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// plainCall is one call in progress. It is used by one goroutine.
-type plainCall struct {
-	cancel   context.CancelFunc
-	decoder  *cbor.Decoder
-	err      error
-	lost     func() // has later calls to the box go over new connections
-	response *http.Response
-	sent     chan struct{} // closed once response or err is set
-	timer    *time.Timer
+// httpCall is one call in progress. It is used by one goroutine.
+type httpCall struct {
+	cancel    context.CancelFunc
+	decoder   *cbor.Decoder
+	err       error
+	onTimeout func() // has later calls to the box go over new connections
+	response  *http.Response
+	ready     chan struct{} // closed once response or err is set
+	timer     *time.Timer
 }
 
-// end reads on to the end of the answer, so that its connection can be kept.
-func (c *plainCall) end() {
+// drain reads on to the end of the answer, so that its connection can be kept.
+func (c *httpCall) drain() {
 	if c.decoder == nil || c.response == nil {
 		return
 	}
-	t := time.AfterFunc(plainEndPeriod, c.cancel)
+	t := time.AfterFunc(httpDrainTimeout, c.cancel)
 	defer t.Stop()
 	_, _ = io.Copy(io.Discard, c.response.Body)
 }
 
-// hangUp ends the call, whether or not its answer has come.
-func (c *plainCall) hangUp() {
+// abort ends the call, whether or not its answer has come.
+func (c *httpCall) abort() {
 	if c.timer != nil {
 		c.timer.Stop()
 	}
 	c.cancel()
 	go func() {
-		<-c.sent
+		<-c.ready
 		if c.response != nil {
 			_ = c.response.Body.Close()
 		}
@@ -46,8 +46,8 @@
 }
 
 // read reads the next reply.
-func (c *plainCall) read(r *Reply) error {
-	<-c.sent
+func (c *httpCall) read(r *Reply) error {
+	<-c.ready
 	if c.err != nil {
 		return c.err
 	}
@@ -64,15 +64,15 @@
 	return nil
 }
 
-// readTill bounds the wait for replies; the zero time lifts the bound.
-func (c *plainCall) readTill(t time.Time) {
+// setReadDeadline bounds the wait for replies; the zero time lifts the bound.
+func (c *httpCall) setReadDeadline(t time.Time) {
 	if c.timer != nil {
 		c.timer.Stop()
 		c.timer = nil
 	}
 	if !t.IsZero() {
 		c.timer = time.AfterFunc(time.Until(t), func() {
-			c.lost()
+			c.onTimeout()
 			c.cancel()
 		})
 	}
--- a/internal/box/plainsend.go
+++ b/internal/box/plainsend.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// plainAnswer is the head of the answer to a request that was sent, or an error.
-type plainAnswer struct {
+// httpResult is the head of the answer to a request that was sent, or an error.
+type httpResult struct {
 	err      error
 	response *http.Response
-	sent     int // which of the sends it answers
+	attempt  int // which of the sends it answers
 }
 
-// plainLateAfter is how long after the end of its wait a request counts as late: boxes answer
+// resendAfter is how long after the end of its wait a request counts as late: boxes answer
 // within some milliseconds.
-const plainLateAfter = 200 * time.Millisecond
+const resendAfter = 200 * time.Millisecond
 
 // clientOf returns what makes calls to the box at an address.
-func (p *Plain) clientOf(address string) *http.Client {
+func (p *HTTPTransport) clientOf(address string) *http.Client {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	c := p.clients[address]
 	if c == nil {
 		c = &http.Client{Transport: &http.Transport{
-			DialContext:         (&net.Dialer{Timeout: plainDialPeriod}).DialContext,
-			IdleConnTimeout:     plainIdlePeriod,
-			MaxIdleConnsPerHost: maxIdlePlain,
+			DialContext:         (&net.Dialer{Timeout: httpDialTimeout}).DialContext,
+			IdleConnTimeout:     httpIdleTimeout,
+			MaxIdleConnsPerHost: maxIdlePerBox,
 		}}
 		p.clients[address] = c
 	}
@@ -37,7 +37,7 @@
 }
 
 // post sends a request once.
-func (p *Plain) post(ctx context.Context, address string, q *Request) (*http.Response, error) {
+func (p *HTTPTransport) post(ctx context.Context, address string, q *Request) (*http.Response, error) {
 	b, err := Encoding.Marshal(q)
 	if err != nil {
 		return nil, err
@@ -49,9 +49,9 @@
 	return p.clientOf(address).Do(r)
 }
 
-// reconnect has later calls to the box at an address go over new connections: the kept ones may have
+// dropIdleConnections has later calls to the box at an address go over new connections: the kept ones may have
 // gone silent without being closed.
-func (p *Plain) reconnect(address string) {
+func (p *HTTPTransport) dropIdleConnections(address string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if c := p.clients[address]; c != nil {
@@ -61,42 +61,42 @@
 
 // send sends a request and returns the head of its answer. Where that is late, the request is
 // sent once more over a new connection if it may be, and the first answer counts.
-func (p *Plain) send(ctx context.Context, address string, q *Request) (*http.Response, error) {
+func (p *HTTPTransport) send(ctx context.Context, address string, q *Request) (*http.Response, error) {
 	var cancels []context.CancelFunc
-	answers := make(chan plainAnswer, 2)
+	answers := make(chan httpResult, 2)
 	post := func(q *Request) {
 		ctx, cancel := context.WithCancel(ctx)
 		n := len(cancels)
 		cancels = append(cancels, cancel)
 		go func() {
 			w, err := p.post(ctx, address, q) //nolint:bodyclose // The call closes it, or the end of its context.
-			answers <- plainAnswer{err: err, response: w, sent: n}
+			answers <- httpResult{err: err, response: w, attempt: n}
 		}()
 	}
-	late := time.NewTimer(q.Wait + plainLateAfter)
+	late := time.NewTimer(q.Wait + resendAfter)
 	defer late.Stop()
 	post(q)
-	for failed := 0; ; {
+	for failures := 0; ; {
 		select {
 		case a := <-answers:
 			if a.err != nil {
-				failed++
-				if failed < len(cancels) {
+				failures++
+				if failures < len(cancels) {
 					continue
 				}
 			}
 			for n, cancel := range cancels {
-				if n != a.sent || a.err != nil {
+				if n != a.attempt || a.err != nil {
 					cancel()
 				}
 			}
 			if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-				p.reconnect(address)
+				p.dropIdleConnections(address)
 			}
 			return a.response, a.err
 		case <-late.C:
 			if repeatable(q.Kind) {
-				p.reconnect(address)
+				p.dropIdleConnections(address)
 				again := *q
 				again.SentAt, again.Wait = time.Now(), 0
 				post(&again)
@@ -108,7 +108,7 @@
 // repeatable reports whether handling a request of a kind twice does the same as handling it once.
 func repeatable(k Kind) bool {
 	switch k {
-	case KindAsk, KindPermit, KindTurn, KindUpdate:
+	case KindPlacement, KindPermit, KindMoveSlot, KindProgress:
 		return false
 	default:
 		return true
--- a/internal/box/secured_test.go
+++ b/internal/box/secured_test.go
@@ -11,8 +11,8 @@
 	"github.com/linetiller/linetiller/internal/certificate"
 )
 
-// newSecured returns configurations under a new authority.
-func newSecured(t *testing.T) (server, client *tls.Config) {
+// newMutualTLS returns configurations under a new authority.
+func newMutualTLS(t *testing.T) (server, client *tls.Config) {
 	t.Helper()
 	a, err := certificate.NewAuthority(time.Now())
 	if err != nil {
--- a/internal/box/silent_test.go
+++ b/internal/box/silent_test.go
@@ -10,23 +10,23 @@
 	"github.com/linetiller/linetiller/internal/ratelimit"
 )
 
-// silencer passes connections on to a box, until those that are open carry nothing more.
-type silencer struct {
-	listener net.Listener
-	mutex    sync.Mutex // guards the fields below
-	open     []net.Conn
-	silent   map[net.Conn]bool
-	target   string
-	workers  sync.WaitGroup
+// blackholeProxy passes connections on to a box, until those that are open carry nothing more.
+type blackholeProxy struct {
+	listener   net.Listener
+	mutex      sync.Mutex // guards the fields below
+	open       []net.Conn
+	blackholed map[net.Conn]bool
+	target     string
+	workers    sync.WaitGroup
 }
 
-func newSilencer(t *testing.T, target string) *silencer {
+func newBlackholeProxy(t *testing.T, target string) *blackholeProxy {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &silencer{listener: l, silent: make(map[net.Conn]bool), target: target}
+	s := &blackholeProxy{listener: l, blackholed: make(map[net.Conn]bool), target: target}
 	s.workers.Go(s.accept)
 	t.Cleanup(func() {
 		_ = l.Close()
@@ -40,7 +40,7 @@
 	return s
 }
 
-func (s *silencer) accept() {
+func (s *blackholeProxy) accept() {
 	for {
 		c, err := s.listener.Accept()
 		if err != nil {
@@ -54,13 +54,13 @@
 		s.mutex.Lock()
 		s.open = append(s.open, c, d)
 		s.mutex.Unlock()
-		s.workers.Go(func() { s.pass(c, d) })
-		s.workers.Go(func() { s.pass(d, c) })
+		s.workers.Go(func() { s.forward(c, d) })
+		s.workers.Go(func() { s.forward(d, c) })
 	}
 }
 
-// pass copies from one connection to another; what arrives once they are silent is lost.
-func (s *silencer) pass(to, from net.Conn) {
+// forward copies from one connection to another; what arrives once they are silent is lost.
+func (s *blackholeProxy) forward(to, from net.Conn) {
 	defer func() { _ = to.Close() }()
 	b := make([]byte, 4096)
 	for {
@@ -69,7 +69,7 @@
 			return
 		}
 		s.mutex.Lock()
-		silent := s.silent[from]
+		silent := s.blackholed[from]
 		s.mutex.Unlock()
 		if !silent {
 			_, _ = to.Write(b[:n])
@@ -77,12 +77,12 @@
 	}
 }
 
-// silence makes the open connections carry nothing more, and returns how many there are.
-func (s *silencer) silence() int {
+// blackhole makes the open connections carry nothing more, and returns how many there are.
+func (s *blackholeProxy) blackhole() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, c := range s.open {
-		s.silent[c] = true
+		s.blackholed[c] = true
 	}
 	return len(s.open)
 }
@@ -91,53 +91,53 @@
 // each call was lost over one of them, until all were used up.
 func TestCallsOverLostConnections(t *testing.T) {
 	const (
-		kept = 4
-		long = time.Minute // never reached where an answer comes
+		kept        = 4
+		longTimeout = time.Minute // never reached where an answer comes
 	)
-	together := &Request{Kind: KindPermit, Permit: &ratelimit.Ask{Want: 1}} // never sent twice
+	concurrentPermit := &Request{Kind: KindPermit, Permit: &ratelimit.Ask{Want: 1}} // never sent twice
 	for _, x := range []struct {
 		q     *Request
 		first time.Duration // for the first call
 		want  bool          // whether it is to be answered
 	}{
-		{&Request{Kind: KindHeartbeat}, long, true},
-		{&Request{Kind: KindNews, Wait: time.Millisecond}, long, true},
-		{&Request{Kind: KindPermit, Permit: &ratelimit.Ask{}}, 3 * plainLateAfter, false},
+		{&Request{Kind: KindHeartbeat}, longTimeout, true},
+		{&Request{Kind: KindWatchChanges, Wait: time.Millisecond}, longTimeout, true},
+		{&Request{Kind: KindPermit, Permit: &ratelimit.Ask{}}, 3 * resendAfter, false},
 	} {
 		t.Run(string(x.q.Kind), func(t *testing.T) {
 			var all sync.WaitGroup
 			all.Add(kept)
-			a := newPlain(t, func(_ context.Context, q *Request, answer func(*Reply) error) {
+			a := newHTTPTransport(t, func(_ context.Context, q *Request, answer func(*Reply) error) {
 				if q.Permit != nil && q.Permit.Want > 0 { // at once, so that each has a connection of its own
 					all.Done()
 					all.Wait()
 				}
 				_ = answer(&Reply{})
 			})
-			s := newSilencer(t, a.Address())
-			b := newPlain(t, nil).Links()
+			s := newBlackholeProxy(t, a.Address())
+			b := newHTTPTransport(t, nil).Endpoint()
 			call := func(q *Request, d time.Duration) error {
 				ctx, cancel := context.WithTimeout(t.Context(), d)
 				defer cancel()
-				_, err := b.Once(ctx, s.listener.Addr().String(), q)
+				_, err := b.CallOnce(ctx, s.listener.Addr().String(), q)
 				return err
 			}
 			var g sync.WaitGroup
 			for range kept {
 				g.Go(func() {
-					if err := call(together, long); err != nil {
+					if err := call(concurrentPermit, longTimeout); err != nil {
 						t.Error(err)
 					}
 				})
 			}
 			g.Wait()
-			if got, want := s.silence(), 2*kept; got != want {
+			if got, want := s.blackhole(), 2*kept; got != want {
 				t.Fatalf("ends of open connections: got %d, want %d", got, want)
 			}
 			if err := call(x.q, x.first); (err == nil) != x.want {
 				t.Errorf("first call: got %v, want an answer %v", err, x.want)
 			}
-			if err := call(x.q, long); err != nil {
+			if err := call(x.q, longTimeout); err != nil {
 				t.Errorf("second call: got %v, want an answer", err)
 			}
 		})
--- a/internal/box/transport.go
+++ b/internal/box/transport.go
@@ -18,9 +18,9 @@
 // ends when the caller has hung up.
 type Handler func(ctx context.Context, q *Request, answer func(*Reply) error)
 
-// Transport calls other boxes and answers their calls, on one UDP socket. It is
+// QUICTransport calls other boxes and answers their calls, on one UDP socket. It is
 // safe for concurrent use.
-type Transport struct {
+type QUICTransport struct {
 	mutex       sync.Mutex // guards connections; no other lock is taken under it
 	connections map[string]*quic.Conn
 
@@ -41,28 +41,28 @@
 const MaxMessageBytes = 64 << 20
 
 const (
-	codeHungUp     = 1
-	idlePeriod     = 10 * time.Second
-	keepAliveEvery = 3 * time.Second
-	maxStreams     = 1 << 16
+	codeClosed      = 1
+	idleTimeout     = 10 * time.Second
+	keepAlivePeriod = 3 * time.Second
+	maxStreams      = 1 << 16
 )
 
-// Listen returns a transport at address (IP:port) that answers by h.
+// ListenQUIC returns a transport at address (IP:port) that answers by h.
 //
 // Both configurations must name Protocol; where they carry certificates, both
 // ends are authenticated.
-func Listen(address string, server, client *tls.Config, h Handler) (*Transport, error) {
+func ListenQUIC(address string, server, client *tls.Config, h Handler) (*QUICTransport, error) {
 	p := fail.Place{Peer: "boxes", Step: "listen"}
 	s, err := net.ListenPacket("udp", address)
 	if err != nil {
 		return nil, fail.Wrap(fail.Unavailable, p, "listen", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	t := &Transport{
+	t := &QUICTransport{
 		cancel: cancel, client: client, connections: make(map[string]*quic.Conn), ctx: ctx,
 		handler: h, quic: &quic.Transport{Conn: s}, socket: s,
 	}
-	t.listener, err = t.quic.Listen(server, config())
+	t.listener, err = t.quic.Listen(server, quicConfig())
 	if err != nil {
 		cancel()
 		_ = s.Close()
@@ -73,12 +73,12 @@
 }
 
 // Address returns the address the transport listens at.
-func (t *Transport) Address() string {
+func (t *QUICTransport) Address() string {
 	return t.socket.LocalAddr().String()
 }
 
 // Call sends q to the box at address. The caller closes the call.
-func (t *Transport) Call(ctx context.Context, address string, q *Request) (*Call, error) {
+func (t *QUICTransport) Call(ctx context.Context, address string, q *Request) (*Call, error) {
 	p := fail.Place{Peer: "box " + address, Step: "call " + string(q.Kind)}
 	c, err := t.connection(ctx, address)
 	if err != nil {
@@ -86,22 +86,22 @@
 	}
 	s, err := c.OpenStreamSync(ctx)
 	if err != nil {
-		t.forget(address, c)
+		t.dropConnection(address, c)
 		return nil, fail.Wrap(fail.Unavailable, p, ReasonUnreachable, err)
 	}
 	if d, ok := ctx.Deadline(); ok {
 		_ = s.SetDeadline(d)
 	}
 	if err := Encoding.NewEncoder(s).Encode(q); err != nil {
-		s.CancelRead(codeHungUp)
-		s.CancelWrite(codeHungUp)
+		s.CancelRead(codeClosed)
+		s.CancelWrite(codeClosed)
 		return nil, fail.Wrap(fail.Unavailable, p, ReasonUnreachable, err)
 	}
 	_ = s.Close()
 	d := decodeMode.NewDecoder(io.LimitReader(s, MaxMessageBytes))
 	return &Call{
-		HangUp: func() { s.CancelRead(codeHungUp) },
-		Peer:   p.Peer,
+		Abort: func() { s.CancelRead(codeClosed) },
+		Peer:  p.Peer,
 		Read: func(r *Reply) error {
 			if err := d.Decode(r); err != nil {
 				return err
@@ -109,26 +109,26 @@
 			r.Shift(time.Now())
 			return nil
 		},
-		ReadTill: func(t time.Time) { _ = s.SetReadDeadline(t) },
+		SetReadDeadline: func(t time.Time) { _ = s.SetReadDeadline(t) },
 	}, nil
 }
 
 // Close hangs up on every box and waits for the calls in progress.
-func (t *Transport) Close() error {
+func (t *QUICTransport) Close() error {
 	t.cancel()
 	err := t.listener.Close()
 	t.mutex.Lock()
 	for _, c := range t.connections {
-		_ = c.CloseWithError(codeHungUp, "closing")
+		_ = c.CloseWithError(codeClosed, "closing")
 	}
 	t.mutex.Unlock()
 	t.workers.Wait()
 	return errors.Join(err, t.quic.Close(), ignoreClosed(t.socket.Close()))
 }
 
-// Links returns the transport's calls.
-func (t *Transport) Links() *Links {
-	return &Links{Address: t.Address, Call: t.Call, Close: t.Close}
+// Endpoint returns the transport's calls.
+func (t *QUICTransport) Endpoint() *Endpoint {
+	return &Endpoint{Address: t.Address, Call: t.Call, Close: t.Close}
 }
 
 // DecodeRequest reads a request, as the transport does.
@@ -138,34 +138,34 @@
 		return nil, err
 	}
 	q.Shift(time.Now())
-	if q.Kind == KindAsk && q.Ask == nil {
+	if q.Kind == KindPlacement && q.Placement == nil {
 		return nil, errors.New("an ask without its work")
 	}
 	if q.Kind == KindPermit && q.Permit == nil {
 		return nil, errors.New("an ask for a permit without its limit")
 	}
-	if q.Kind == KindTurn && q.Turn == nil {
+	if q.Kind == KindMoveSlot && q.MoveSlot == nil {
 		return nil, errors.New("a turn without its run")
 	}
-	if q.Kind == KindUpdate && q.Update == nil {
+	if q.Kind == KindProgress && q.Progress == nil {
 		return nil, errors.New("an update without its items")
 	}
 	return q, nil
 }
 
-func (t *Transport) accept() {
+func (t *QUICTransport) accept() {
 	for {
 		c, err := t.listener.Accept(t.ctx)
 		if err != nil {
 			return
 		}
-		t.workers.Go(func() { t.serve(c) })
+		t.workers.Go(func() { t.serveConnection(c) })
 	}
 }
 
-func (t *Transport) answer(s *quic.Stream) {
+func (t *QUICTransport) serveStream(s *quic.Stream) {
 	defer func() { _ = s.Close() }()
-	_ = s.SetReadDeadline(time.Now().Add(idlePeriod))
+	_ = s.SetReadDeadline(time.Now().Add(idleTimeout))
 	e := Encoding.NewEncoder(s)
 	q, err := DecodeRequest(s)
 	if err != nil {
@@ -179,7 +179,7 @@
 }
 
 // connection returns the open connection to address, or makes one.
-func (t *Transport) connection(ctx context.Context, address string) (*quic.Conn, error) {
+func (t *QUICTransport) connection(ctx context.Context, address string) (*quic.Conn, error) {
 	t.mutex.Lock()
 	c := t.connections[address]
 	t.mutex.Unlock()
@@ -190,25 +190,25 @@
 	if err != nil {
 		return nil, err
 	}
-	c, err = t.quic.Dial(ctx, a, t.client, config())
+	c, err = t.quic.Dial(ctx, a, t.client, quicConfig())
 	if err != nil {
 		return nil, err
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if o := t.connections[address]; o != nil && o.Context().Err() == nil {
-		_ = c.CloseWithError(codeHungUp, "double")
+		_ = c.CloseWithError(codeClosed, "double")
 		return o, nil
 	}
 	if t.ctx.Err() != nil {
-		_ = c.CloseWithError(codeHungUp, "closing")
+		_ = c.CloseWithError(codeClosed, "closing")
 		return nil, t.ctx.Err()
 	}
 	t.connections[address] = c
 	return c, nil
 }
 
-func (t *Transport) forget(address string, c *quic.Conn) {
+func (t *QUICTransport) dropConnection(address string, c *quic.Conn) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.connections[address] == c {
@@ -216,22 +216,22 @@
 	}
 }
 
-func (t *Transport) serve(c *quic.Conn) {
-	defer func() { _ = c.CloseWithError(codeHungUp, "closing") }()
+func (t *QUICTransport) serveConnection(c *quic.Conn) {
+	defer func() { _ = c.CloseWithError(codeClosed, "closing") }()
 	for {
 		s, err := c.AcceptStream(t.ctx)
 		if err != nil {
 			return
 		}
-		t.workers.Go(func() { t.answer(s) })
+		t.workers.Go(func() { t.serveStream(s) })
 	}
 }
 
-func config() *quic.Config {
+func quicConfig() *quic.Config {
 	return &quic.Config{
 		HandshakeIdleTimeout: 2 * time.Second,
-		KeepAlivePeriod:      keepAliveEvery,
-		MaxIdleTimeout:       idlePeriod,
+		KeepAlivePeriod:      keepAlivePeriod,
+		MaxIdleTimeout:       idleTimeout,
 		MaxIncomingStreams:   maxStreams,
 	}
 }
--- a/internal/box/transport_test.go
+++ b/internal/box/transport_test.go
@@ -16,13 +16,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func newTransport(t *testing.T, h Handler) *Transport {
+func newQUICTransport(t *testing.T, h Handler) *QUICTransport {
 	t.Helper()
 	server, client, err := certificate.Ephemeral(Protocol)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v, err := Listen("127.0.0.1:0", server, client, h)
+	v, err := ListenQUIC("127.0.0.1:0", server, client, h)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,9 +34,9 @@
 	return v
 }
 
-func newPlain(t *testing.T, h Handler) *Plain {
+func newHTTPTransport(t *testing.T, h Handler) *HTTPTransport {
 	t.Helper()
-	v, err := ListenPlain("127.0.0.1:0", h)
+	v, err := ListenHTTP("127.0.0.1:0", h)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,25 +48,25 @@
 	return v
 }
 
-// eachWay runs f over each kind of links.
-func eachWay(t *testing.T, f func(t *testing.T, links func(Handler) *Links)) {
+// eachTransport runs f over each kind of links.
+func eachTransport(t *testing.T, f func(t *testing.T, newEndpoint func(Handler) *Endpoint)) {
 	t.Helper()
 	t.Run("quic", func(t *testing.T) {
-		f(t, func(h Handler) *Links { return newTransport(t, h).Links() })
+		f(t, func(h Handler) *Endpoint { return newQUICTransport(t, h).Endpoint() })
 	})
 	t.Run("plain", func(t *testing.T) {
-		f(t, func(h Handler) *Links { return newPlain(t, h).Links() })
+		f(t, func(h Handler) *Endpoint { return newHTTPTransport(t, h).Endpoint() })
 	})
 }
 
 func TestCallsAndReplies(t *testing.T) {
-	eachWay(t, func(t *testing.T, links func(Handler) *Links) {
-		a := links(func(_ context.Context, q *Request, answer func(*Reply) error) {
+	eachTransport(t, func(t *testing.T, newEndpoint func(Handler) *Endpoint) {
+		a := newEndpoint(func(_ context.Context, q *Request, answer func(*Reply) error) {
 			for i := range q.Revisions[resource.SourceBoxes] {
 				_ = answer(&Reply{Revisions: resource.Revisions{resource.SourceBoxes: i}})
 			}
 		})
-		b := links(nil)
+		b := newEndpoint(nil)
 		c, err := b.Call(t.Context(), a.Address(), &Request{Kind: KindChanges, Revisions: resource.Revisions{resource.SourceBoxes: 3}})
 		if err != nil {
 			t.Fatal(err)
@@ -87,14 +87,14 @@
 // TestHangingUpEndsTheHandler checks that a box which no longer waits for a
 // place is noticed by its owner.
 func TestHangingUpEndsTheHandler(t *testing.T) {
-	eachWay(t, func(t *testing.T, links func(Handler) *Links) {
-		ended := make(chan struct{})
-		a := links(func(ctx context.Context, _ *Request, answer func(*Reply) error) {
+	eachTransport(t, func(t *testing.T, newEndpoint func(Handler) *Endpoint) {
+		handlerDone := make(chan struct{})
+		a := newEndpoint(func(ctx context.Context, _ *Request, answer func(*Reply) error) {
 			_ = answer(&Reply{})
 			<-ctx.Done()
-			close(ended)
+			close(handlerDone)
 		})
-		b := links(nil)
+		b := newEndpoint(nil)
 		c, err := b.Call(t.Context(), a.Address(), &Request{Kind: KindHeartbeat})
 		if err != nil {
 			t.Fatal(err)
@@ -103,18 +103,18 @@
 			t.Fatal(err)
 		}
 		_ = c.Close()
-		<-ended
+		<-handlerDone
 	})
 }
 
 func TestUnreachableBox(t *testing.T) {
-	a := newTransport(t, nil)
+	a := newQUICTransport(t, nil)
 	address := a.Address()
 	_ = a.Close()
-	b := newTransport(t, nil)
+	b := newQUICTransport(t, nil)
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
-	if _, err := b.Links().Once(ctx, address, &Request{Kind: KindHeartbeat}); err == nil {
+	if _, err := b.Endpoint().CallOnce(ctx, address, &Request{Kind: KindHeartbeat}); err == nil {
 		t.Error("got no error")
 	}
 }
@@ -122,8 +122,8 @@
 // TestStrangersAreRefused joins a box whose certificate another authority signed.
 func TestStrangersAreRefused(t *testing.T) {
 	reached := false
-	server, client := newSecured(t)
-	a, err := Listen("127.0.0.1:0", server, client, func(_ context.Context, _ *Request, answer func(*Reply) error) {
+	server, client := newMutualTLS(t)
+	a, err := ListenQUIC("127.0.0.1:0", server, client, func(_ context.Context, _ *Request, answer func(*Reply) error) {
 		reached = true
 		_ = answer(&Reply{})
 	})
@@ -131,21 +131,21 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = a.Close() }()
-	friend, err := Listen("127.0.0.1:0", server, client, nil)
+	trusted, err := ListenQUIC("127.0.0.1:0", server, client, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = friend.Close() }()
-	_, strange := newSecured(t)
-	stranger, err := Listen("127.0.0.1:0", server, strange, nil)
+	defer func() { _ = trusted.Close() }()
+	_, untrustedClient := newMutualTLS(t)
+	untrusted, err := ListenQUIC("127.0.0.1:0", server, untrustedClient, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = stranger.Close() }()
-	if _, err := stranger.Links().Once(t.Context(), a.Address(), &Request{Kind: KindHeartbeat}); err == nil || reached {
+	defer func() { _ = untrusted.Close() }()
+	if _, err := untrusted.Endpoint().CallOnce(t.Context(), a.Address(), &Request{Kind: KindHeartbeat}); err == nil || reached {
 		t.Errorf("stranger: got %v, reached %v, want to be refused", err, reached)
 	}
-	if _, err := friend.Links().Once(t.Context(), a.Address(), &Request{Kind: KindHeartbeat}); err != nil {
+	if _, err := trusted.Endpoint().CallOnce(t.Context(), a.Address(), &Request{Kind: KindHeartbeat}); err != nil {
 		t.Errorf("friend: got %v", err)
 	}
 }
@@ -154,15 +154,15 @@
 func FuzzDecodeRequest(f *testing.F) {
 	for _, q := range []Request{
 		{Kind: KindHeartbeat, From: Member{Name: "a"}},
-		{Kind: KindAsk, Ask: &Ask{Upstream: "u", Work: policy.Work{ID: "w"}}},
-		{Kind: KindUpdate, Update: &Update{Items: []Item{{ID: "x", Gone: true}}}},
+		{Kind: KindPlacement, Placement: &PlacementRequest{Upstream: "u", Work: policy.Work{ID: "w"}}},
+		{Kind: KindProgress, Progress: &ProgressReport{Items: []GenerationProgress{{ID: "x", Released: true}}}},
 	} {
 		b, _ := cbor.Marshal(q)
 		f.Add(b)
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		q, err := DecodeRequest(bytes.NewReader(b))
-		if err == nil && (q.Kind == KindAsk) != (q.Ask != nil) && q.Ask == nil {
+		if err == nil && (q.Kind == KindPlacement) != (q.Placement != nil) && q.Placement == nil {
 			t.Errorf("got %+v without its work", q)
 		}
 	})
--- a/internal/cmd/applycmd.go
+++ b/internal/cmd/applycmd.go
@@ -70,7 +70,7 @@
 	}
 	l, faults := resource.Read(b)
 	if len(faults) > 0 {
-		return nil, errors.Join(errBadInput, faults.In(path))
+		return nil, errors.Join(errBadInput, faults.ErrorIn(path))
 	}
 	return l, nil
 }
--- a/internal/configuration/era.go
+++ b/internal/configuration/era.go
@@ -58,10 +58,10 @@
 // era was written in that.
 func (f *Follower) doubt(b *resource.Batch, after int64) {
 	f.noteEraOf(b)
-	if !b.Source.ByStore() || !f.doubts(time.Now()) {
+	if !b.Source.UsesStoreRevisions() || !f.doubts(time.Now()) {
 		return
 	}
-	if !b.Whole && (len(b.Changes) == 0 || revision.Era(b.Newest()) == revision.Era(after)) {
+	if !b.Snapshot && (len(b.Changes) == 0 || revision.Era(b.NewestRevision()) == revision.Era(after)) {
 		return
 	}
 	b.Tentative = true
@@ -78,14 +78,14 @@
 
 // logHeld tells that changes of a batch wait where others did not before.
 func (f *Follower) logHeld(b *resource.Batch, before int) {
-	if n := f.view.Held(b.Source); n > before {
+	if n := f.view.CountHeld(b.Source); n > before {
 		event.ChangesHeld.Log(f.log, "source", string(b.Source), "era", revision.Era(b.Revision), "revision", revision.Version(b.Revision), "changes", n)
 	}
 }
 
 // noteEraOf takes in the era of a batch.
 func (f *Follower) noteEraOf(b *resource.Batch) {
-	if b.Source.ByStore() && b.Revision > 0 {
+	if b.Source.UsesStoreRevisions() && b.Revision > 0 {
 		f.NoteEra(revision.Era(b.Revision))
 	}
 }
--- a/internal/configuration/follower.go
+++ b/internal/configuration/follower.go
@@ -210,12 +210,12 @@
 // apply takes a batch into the view.
 func (f *Follower) apply(b *resource.Batch, from string) {
 	f.noteEraOf(b)
-	defer f.logHeld(b, f.view.Held(b.Source))
-	if f.view.Take(b) {
-		event.RevisionApplied.Log(f.log, "source", string(b.Source), "era", revision.Era(b.Revision), "revision", revision.Version(b.Revision), "changes", len(b.Changes), "whole", b.Whole, "from", from)
+	defer f.logHeld(b, f.view.CountHeld(b.Source))
+	if f.view.Merge(b) {
+		event.RevisionApplied.Log(f.log, "source", string(b.Source), "era", revision.Era(b.Revision), "revision", revision.Version(b.Revision), "changes", len(b.Changes), "whole", b.Snapshot, "from", from)
 		return
 	}
-	if held := f.view.Revisions()[b.Source]; b.Whole && b.Revision < held {
+	if held := f.view.Revisions()[b.Source]; b.Snapshot && b.Revision < held {
 		f.metrics.Count(metric.PlatformOlder, "source", string(b.Source))
 		event.AnswerPassedOver.Log(f.log, "source", string(b.Source), "era", revision.Era(b.Revision), "told", revision.Version(b.Revision), "held_era", revision.Era(held), "held", revision.Version(held), "from", from)
 	}
--- a/internal/configuration/lapse.go
+++ b/internal/configuration/lapse.go
@@ -18,7 +18,7 @@
 	if s.name != resource.SourceUpstreams || b.Tentative || time.Since(s.backAt.get()) > returnPeriod {
 		return
 	}
-	if b.Whole {
+	if b.Snapshot {
 		f.nameMissing(b)
 	}
 	for i := range b.Changes {
@@ -27,7 +27,7 @@
 		if !c.Deleted || old == nil {
 			continue
 		}
-		x, err := resource.Lapsed(old, c.Revision)
+		x, err := resource.MarkLapsed(old, c.Revision)
 		if err != nil {
 			continue
 		}
--- a/internal/configuration/news.go
+++ b/internal/configuration/news.go
@@ -47,15 +47,15 @@
 		changed, state := f.view.Changed(), f.stateChanged()
 		fed := f.Fed()
 		if l := f.view.Missing(have); len(l) > 0 || !fed {
-			return &box.Reply{Age: f.Age(), Changes: l, Fed: fed}
+			return &box.Reply{ViewAge: f.Age(), Changes: l, FollowsStore: fed}
 		}
 		select {
 		case <-changed:
 		case <-state:
 		case <-t.C:
-			return &box.Reply{Age: f.Age(), Fed: true}
+			return &box.Reply{ViewAge: f.Age(), FollowsStore: true}
 		case <-ctx.Done():
-			return &box.Reply{Fed: fed}
+			return &box.Reply{FollowsStore: fed}
 		}
 	}
 }
@@ -110,7 +110,7 @@
 	ctx, cancel := context.WithTimeout(ctx, wait+newsSlack)
 	defer cancel()
 	r, err := f.Ask(ctx, f.members.Address(peer), &box.Request{
-		From: f.members.Self(), Kind: box.KindNews, Revisions: f.view.Revisions(), SentAt: time.Now(), Wait: wait,
+		From: f.members.Self(), Kind: box.KindWatchChanges, Revisions: f.view.Revisions(), SentAt: time.Now(), Wait: wait,
 	})
 	if err != nil {
 		return false, err
@@ -118,8 +118,8 @@
 	for i := range r.Changes {
 		f.apply(&r.Changes[i], "reader "+peer)
 	}
-	f.HeardAge(r.Age)
-	return r.Fed, nil
+	f.HeardAge(r.ViewAge)
+	return r.FollowsStore, nil
 }
 
 // callSilent asks a reader that did not answer again and again, until it does or is listed
--- a/internal/configuration/reader.go
+++ b/internal/configuration/reader.go
@@ -46,8 +46,8 @@
 // The store's revision rises with rows of other tables, too; a batch is dated by
 // its own rows, unless rows may have gone unseen.
 func Date(b *resource.Batch, c *table.Changes) {
-	b.Whole = c.Whole
-	b.Revision = b.Newest()
+	b.Snapshot = c.Whole
+	b.Revision = b.NewestRevision()
 	if c.Whole {
 		b.Revision = c.Revision
 	}
--- a/internal/configuration/reading.go
+++ b/internal/configuration/reading.go
@@ -101,7 +101,7 @@
 // position returns the store's revision up to which a source is known: read by this box, or
 // heard from another.
 func (f *Follower) position(s *source) int64 {
-	if !s.name.ByStore() {
+	if !s.name.UsesStoreRevisions() {
 		return s.after.Load()
 	}
 	return max(s.after.Load(), f.view.Revisions()[s.name])
--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -294,7 +294,7 @@
 		defer d.mutex.Unlock()
 		release(d.waits, w)
 	}()
-	l, now := d.view.UpstreamsOf(q.Work.Model), time.Now()
+	l, now := d.view.UpstreamsOfModel(q.Work.Model), time.Now()
 	if err := d.rests.Refusal(l, fail.Place{Peer: "upstreams", Step: "choose"}, now); err != nil {
 		return nil, err
 	}
--- a/internal/delivery/session.go
+++ b/internal/delivery/session.go
@@ -120,7 +120,7 @@
 	s.deliverer.Fresh(s.client)
 	u := s.deliverer.view.Upstream(p.Upstream.Name)
 	place := fail.Place{Peer: "upstream " + p.Upstream.Name, Step: "check before the send"}
-	if u == nil || !u.Takes(time.Now()) {
+	if u == nil || !u.AcceptsWork(time.Now()) {
 		s.avoid[p.Upstream.Name] = true
 		return nil, fail.WithRetryAt(fail.New(fail.NotRun, place, "leaving", "the upstream is leaving"), time.Now())
 	}
--- a/internal/health/rests.go
+++ b/internal/health/rests.go
@@ -86,7 +86,7 @@
 		}
 	}
 	for _, u := range l {
-		if u.Takes(now) && !all[u.Name] {
+		if u.AcceptsWork(now) && !all[u.Name] {
 			return all
 		}
 	}
@@ -103,7 +103,7 @@
 	}
 	var first time.Time
 	for _, u := range l {
-		if !u.Takes(now) {
+		if !u.AcceptsWork(now) {
 			continue
 		}
 		t := r.until(u.Name, now)
--- a/internal/health/tracker.go
+++ b/internal/health/tracker.go
@@ -133,7 +133,7 @@
 	var first, second ranked
 	first.score, second.score = math.Inf(1), math.Inf(1)
 	for _, u := range l {
-		if avoid[u.Name] || !u.Takes(now) {
+		if avoid[u.Name] || !u.AcceptsWork(now) {
 			continue
 		}
 		if at := t.closedUntil(u, now); !at.IsZero() {
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -16,14 +16,14 @@
 	st := &resource.Status{ObservedGeneration: x.Metadata.Generation}
 	missing, unknown := 0, 0
 	for _, h := range halls {
-		v := resource.HallStatus{Boxes: len(h.Revisions) + h.Silent, Hall: h.Hall, Unknown: h.Silent}
+		v := resource.HallStatus{Boxes: len(h.Revisions) + h.Unanswered, Hall: h.Hall, Unknown: h.Unanswered}
 		for _, r := range h.Revisions {
 			if r >= x.Revision() {
 				v.InForce++
 			}
 		}
 		missing += len(h.Revisions) - v.InForce
-		unknown += h.Silent
+		unknown += h.Unanswered
 		st.Halls = append(st.Halls, v)
 	}
 	c := resource.Condition{LastTransitionTime: now, Reason: "EveryBox", Status: "True", Type: conditionForce}
--- a/internal/ownership/cold_test.go
+++ b/internal/ownership/cold_test.go
@@ -51,7 +51,7 @@
 				started := make(chan string, 20)
 				for i := range 20 {
 					w := policy.Work{Arrived: time.Now(), Deadline: time.Now().Add(time.Minute), ID: fmt.Sprint(i), MaxTokens: 10, Model: "llm/m", Prompt: 10}
-					go o.Ask(ctx, &box.Ask{Upstream: "u1", Work: w}, func(r *box.Reply) error {
+					go o.Ask(ctx, &box.PlacementRequest{Upstream: "u1", Work: w}, func(r *box.Reply) error {
 						if r.Answer.Verdict == policy.VerdictStart {
 							started <- w.ID
 						}
--- a/internal/ownership/evacuation_test.go
+++ b/internal/ownership/evacuation_test.go
@@ -19,7 +19,7 @@
 
 // put has a view take in one change.
 func put(v *resource.View, revision int64, s resource.Source, k resource.Kind, name, spec string, deleted bool) {
-	v.Take(&resource.Batch{Revision: revision, Source: s, Changes: []resource.Change{{
+	v.Merge(&resource.Batch{Revision: revision, Source: s, Changes: []resource.Change{{
 		Deleted: deleted, Revision: revision, Resource: &resource.Resource{Kind: k, Metadata: resource.Metadata{Name: name}, Spec: json.RawMessage(spec)},
 	}}})
 }
@@ -43,7 +43,7 @@
 		ask := func(id string) chan *policy.Answer {
 			c := make(chan *policy.Answer, 4)
 			w := policy.Work{Arrived: time.Now(), Deadline: time.Now().Add(time.Minute), ID: id, MaxTokens: 100, Model: "m", Prompt: 3000}
-			go o.Ask(ctx, &box.Ask{Upstream: "u1", Work: w}, func(r *box.Reply) error {
+			go o.Ask(ctx, &box.PlacementRequest{Upstream: "u1", Work: w}, func(r *box.Reply) error {
 				c <- r.Answer
 				return nil
 			})
@@ -69,7 +69,7 @@
 		}
 		put(v, 3, resource.SourceEvacuations, resource.KindEvacuation, "e", `{"hall":"a"}`, true)
 		time.Sleep(time.Second)
-		o.Update(&box.Update{Upstream: "u1", Items: []box.Item{{Gone: true, ID: "first"}}})
+		o.Update(&box.ProgressReport{Upstream: "u1", Items: []box.GenerationProgress{{Released: true, ID: "first"}}})
 		if a := <-ask("back"); a.Verdict != policy.VerdictStart {
 			t.Errorf("after it is taken back: got %+v, want a place", fmt.Sprint(a))
 		}
@@ -94,7 +94,7 @@
 			w := policy.Work{Arrived: time.Now(), Deadline: time.Now().Add(time.Minute), ID: id, MaxTokens: 10, Model: "m", Prompt: 10}
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			o.Ask(ctx, &box.Ask{Upstream: "u1", Work: w}, func(r *box.Reply) error {
+			o.Ask(ctx, &box.PlacementRequest{Upstream: "u1", Work: w}, func(r *box.Reply) error {
 				a = *r.Answer
 				cancel()
 				return nil
--- a/internal/ownership/owned.go
+++ b/internal/ownership/owned.go
@@ -96,9 +96,9 @@
 // the lock is held.
 func (x *owned) see(u *resource.Upstream) {
 	if u != nil {
-		x.owner.Born, x.owner.Told = u.Spec.Born, u.Told
+		x.owner.Born, x.owner.Told = u.Spec.Born, u.ReportedLeaving
 	}
-	x.owner.Leaving = x.owner.Leaving || (u != nil && u.Leaves())
+	x.owner.Leaving = x.owner.Leaving || (u != nil && u.IsLeaving())
 	x.evacuate(u != nil && u.Evacuated())
 }
 
--- a/internal/ownership/owners.go
+++ b/internal/ownership/owners.go
@@ -109,7 +109,7 @@
 // Ask answers an ask, first at once and then, while it waits in the queue,
 // when its turn comes. It returns when the answer is final or ctx ends; work
 // whose caller has gone leaves the queue.
-func (o *Owners) Ask(ctx context.Context, a *box.Ask, answer func(*box.Reply) error) {
+func (o *Owners) Ask(ctx context.Context, a *box.PlacementRequest, answer func(*box.Reply) error) {
 	x := o.get(a.Upstream)
 	if x == nil {
 		_ = answer(&box.Reply{Answer: refusal(a, policy.ReasonNoUpstream), Revisions: o.view.Revisions()})
@@ -182,7 +182,7 @@
 
 // Update takes in how far generations are, and returns the load and the ids
 // that this owner does not know and wants to be told whole.
-func (o *Owners) Update(u *box.Update) *box.Reply {
+func (o *Owners) Update(u *box.ProgressReport) *box.Reply {
 	x := o.get(u.Upstream)
 	if x == nil {
 		return &box.Reply{Revisions: o.view.Revisions()}
@@ -194,7 +194,7 @@
 	for n := range u.Items {
 		i := &u.Items[n]
 		switch {
-		case i.Gone:
+		case i.Released:
 			x.owner.Finish(i.ID, i.Produced, i.Ended, now)
 		case i.Work != nil:
 			x.owner.Register(i.Work, i.Produced, now)
@@ -264,7 +264,7 @@
 	}
 	x.owner = policy.NewOwner(name, c, o.lengths, now, options...)
 	x.owner.Evacuated = u.Evacuated()
-	x.owner.Born, x.owner.Leaving, x.owner.Told = u.Spec.Born, u.Leaves(), u.Told
+	x.owner.Born, x.owner.Leaving, x.owner.Told = u.Spec.Born, u.IsLeaving(), u.ReportedLeaving
 	x.mine = o.Mine(u)
 	o.owners[name] = x
 	return x
@@ -272,7 +272,7 @@
 
 // hangUp takes work out of the queue whose caller has gone; c is nil where it does not
 // wait.
-func (o *Owners) hangUp(x *owned, a *box.Ask, c chan policy.Answer) {
+func (o *Owners) hangUp(x *owned, a *box.PlacementRequest, c chan policy.Answer) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	if c != nil && x.waiters[a.Work.ID] == c {
@@ -333,6 +333,6 @@
 }
 
 // refusal returns the refusal of an ask.
-func refusal(a *box.Ask, r policy.Reason) *policy.Answer {
+func refusal(a *box.PlacementRequest, r policy.Reason) *policy.Answer {
 	return &policy.Answer{ID: a.Work.ID, Reason: r, Verdict: policy.VerdictRefuse}
 }
--- a/internal/ownership/reports.go
+++ b/internal/ownership/reports.go
@@ -30,7 +30,7 @@
 		o.metrics.Add(metric.UpstreamReports, 1)
 		return
 	}
-	x.take(l, u.Leaves(), u.Told || tells)
+	x.take(l, u.IsLeaving(), u.ReportedLeaving || tells)
 }
 
 // reportEvery returns how often reports are read: more often while the platform's
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -47,11 +47,11 @@
 
 // list makes a list.
 func (c *candidates) list(k candidateKey, now time.Time) []policy.Candidate {
-	all := c.view.UpstreamsOf(k.model)
+	all := c.view.UpstreamsOfModel(k.model)
 	reachable := c.reachable()
 	l := make([]policy.Candidate, 0, len(all))
 	for _, u := range all {
-		if u.Takes(now) && reachable[u.Spec.Hall] {
+		if u.AcceptsWork(now) && reachable[u.Spec.Hall] {
 			l = append(l, candidateOf(u, k.hall))
 		}
 	}
--- a/internal/placement/candidates_test.go
+++ b/internal/placement/candidates_test.go
@@ -58,7 +58,7 @@
 	if got := names(c.of(w, time.Now())); !got["engine-3"] {
 		t.Errorf("its entry has just lapsed: got %v, want engine-3 among them", got)
 	}
-	if got := names(c.of(w, time.Now().Add(resource.LapsePeriod+time.Second))); got["engine-3"] {
+	if got := names(c.of(w, time.Now().Add(resource.LapseGracePeriod+time.Second))); got["engine-3"] {
 		t.Errorf("its entry has lapsed for long: got %v, want it not among them", got)
 	}
 	began := time.Now()
--- a/internal/placement/crowd_test.go
+++ b/internal/placement/crowd_test.go
@@ -102,7 +102,7 @@
 	}
 	c.placement = NewReserved(v, m, l, metric.NewSet(), seed)
 	c.placement.AskLocal = c.ask
-	c.placement.Call = func(ctx context.Context, _ string, a *box.Ask, answer func(*box.Reply) error) error {
+	c.placement.Call = func(ctx context.Context, _ string, a *box.PlacementRequest, answer func(*box.Reply) error) error {
 		c.ask(ctx, a, answer)
 		return ctx.Err()
 	}
@@ -110,7 +110,7 @@
 }
 
 // ask answers an ask as the owner of its engine.
-func (c *crowd) ask(ctx context.Context, a *box.Ask, answer func(*box.Reply) error) {
+func (c *crowd) ask(ctx context.Context, a *box.PlacementRequest, answer func(*box.Reply) error) {
 	time.Sleep(1500 * time.Microsecond)
 	e := c.engines[a.Upstream]
 	e.mutex.Lock()
--- a/internal/placement/naive.go
+++ b/internal/placement/naive.go
@@ -33,8 +33,8 @@
 func (p *Naive) Place(_ context.Context, w *policy.Work, avoid map[string]bool) (*Place, error) {
 	var c []policy.Candidate
 	now := time.Now()
-	for _, u := range p.view.UpstreamsOf(w.Model) {
-		if u.Takes(now) {
+	for _, u := range p.view.UpstreamsOfModel(w.Model) {
+		if u.AcceptsWork(now) {
 			c = append(c, policy.Candidate{Name: u.Name})
 		}
 	}
--- a/internal/placement/reserved.go
+++ b/internal/placement/reserved.go
@@ -22,9 +22,9 @@
 // safe for concurrent use.
 type Reserved struct {
 	// AskLocal answers an ask where this box is the owner; a seam.
-	AskLocal func(ctx context.Context, a *box.Ask, answer func(*box.Reply) error)
+	AskLocal func(ctx context.Context, a *box.PlacementRequest, answer func(*box.Reply) error)
 	// Call asks another box; a seam.
-	Call func(ctx context.Context, owner string, a *box.Ask, answer func(*box.Reply) error) error
+	Call func(ctx context.Context, owner string, a *box.PlacementRequest, answer func(*box.Reply) error) error
 
 	candidates *candidates
 	loadAge    *metrics.Histogram
@@ -115,7 +115,7 @@
 	began := time.Now()
 	replies := make(chan *box.Reply, 2)
 	failed := make(chan error, 1)
-	go func() { failed <- p.exchange(ctx, owner, &box.Ask{Upstream: u.Name, Work: *w}, replies) }()
+	go func() { failed <- p.exchange(ctx, owner, &box.PlacementRequest{Upstream: u.Name, Work: *w}, replies) }()
 	t := time.NewTicker(rerouteEvery)
 	defer t.Stop()
 	waited := time.NewTimer(wait)
@@ -169,7 +169,7 @@
 }
 
 // exchange makes one ask and passes its replies on until the last.
-func (p *Reserved) exchange(ctx context.Context, owner string, a *box.Ask, replies chan<- *box.Reply) error {
+func (p *Reserved) exchange(ctx context.Context, owner string, a *box.PlacementRequest, replies chan<- *box.Reply) error {
 	pass := func(r *box.Reply) error {
 		select {
 		case replies <- r:
@@ -231,8 +231,8 @@
 // left reports whether an upstream is left that runs w's model and takes new work.
 func (p *Reserved) left(w *policy.Work, skip map[string]bool) bool {
 	now := time.Now()
-	for _, u := range p.view.UpstreamsOf(w.Model) {
-		if u.Takes(now) && !skip[u.Name] {
+	for _, u := range p.view.UpstreamsOfModel(w.Model) {
+		if u.AcceptsWork(now) && !skip[u.Name] {
 			return true
 		}
 	}
@@ -241,7 +241,7 @@
 
 // noneReason returns why no upstream is left for w.
 func (p *Reserved) noneReason(w *policy.Work) policy.Reason {
-	for _, u := range p.view.UpstreamsOf(w.Model) {
+	for _, u := range p.view.UpstreamsOfModel(w.Model) {
 		if u.Evacuated() {
 			return policy.ReasonEvacuated
 		}
--- a/internal/placement/search.go
+++ b/internal/placement/search.go
@@ -99,7 +99,7 @@
 		return nil
 	}
 	home := cmp.Or(w.Hall, p.members.Self().Hall)
-	for _, u := range p.view.UpstreamsOf(w.Model) {
+	for _, u := range p.view.UpstreamsOfModel(w.Model) {
 		if u.Spec.Hall == home {
 			others[u.Name] = true
 		}
--- a/internal/placement/search_test.go
+++ b/internal/placement/search_test.go
@@ -27,7 +27,7 @@
 		defer mutex.Unlock()
 		return maps.Clone(counts)
 	}
-	answer := func(ctx context.Context, a *box.Ask, answer func(*box.Reply) error) {
+	answer := func(ctx context.Context, a *box.PlacementRequest, answer func(*box.Reply) error) {
 		h := v.Upstream(a.Upstream).Spec.Hall
 		mutex.Lock()
 		counts[h]++
@@ -40,7 +40,7 @@
 		<-ctx.Done()
 	}
 	p.AskLocal = answer
-	p.Call = func(ctx context.Context, _ string, a *box.Ask, f func(*box.Reply) error) error {
+	p.Call = func(ctx context.Context, _ string, a *box.PlacementRequest, f func(*box.Reply) error) error {
 		answer(ctx, a, f)
 		return ctx.Err()
 	}
@@ -73,7 +73,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := fullHalls("h0", "h1", "h2")
 		began := time.Now()
-		free := func(a *box.Ask, f func(*box.Reply) error) bool {
+		free := func(a *box.PlacementRequest, f func(*box.Reply) error) bool {
 			if time.Since(began) < 300*time.Millisecond {
 				return false
 			}
@@ -85,12 +85,12 @@
 			return true
 		}
 		local, call := p.AskLocal, p.Call
-		p.AskLocal = func(ctx context.Context, a *box.Ask, f func(*box.Reply) error) {
+		p.AskLocal = func(ctx context.Context, a *box.PlacementRequest, f func(*box.Reply) error) {
 			if !free(a, f) {
 				local(ctx, a, f)
 			}
 		}
-		p.Call = func(ctx context.Context, o string, a *box.Ask, f func(*box.Reply) error) error {
+		p.Call = func(ctx context.Context, o string, a *box.PlacementRequest, f func(*box.Reply) error) error {
 			if free(a, f) {
 				return nil
 			}
@@ -135,10 +135,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := fullHalls()
 		roomy := make(map[string]bool)
-		for i, u := range p.view.UpstreamsOf("m") {
+		for i, u := range p.view.UpstreamsOfModel("m") {
 			roomy[u.Name] = i%6 == 0
 		}
-		answer := func(_ context.Context, a *box.Ask, f func(*box.Reply) error) {
+		answer := func(_ context.Context, a *box.PlacementRequest, f func(*box.Reply) error) {
 			time.Sleep(3 * time.Millisecond)
 			v := &policy.Answer{ID: a.Work.ID, Reason: policy.ReasonDeadline, Verdict: policy.VerdictRefuse}
 			if roomy[a.Upstream] {
@@ -147,7 +147,7 @@
 			_ = f(&box.Reply{Answer: v})
 		}
 		p.AskLocal = answer
-		p.Call = func(ctx context.Context, _ string, a *box.Ask, f func(*box.Reply) error) error {
+		p.Call = func(ctx context.Context, _ string, a *box.PlacementRequest, f func(*box.Reply) error) error {
 			answer(ctx, a, f)
 			return nil
 		}
--- a/internal/placement/tracker.go
+++ b/internal/placement/tracker.go
@@ -14,10 +14,10 @@
 // safe for concurrent use.
 type Tracker struct {
 	// Send sends an update to the owner of its upstream; a seam.
-	Send func(ctx context.Context, u *box.Update) (*box.Reply, error)
+	Send func(ctx context.Context, u *box.ProgressReport) (*box.Reply, error)
 
-	fresh   map[*Running]bool     // have their first token since the last update
-	gone    map[string][]box.Item // by upstream: ended since the last update
+	fresh   map[*Running]bool                   // have their first token since the last update
+	gone    map[string][]box.GenerationProgress // by upstream: ended since the last update
 	learn   func(*policy.Load)
 	mutex   sync.Mutex // no other lock is taken under it
 	running map[string]*Running
@@ -41,7 +41,7 @@
 // NewTracker returns a tracker that hands the loads it is told to learn.
 func NewTracker(learn func(*policy.Load)) *Tracker {
 	return &Tracker{
-		fresh: make(map[*Running]bool), gone: make(map[string][]box.Item), learn: learn, running: make(map[string]*Running), wake: make(chan struct{}, 1),
+		fresh: make(map[*Running]bool), gone: make(map[string][]box.GenerationProgress), learn: learn, running: make(map[string]*Running), wake: make(chan struct{}, 1),
 	}
 }
 
@@ -66,7 +66,7 @@
 		return
 	}
 	delete(t.running, r.work.ID)
-	t.gone[r.upstream] = append(t.gone[r.upstream], box.Item{Ended: ended, Gone: true, ID: r.work.ID, Produced: int(r.Produced.Load())})
+	t.gone[r.upstream] = append(t.gone[r.upstream], box.GenerationProgress{Ended: ended, Released: true, ID: r.work.ID, Produced: int(r.Produced.Load())})
 	t.signal()
 }
 
@@ -81,7 +81,7 @@
 // ones regularly.
 func (t *Tracker) Run(ctx context.Context) {
 	var g sync.WaitGroup
-	updates := make(chan *box.Update)
+	updates := make(chan *box.ProgressReport)
 	for range updateWorkers {
 		g.Go(func() {
 			for u := range updates {
@@ -117,13 +117,13 @@
 }
 
 // collect returns the updates that are due, one an upstream.
-func (t *Tracker) collect(all bool) map[string]*box.Update {
+func (t *Tracker) collect(all bool) map[string]*box.ProgressReport {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	m := make(map[string]*box.Update)
-	at := func(n string) *box.Update {
+	m := make(map[string]*box.ProgressReport)
+	at := func(n string) *box.ProgressReport {
 		if m[n] == nil {
-			m[n] = &box.Update{Upstream: n}
+			m[n] = &box.ProgressReport{Upstream: n}
 		}
 		return m[n]
 	}
@@ -135,7 +135,7 @@
 		for r := range t.fresh {
 			if t.running[r.work.ID] == r {
 				u := at(r.upstream)
-				u.Items = append(u.Items, box.Item{ID: r.work.ID, Produced: int(r.Produced.Load())})
+				u.Items = append(u.Items, box.GenerationProgress{ID: r.work.ID, Produced: int(r.Produced.Load())})
 			}
 		}
 	}
@@ -145,13 +145,13 @@
 	}
 	for id, r := range t.running {
 		u := at(r.upstream)
-		u.Items = append(u.Items, box.Item{ID: id, Produced: int(r.Produced.Load())})
+		u.Items = append(u.Items, box.GenerationProgress{ID: id, Produced: int(r.Produced.Load())})
 	}
 	return m
 }
 
 // send sends an update, and again in full what the owner did not know of.
-func (t *Tracker) send(ctx context.Context, u *box.Update) {
+func (t *Tracker) send(ctx context.Context, u *box.ProgressReport) {
 	ctx, cancel := context.WithTimeout(ctx, sendPeriod)
 	defer cancel()
 	r, err := t.Send(ctx, u)
@@ -162,18 +162,18 @@
 		t.learn(r.Load)
 	}
 	if a := t.inFull(r.Unknown); len(a) > 0 {
-		_, _ = t.Send(ctx, &box.Update{Items: a, Upstream: u.Upstream})
+		_, _ = t.Send(ctx, &box.ProgressReport{Items: a, Upstream: u.Upstream})
 	}
 }
 
-func (t *Tracker) inFull(ids []string) []box.Item {
+func (t *Tracker) inFull(ids []string) []box.GenerationProgress {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	var l []box.Item
+	var l []box.GenerationProgress
 	for _, id := range ids {
 		if r := t.running[id]; r != nil {
 			w := r.work
-			l = append(l, box.Item{ID: id, Produced: int(r.Produced.Load()), Work: &w})
+			l = append(l, box.GenerationProgress{ID: id, Produced: int(r.Produced.Load()), Work: &w})
 		}
 	}
 	return l
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -53,7 +53,7 @@
 	place := fail.Place{Peer: "upstream " + t.upstream.Name, Step: stepCheck}
 	u := e.relay.view.Upstream(t.upstream.Name)
 	switch {
-	case u == nil || !u.Stays(now):
+	case u == nil || !u.KeepsWork(now):
 		e.avoid[t.upstream.Name] = true
 		return nil, fail.WithRetryAt(fail.New(fail.NotRun, place, string(policy.ReasonLeaving), "the upstream is leaving"), now)
 	case u.Evacuated():
--- a/internal/relay/away.go
+++ b/internal/relay/away.go
@@ -44,7 +44,7 @@
 	for _, s := range l {
 		u := s.at()
 		v := x.view.Upstream(u.Name)
-		if v != nil && v.Stays(now) {
+		if v != nil && v.KeepsWork(now) {
 			continue
 		}
 		if g := u.Engine(); g == nil || !g.Migrates {
@@ -57,7 +57,7 @@
 // takes reports whether an upstream may be given work, as far as is known now.
 func (x *Relay) takes(u *resource.Upstream) bool {
 	v, now := x.view.Upstream(u.Name), time.Now()
-	return v != nil && v.Takes(now) && x.rests.Until(u.Name, now).IsZero()
+	return v != nil && v.AcceptsWork(now) && x.rests.Until(u.Name, now).IsZero()
 }
 
 // arrive takes the turn at the engine to move to, or at another one where that is
--- a/internal/relay/crash.go
+++ b/internal/relay/crash.go
@@ -92,7 +92,7 @@
 	switch {
 	case v == nil || v.Spec.Born != u.Spec.Born:
 		return ignoredEntryChanged
-	case !v.Stays(now):
+	case !v.KeepsWork(now):
 		return ignoredLeaving
 	}
 	return ""
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -110,7 +110,7 @@
 
 // priority returns the request's priority: its workspace's goes before its route's.
 func (e *exchange) priority() int {
-	if e.workspace != nil && e.workspace.Ranked {
+	if e.workspace != nil && e.workspace.HasPriority {
 		return e.workspace.Priority
 	}
 	return e.route.Priority
@@ -175,7 +175,7 @@
 	if e.client.Err() != nil || e.tries >= triesMost || !time.Now().Before(e.deadline) || e.quarantined() != nil {
 		return false
 	}
-	if !errorx.IsOfType(err, fail.NotRun) && (!e.route.Spec.Repeat.Again() || e.ran >= e.route.Spec.Attempts) {
+	if !errorx.IsOfType(err, fail.NotRun) && (!e.route.Spec.Repeat.Repeatable() || e.ran >= e.route.Spec.Attempts) {
 		return false
 	}
 	if reached(err) && !x.budget.Take(e.service.Name, time.Now()) {
@@ -197,7 +197,7 @@
 // upstreams returns the upstreams that the request may go to by its service and model.
 func (e *exchange) upstreams() []*resource.Upstream {
 	if e.service.Spec.Engine != nil {
-		return e.relay.view.UpstreamsOf(e.model())
+		return e.relay.view.UpstreamsOfModel(e.model())
 	}
 	return e.relay.view.UpstreamsOfService(e.service.Name)
 }
@@ -209,10 +209,10 @@
 		Arrived: q.Arrived, Deadline: e.deadline, Hint: q.Hint, ID: q.ID, Kind: e.route.Name, MaxTokens: max(1, q.MaxTokens),
 		Model: e.model(), Prefix: q.Prefix, PrefixTokens: q.PrefixTokens, Priority: e.priority(), Prompt: q.Prompt, RoutePriority: e.route.Priority,
 	}
-	if p := e.route.Spec.Patience.Duration(); p > 0 && e.status == 0 {
+	if p := e.route.Spec.FirstEventTimeout.Duration(); p > 0 && e.status == 0 {
 		w.FirstBy = q.Arrived.Add(p)
 	}
-	if d := e.route.Spec.Target.Duration(); d > 0 && e.status == 0 {
+	if d := e.route.Spec.LatencyTarget.Duration(); d > 0 && e.status == 0 {
 		w.TargetAt = q.Arrived.Add(d)
 	}
 	if e.workspace != nil {
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -81,7 +81,7 @@
 	free := false
 	for _, u := range l {
 		switch {
-		case avoid[u.Name] || !u.Takes(now):
+		case avoid[u.Name] || !u.AcceptsWork(now):
 		case x.limiter.Limited(x.limitedUpstream(u, now), now):
 			all[u.Name] = true
 		default:
@@ -126,7 +126,7 @@
 // limitPatience returns until when the request may wait for a permit: half of what is left until its
 // answer would be late.
 func (e *exchange) limitPatience(now time.Time) time.Time {
-	d := e.route.Spec.Target.Duration()
+	d := e.route.Spec.LatencyTarget.Duration()
 	if d <= 0 || e.status != 0 {
 		return now
 	}
@@ -187,7 +187,7 @@
 // is no permit, with when to ask again, and reports whether there are others.
 func (x *Relay) refusedPermits(l []*resource.Upstream, avoid map[string]bool, now time.Time) (refused map[string]time.Time, free bool) {
 	for _, u := range l {
-		if avoid[u.Name] || !u.Takes(now) {
+		if avoid[u.Name] || !u.AcceptsWork(now) {
 			continue
 		}
 		at := x.limiter.RefusedUntil(x.limitedUpstream(u, now), now)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -328,7 +328,7 @@
 		for _, x := range []struct {
 			after time.Duration
 			want  int
-		}{{0, http.StatusOK}, {resource.LapsePeriod, http.StatusServiceUnavailable}} {
+		}{{0, http.StatusOK}, {resource.LapseGracePeriod, http.StatusServiceUnavailable}} {
 			time.Sleep(x.after)
 			if w, _, err := r.do(request(t.Context(), http.MethodPost, "/once/x", "id", "")); err != nil || w.StatusCode != x.want {
 				t.Errorf("after %s: got %v %v, want %d", x.after, w, err, x.want)
@@ -375,7 +375,7 @@
 	var b bytes.Buffer
 	v := resource.NewView()
 	c := resource.Change{Revision: 7, Resource: &resource.Resource{Kind: resource.KindPriority, Metadata: resource.Metadata{Name: "first"}, Spec: []byte(`{"value":9}`)}}
-	v.Take(&resource.Batch{Changes: []resource.Change{c}, Revision: 7, Source: resource.SourceConfiguration})
+	v.Merge(&resource.Batch{Changes: []resource.Change{c}, Revision: 7, Source: resource.SourceConfiguration})
 	x := relay.New(v, placement.NewTracker(func(*policy.Load) {}), policy.NewLengths(), "a", metric.NewSet(), slog.New(slog.NewTextHandler(&b, nil)))
 	defer func() { _ = x.Close() }()
 	x.ViewAge = func() time.Duration { return 1500 * time.Millisecond }
--- a/internal/relay/rig_test.go
+++ b/internal/relay/rig_test.go
@@ -60,7 +60,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := &rig{engines: make(map[string]*routed.Engine), fresh: func() {}, lines: newLineCounter(), link: link.New(), metrics: metric.NewSet(), t: t, view: resource.NewView()}
 		tracker := placement.NewTracker(func(*policy.Load) {})
-		tracker.Send = func(context.Context, *box.Update) (*box.Reply, error) { return &box.Reply{}, nil }
+		tracker.Send = func(context.Context, *box.ProgressReport) (*box.Reply, error) { return &box.Reply{}, nil }
 		options = append([]relay.Option{relay.WithBudget(0.2, 50, 10*time.Second, func() int { return 1 })}, options...)
 		r.relay = relay.New(r.view, tracker, policy.NewLengths(), "a", r.metrics, slog.New(r.lines), options...)
 		calls := platform.NewEngines(platform.WithEnginesTransport(r.link))
@@ -109,7 +109,7 @@
 	defer r.mutex.Unlock()
 	r.revision++
 	c := resource.Change{Deleted: deleted, Revision: r.revision, Resource: &resource.Resource{Kind: k, Metadata: resource.Metadata{Name: name}, Spec: json.RawMessage(spec)}}
-	r.view.Take(&resource.Batch{Changes: []resource.Change{c}, Revision: r.revision, Source: s})
+	r.view.Merge(&resource.Batch{Changes: []resource.Change{c}, Revision: r.revision, Source: s})
 }
 
 // start starts an upstream of a service and lists it.
@@ -151,8 +151,8 @@
 }
 
 func (r *rig) guess(w *policy.Work, avoid map[string]bool) *resource.Upstream {
-	for _, u := range r.view.UpstreamsOf(w.Model) {
-		if u.Takes(time.Now()) && !avoid[u.Name] {
+	for _, u := range r.view.UpstreamsOfModel(w.Model) {
+		if u.AcceptsWork(time.Now()) && !avoid[u.Name] {
 			return u
 		}
 	}
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -98,7 +98,7 @@
 	x := e.relay
 	x.metrics.Count(metric.UpstreamWords, "word", wordLeaving)
 	v := x.view.Upstream(u.Name)
-	event.LeavingAnswered.Log(x.log, "request", e.request.ID, "upstream", u.Name, "known", v == nil || v.Leaves())
+	event.LeavingAnswered.Log(x.log, "request", e.request.ID, "upstream", u.Name, "known", v == nil || v.IsLeaving())
 	x.Leaving(u)
 }
 
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -263,8 +263,8 @@
 
 // tokensAnEvent returns how many tokens an event holds; the lock is held.
 func (s *stream) tokensAnEvent() int {
-	if g := s.seat.upstream.Engine(); g != nil && g.TokensAnEvent > 0 {
-		return g.TokensAnEvent
+	if g := s.seat.upstream.Engine(); g != nil && g.TokensPerEvent > 0 {
+		return g.TokensPerEvent
 	}
 	return 1
 }
--- a/internal/resource/check.go
+++ b/internal/resource/check.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	keyHashBytes  = 32
-	maxAttempts   = 16
-	maxLimitBytes = 1 << 30
-	maxNameBytes  = 63
-	maxSpecBytes  = 64 << 10
-	maxTimeout    = 24 * 60 * 60 * 1000 // milliseconds
-	maxTokensTop  = 1 << 20
-	maxWeight     = 1000
-	maxWorkspaceQ = 1 << 20
+	keyHashBytes      = 32
+	maxAttempts       = 16
+	maxLimitBytes     = 1 << 30
+	maxNameBytes      = 63
+	maxSpecBytes      = 64 << 10
+	maxTimeoutMS      = 24 * 60 * 60 * 1000 // milliseconds
+	maxOutputTokens   = 1 << 20
+	maxWeight         = 1000
+	maxQueuedRequests = 1 << 20
 )
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]*[a-z0-9])?$`)
@@ -99,13 +99,13 @@
 	var f Faults
 	f.addRange("spec.bodyBytes", int(s.BodyBytes), 0, maxLimitBytes)
 	f.addRange("spec.headerBytes", s.HeaderBytes, 0, maxLimitBytes)
-	f.addRange("spec.idleTimeoutMilliseconds", int(s.IdleTimeout), 0, maxTimeout)
+	f.addRange("spec.idleTimeoutMilliseconds", int(s.IdleTimeout), 0, maxTimeoutMS)
 	return f
 }
 
 func checkModel(s *ModelSpec) Faults {
 	var f Faults
-	f.addRange("spec.maxTokens", s.MaxTokens, 1, maxTokensTop)
+	f.addRange("spec.maxTokens", s.MaxTokens, 1, maxOutputTokens)
 	return f
 }
 
@@ -162,8 +162,8 @@
 	for i, x := range s.Services {
 		f.addRange(fmt.Sprintf("spec.services[%d].weight", i), x.Weight, 0, maxWeight)
 	}
-	f.addRange("spec.patienceMilliseconds", int(s.Patience), 0, maxTimeout)
-	f.addRange("spec.timeoutMilliseconds", int(s.Timeout), 1, maxTimeout)
+	f.addRange("spec.patienceMilliseconds", int(s.FirstEventTimeout), 0, maxTimeoutMS)
+	f.addRange("spec.timeoutMilliseconds", int(s.Timeout), 1, maxTimeoutMS)
 	return f
 }
 
@@ -239,7 +239,7 @@
 	if len(s.KeyHashes) == 0 {
 		f.add("spec.keyHashes", "must hold at least one hash")
 	}
-	f.addRange("spec.maxQueued", s.MaxQueued, 0, maxWorkspaceQ)
+	f.addRange("spec.maxQueued", s.MaxQueued, 0, maxQueuedRequests)
 	if s.Weight < 0 || s.Weight > maxWeight {
 		f.add("spec.weight", "must be between 0 and %d", maxWeight)
 	}
--- a/internal/resource/evacuation.go
+++ b/internal/resource/evacuation.go
@@ -10,27 +10,27 @@
 
 // evacuations are the evacuations in force, and the halls that they name.
 type evacuations struct {
-	halls   map[string]time.Time // when this box learned that a hall is evacuated
-	names   map[string]string    // by resource: its hall; two may name one hall
-	pending map[string]time.Time // by resource: when this box learned of one that is new
+	halls     map[string]time.Time // when this box learned that a hall is evacuated
+	hallOf    map[string]string    // by resource: its hall; two may name one hall
+	learnedAt map[string]time.Time // by resource: when this box learned of one that is new
 }
 
 func newEvacuations() evacuations {
-	return evacuations{halls: make(map[string]time.Time), names: make(map[string]string), pending: make(map[string]time.Time)}
+	return evacuations{halls: make(map[string]time.Time), hallOf: make(map[string]string), learnedAt: make(map[string]time.Time)}
 }
 
 // rebuild makes the halls anew, and reports whether any has come or gone. A hall that
 // stays evacuated keeps the moment at which this box learned of it.
 func (e *evacuations) rebuild() (changed bool) {
 	old := e.halls
-	e.halls = make(map[string]time.Time, len(e.names))
-	for n, h := range e.names {
+	e.halls = make(map[string]time.Time, len(e.hallOf))
+	for n, h := range e.hallOf {
 		at, stays := old[h]
 		if !stays {
-			at, changed = e.pending[n], true
+			at, changed = e.learnedAt[n], true
 		}
 		e.halls[h] = at
 	}
-	clear(e.pending)
+	clear(e.learnedAt)
 	return changed || len(e.halls) != len(old)
 }
--- a/internal/resource/evacuation_test.go
+++ b/internal/resource/evacuation_test.go
@@ -10,7 +10,7 @@
 // evacuate sets or withdraws an evacuation under a name.
 func evacuate(v *View, revision int64, name, hall string, withdrawn bool) {
 	s := json.RawMessage(fmt.Sprintf(`{"hall":%q}`, hall))
-	v.Take(&Batch{Revision: revision, Source: SourceEvacuations, Changes: []Change{{
+	v.Merge(&Batch{Revision: revision, Source: SourceEvacuations, Changes: []Change{{
 		Deleted: withdrawn, Revision: revision, Resource: &Resource{Kind: KindEvacuation, Metadata: Metadata{Name: name}, Spec: s},
 	}}})
 }
@@ -20,45 +20,45 @@
 // with the second withdrawal. Upstreams that join an evacuated hall take nothing either.
 func TestEvacuationCoversItsHall(t *testing.T) {
 	v, now := NewView(), time.Now()
-	list := func(revision int64, name, hall string) {
+	addUpstream := func(revision int64, name, hall string) {
 		s := json.RawMessage(fmt.Sprintf(`{"address":"http://127.0.0.1:1","hall":%q,"models":["m"],"service":"desk"}`, hall))
-		v.Take(&Batch{Revision: revision, Source: SourceUpstreams, Changes: []Change{{
+		v.Merge(&Batch{Revision: revision, Source: SourceUpstreams, Changes: []Change{{
 			Revision: revision, Resource: &Resource{Kind: KindUpstream, Metadata: Metadata{Name: name}, Spec: s},
 		}}})
 	}
-	list(1, "a1", "a")
-	list(2, "b1", "b")
-	takes := func(step string, want map[string]bool) {
+	addUpstream(1, "a1", "a")
+	addUpstream(2, "b1", "b")
+	checkAccepts := func(step string, want map[string]bool) {
 		t.Helper()
 		for n, w := range want {
 			u := v.Upstream(n)
-			if got := u.Takes(now); got != w || !u.Stays(now) {
-				t.Errorf("%s: %s: got takes %v, stays %v; want %v, true", step, n, got, u.Stays(now), w)
+			if got := u.AcceptsWork(now); got != w || !u.KeepsWork(now) {
+				t.Errorf("%s: %s: got takes %v, stays %v; want %v, true", step, n, got, u.KeepsWork(now), w)
 			}
 		}
 		for _, u := range v.UpstreamsOfService("desk") {
-			if u.Takes(now) != want[u.Name] {
-				t.Errorf("%s: %s in its service's list: got takes %v, want %v", step, u.Name, u.Takes(now), want[u.Name])
+			if u.AcceptsWork(now) != want[u.Name] {
+				t.Errorf("%s: %s in its service's list: got takes %v, want %v", step, u.Name, u.AcceptsWork(now), want[u.Name])
 			}
 		}
 	}
-	takes("none", map[string]bool{"a1": true, "b1": true})
+	checkAccepts("none", map[string]bool{"a1": true, "b1": true})
 	evacuate(v, 3, "one", "a", false)
-	takes("a", map[string]bool{"a1": false, "b1": true})
-	list(4, "a2", "a")
-	takes("an upstream joins", map[string]bool{"a1": false, "a2": false, "b1": true})
+	checkAccepts("a", map[string]bool{"a1": false, "b1": true})
+	addUpstream(4, "a2", "a")
+	checkAccepts("an upstream joins", map[string]bool{"a1": false, "a2": false, "b1": true})
 	since := v.Upstream("a1").EvacuatedAt
 	evacuate(v, 5, "two", "a", false)
 	evacuate(v, 6, "three", "b", false)
-	takes("a twice, b", map[string]bool{"a1": false, "a2": false, "b1": false})
+	checkAccepts("a twice, b", map[string]bool{"a1": false, "a2": false, "b1": false})
 	evacuate(v, 7, "one", "a", true)
 	evacuate(v, 8, "three", "b", true)
-	takes("a once", map[string]bool{"a1": false, "a2": false, "b1": true})
+	checkAccepts("a once", map[string]bool{"a1": false, "a2": false, "b1": true})
 	if got := v.Upstream("a1").EvacuatedAt; got != since {
 		t.Errorf("evacuated since: got %v, want %v", got, since)
 	}
 	evacuate(v, 9, "two", "a", true)
-	takes("taken back", map[string]bool{"a1": true, "a2": true, "b1": true})
+	checkAccepts("taken back", map[string]bool{"a1": true, "a2": true, "b1": true})
 	evacuate(v, 10, "two", "a", false)
-	takes("again", map[string]bool{"a1": false, "a2": false, "b1": true})
+	checkAccepts("again", map[string]bool{"a1": false, "a2": false, "b1": true})
 }
--- a/internal/resource/file.go
+++ b/internal/resource/file.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// In returns the faults as an error that names the file.
-func (f FileFaults) In(path string) error {
+// ErrorIn returns the faults as an error that names the file.
+func (f FileFaults) ErrorIn(path string) error {
 	var l []string
 	for _, x := range f {
 		s := fmt.Sprintf("%s:%d: %s", path, x.Line, x.Resource)
--- a/internal/resource/index.go
+++ b/internal/resource/index.go
@@ -11,15 +11,15 @@
 // index holds decoded copies of resources, so that a request decodes nothing.
 // View's lock guards it.
 type index struct {
-	boxes      map[string]*Box
-	evacuated  evacuations
-	leaving    leavingWords
-	limits     map[string]LimitsSpec
-	priorities map[string]int
-	routeSpecs map[string]RouteSpec
-	services   map[string]*Service
-	upstreams  map[string]*Upstream
-	workspaces map[string]*Workspace
+	boxes       map[string]*Box
+	evacuations evacuations
+	leaving     leavingNotices
+	limits      map[string]LimitsSpec
+	priorities  map[string]int
+	routeSpecs  map[string]RouteSpec
+	services    map[string]*Service
+	upstreams   map[string]*Upstream
+	workspaces  map[string]*Workspace
 
 	// Made by rebuild from the above.
 	byKey     map[string]*Workspace  // by key hash
@@ -39,7 +39,7 @@
 // newIndex returns an empty index.
 func newIndex() index {
 	return index{
-		boxes: make(map[string]*Box), evacuated: newEvacuations(), leaving: newLeavingWords(), limits: make(map[string]LimitsSpec), priorities: make(map[string]int), routeSpecs: make(map[string]RouteSpec),
+		boxes: make(map[string]*Box), evacuations: newEvacuations(), leaving: newLeavingNotices(), limits: make(map[string]LimitsSpec), priorities: make(map[string]int), routeSpecs: make(map[string]RouteSpec),
 		services: make(map[string]*Service), upstreams: make(map[string]*Upstream), workspaces: make(map[string]*Workspace),
 		byModel: make(map[string][]*Upstream), byService: make(map[string][]*Upstream), joined: make(map[string]*Upstream),
 	}
@@ -48,7 +48,7 @@
 // join completes an upstream from its service, where that is declared, and tells whether
 // its hall is evacuated.
 func (x *index) join(u *Upstream) *Upstream {
-	s, evacuatedAt := x.services[u.Spec.Service], x.evacuated.halls[u.Spec.Hall]
+	s, evacuatedAt := x.services[u.Spec.Service], x.evacuations.halls[u.Spec.Hall]
 	if s == nil && evacuatedAt.IsZero() {
 		return u
 	}
@@ -91,8 +91,8 @@
 		putSpec(x.boxes, c, func(s *BoxSpec) *Box { return &Box{Name: n, Spec: *s} })
 	case KindEvacuation:
 		x.hallsOutdated = true
-		x.evacuated.pending[n] = now
-		putSpec(x.evacuated.names, c, func(s *EvacuationSpec) string { return s.Hall })
+		x.evacuations.learnedAt[n] = now
+		putSpec(x.evacuations.hallOf, c, func(s *EvacuationSpec) string { return s.Hall })
 	case KindLimits:
 		putSpec(x.limits, c, func(s *LimitsSpec) LimitsSpec { return *s })
 	case KindPriority:
@@ -108,7 +108,7 @@
 		x.changedUpstreams = append(x.changedUpstreams, n)
 		before := x.upstreams[n]
 		putSpec(x.upstreams, c, func(s *UpstreamSpec) *Upstream {
-			u := &Upstream{Name: n, Spec: *s, Told: x.leaving.holds(n, before, s, source)}
+			u := &Upstream{Name: n, Spec: *s, ReportedLeaving: x.leaving.stillLeaving(n, before, s, source)}
 			if s.Cold > 0 {
 				u.ColdUntil = now.Add(s.Cold.Duration())
 			}
@@ -118,7 +118,7 @@
 			return u
 		})
 		if x.upstreams[n] == nil {
-			x.leaving.unlist(n, x.upstreams)
+			x.leaving.markUnlisted(n, x.upstreams)
 		}
 	case KindWorkspace:
 		x.keysOutdated = true
@@ -147,7 +147,7 @@
 	x.byKey = make(map[string]*Workspace)
 	for _, n := range slices.Sorted(maps.Keys(x.workspaces)) {
 		v := *x.workspaces[n]
-		v.Priority, v.Ranked = x.priorities[v.Spec.Priority]
+		v.Priority, v.HasPriority = x.priorities[v.Spec.Priority]
 		for _, h := range v.Spec.KeyHashes {
 			if x.byKey[h] == nil {
 				x.byKey[h] = &v
@@ -175,7 +175,7 @@
 func (x *index) rebuildUpstreams() {
 	if x.hallsOutdated {
 		x.hallsOutdated = false
-		x.servicesChanged = x.evacuated.rebuild() || x.servicesChanged
+		x.servicesChanged = x.evacuations.rebuild() || x.servicesChanged
 	}
 	if !x.servicesChanged && len(x.changedUpstreams) == 0 {
 		return
--- a/internal/resource/index_test.go
+++ b/internal/resource/index_test.go
@@ -37,11 +37,11 @@
 	}
 }
 
-// answers returns what a view answers to every question about the resources drawn.
-func answers(v *View) []any {
+// lookups returns what a view answers to every question about the resources drawn.
+func lookups(v *View) []any {
 	var l []any
 	for i := range 3 {
-		l = append(l, v.UpstreamsOf(fmt.Sprint("m-", i)), v.UpstreamsOfService(fmt.Sprint(KindService, "-", i)),
+		l = append(l, v.UpstreamsOfModel(fmt.Sprint("m-", i)), v.UpstreamsOfService(fmt.Sprint(KindService, "-", i)),
 			v.Upstream(fmt.Sprint(KindUpstream, "-", i)), v.Service(fmt.Sprint(KindService, "-", i)), v.WorkspaceByKey(fmt.Sprint("key-", i)))
 		if r := v.Route("h", fmt.Sprintf("/%d/x", i)); r != nil {
 			l = append(l, r.Spec, r.Priority)
@@ -93,19 +93,19 @@
 		v := NewView()
 		for r := range int64(rapid.IntRange(1, 30).Draw(t, "changes")) {
 			v.Apply([]Change{drawChange(t, r+1)}, r+1)
-			answers(v)
+			lookups(v)
 		}
-		anew := NewView()
+		rebuilt := NewView()
 		changes, revision := v.Since(0)
-		anew.Apply(changes, revision)
-		if got, want := answers(v), answers(anew); !reflect.DeepEqual(got, want) {
+		rebuilt.Apply(changes, revision)
+		if got, want := lookups(v), lookups(rebuilt); !reflect.DeepEqual(got, want) {
 			t.Fatalf("got %+v, want %+v", got, want)
 		}
 		for i := range 3 {
 			if got, want := routeName(v, i), naiveRoute(t, v, i); got != want {
 				t.Fatalf("route of /%d/: got %q, want %q", i, got, want)
 			}
-			if got, want := len(v.UpstreamsOf(fmt.Sprint("m-", i))), naiveCount(t, v, i); got != want {
+			if got, want := len(v.UpstreamsOfModel(fmt.Sprint("m-", i))), naiveCount(t, v, i); got != want {
 				t.Fatalf("upstreams of m-%d: got %d, want %d", i, got, want)
 			}
 		}
--- a/internal/resource/lookup.go
+++ b/internal/resource/lookup.go
@@ -69,9 +69,9 @@
 	return v.index.list(keep)
 }
 
-// UpstreamsOf returns the engines that run a model, by name. Callers must not
+// UpstreamsOfModel returns the engines that run a model, by name. Callers must not
 // change the list.
-func (v *View) UpstreamsOf(model string) []*Upstream {
+func (v *View) UpstreamsOfModel(model string) []*Upstream {
 	return v.cached(model, func(x *index) map[string][]*Upstream { return x.byModel }, func(u *Upstream) bool { return slices.Contains(u.Spec.Models, model) })
 }
 
--- a/internal/resource/resource_test.go
+++ b/internal/resource/resource_test.go
@@ -131,7 +131,7 @@
 	f.Add([]byte(`[[[1,null,"x"]]]`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		l, faults := Read(b)
-		if len(faults) > 0 && faults.In("f").Error() == "" {
+		if len(faults) > 0 && faults.ErrorIn("f").Error() == "" {
 			t.Error("faults without a message")
 		}
 		for _, r := range l {
@@ -146,8 +146,8 @@
 // with a route, another one only the next configuration, without it: what the second
 // tells the first must remove the route.
 func TestRemovalsReachBoxesThroughThoseThatNeverSawThem(t *testing.T) {
-	whole := func(s Source, revision int64, names ...string) *Batch {
-		b := &Batch{Revision: revision, Source: s, Whole: true}
+	snapshot := func(s Source, revision int64, names ...string) *Batch {
+		b := &Batch{Revision: revision, Source: s, Snapshot: true}
 		for _, n := range names {
 			b.Changes = append(b.Changes, Change{Revision: revision, Resource: &Resource{Kind: KindPriority, Metadata: Metadata{Name: n}, Spec: json.RawMessage(`{"value":1}`)}})
 		}
@@ -155,13 +155,13 @@
 	}
 	for _, s := range []Source{SourceConfiguration, SourceUpstreams} {
 		behind, ahead := NewView(), NewView()
-		behind.Take(whole(s, 5, "stays", "goes"))
-		ahead.Take(whole(s, 3, "stays")) // before there was the one that goes
-		ahead.Take(whole(s, 9, "stays"))
-		ahead.Take(&Batch{Revision: 12, Source: s, Changes: []Change{{Revision: 12, Resource: &Resource{Kind: KindPriority, Metadata: Metadata{Name: "comes"}, Spec: json.RawMessage(`{"value":1}`)}}}})
+		behind.Merge(snapshot(s, 5, "stays", "goes"))
+		ahead.Merge(snapshot(s, 3, "stays")) // before there was the one that goes
+		ahead.Merge(snapshot(s, 9, "stays"))
+		ahead.Merge(&Batch{Revision: 12, Source: s, Changes: []Change{{Revision: 12, Resource: &Resource{Kind: KindPriority, Metadata: Metadata{Name: "comes"}, Spec: json.RawMessage(`{"value":1}`)}}}})
 		l := ahead.Missing(behind.Revisions())
 		for i := range l {
-			behind.Take(&l[i])
+			behind.Merge(&l[i])
 		}
 		for n, want := range map[string]bool{"stays": true, "goes": false, "comes": true} {
 			if got := behind.Get(KindPriority, n) != nil; got != want {
@@ -178,20 +178,20 @@
 // in what another one told, also where a removal that it never saw came last.
 func TestCatchingUpEnds(t *testing.T) {
 	ahead, behind := NewView(), NewView()
-	put := func(names ...string) *Batch {
-		b := &Batch{Source: SourceUpstreams, Whole: true}
+	snapshot := func(names ...string) *Batch {
+		b := &Batch{Source: SourceUpstreams, Snapshot: true}
 		for i, n := range names {
 			b.Changes = append(b.Changes, Change{Revision: int64(i + 1), Resource: &Resource{Kind: KindPriority, Metadata: Metadata{Name: n}, Spec: json.RawMessage(`{"value":1}`)}})
 		}
 		return b
 	}
-	first, second := put("a", "b"), put("a")
+	first, second := snapshot("a", "b"), snapshot("a")
 	first.Revision, second.Revision = 20, 30
-	ahead.Take(first)
-	ahead.Take(second)
+	ahead.Merge(first)
+	ahead.Merge(second)
 	l := ahead.Missing(behind.Revisions())
 	for i := range l {
-		behind.Take(&l[i])
+		behind.Merge(&l[i])
 	}
 	if behind.Revisions().Behind(ahead.Revisions()) {
 		t.Errorf("got revisions %v, want %v", behind.Revisions(), ahead.Revisions())
@@ -213,13 +213,13 @@
 		for range rapid.IntRange(1, 12).Draw(t, "versions") {
 			revision += int64(rapid.IntRange(1, 5).Draw(t, "step"))
 			newest = rapid.MapOfN(rapid.SampledFrom([]string{"a", "b", "c", "d"}), rapid.IntRange(0, 1), 1, 4).Draw(t, "configuration")
-			b := &Batch{Revision: revision, Source: SourceConfiguration, Whole: true}
+			b := &Batch{Revision: revision, Source: SourceConfiguration, Snapshot: true}
 			for n, value := range newest {
 				b.Changes = append(b.Changes, Change{Revision: revision, Resource: &Resource{
 					Kind: KindPriority, Metadata: Metadata{Name: n}, Spec: json.RawMessage(fmt.Sprintf(`{"value":%d}`, value)),
 				}})
 			}
-			views[rapid.IntRange(0, boxes-1).Draw(t, "reader")].Take(b)
+			views[rapid.IntRange(0, boxes-1).Draw(t, "reader")].Merge(b)
 			for range rapid.IntRange(0, 3).Draw(t, "catch-ups") {
 				catchUp(views[rapid.IntRange(0, boxes-1).Draw(t, "from")], views[rapid.IntRange(0, boxes-1).Draw(t, "to")])
 			}
@@ -251,6 +251,6 @@
 	}
 	l := from.Missing(to.Revisions())
 	for i := range l {
-		to.Take(&l[i])
+		to.Merge(&l[i])
 	}
 }
--- a/internal/resource/route.go
+++ b/internal/resource/route.go
@@ -16,12 +16,12 @@
 	Attempts int `json:"attempts"`
 	// Host is the request's host, without a port.
 	Host string `json:"host"`
-	// Pause is the longest time between two events of a stream that keeps the
+	// MaxEventGap is the longest time between two events of a stream that keeps the
 	// answer in time; 0 where the answer is no stream.
-	Pause Milliseconds `json:"pauseMilliseconds,omitempty"`
-	// Patience is how long a caller waits for the first event of a stream before it goes;
+	MaxEventGap Milliseconds `json:"pauseMilliseconds,omitempty"`
+	// FirstEventTimeout is how long a caller waits for the first event of a stream before it goes;
 	// 0 where it waits as long as for the whole.
-	Patience Milliseconds `json:"patienceMilliseconds,omitempty"`
+	FirstEventTimeout Milliseconds `json:"patienceMilliseconds,omitempty"`
 	// PathPrefix begins the path; of several that do, the longest one counts.
 	PathPrefix string `json:"pathPrefix"`
 	// Priority names the Priority of its requests, unless their workspace has one.
@@ -34,8 +34,8 @@
 	Services []ServiceShare `json:"services"`
 	// Stream is set where the answer is a stream of events.
 	Stream bool `json:"stream,omitempty"`
-	// Target is the time within which an answer, or its first event, is wanted.
-	Target Milliseconds `json:"targetMilliseconds,omitempty"`
+	// LatencyTarget is the time within which an answer, or its first event, is wanted.
+	LatencyTarget Milliseconds `json:"targetMilliseconds,omitempty"`
 	// Timeout is how long a request may be held.
 	Timeout Milliseconds `json:"timeoutMilliseconds"`
 }
@@ -53,7 +53,7 @@
 	Spec     RouteSpec
 }
 
-// Again reports whether a request may run more than once.
-func (r Repeat) Again() bool {
+// Repeatable reports whether a request may run more than once.
+func (r Repeat) Repeatable() bool {
 	return r == RepeatResume || r == RepeatSafely
 }
--- a/internal/resource/source.go
+++ b/internal/resource/source.go
@@ -22,18 +22,18 @@
 	// Revision is that of the newest change; of a whole batch it is what removals
 	// that the batch implies are dated by.
 	Revision int64 `json:"revision"`
-	// Settled is set where Revision is that of a box's view, and not only the
+	// FromView is set where Revision is that of a box's view, and not only the
 	// moment at which the store was read.
-	Settled bool   `json:"settled,omitempty"`
-	Source  Source `json:"source"`
+	FromView bool   `json:"settled,omitempty"`
+	Source   Source `json:"source"`
 	// Tentative is set where what a whole batch does not name may be lacking only in the copy
 	// from which the store came back; see Change.
 	Tentative bool `json:"tentative,omitempty"`
-	Whole     bool `json:"whole,omitempty"` // Changes is all of the source; what it does not name is gone
+	Snapshot  bool `json:"whole,omitempty"` // Changes is all of the source; what it does not name is gone
 }
 
-// Newest returns the highest revision of the changes.
-func (b *Batch) Newest() int64 {
+// NewestRevision returns the highest revision of the changes.
+func (b *Batch) NewestRevision() int64 {
 	r := int64(0)
 	for i := range b.Changes {
 		r = max(r, b.Changes[i].Revision)
@@ -41,9 +41,9 @@
 	return r
 }
 
-// ByStore reports whether the revisions of a source are those of the store, so that what has
+// UsesStoreRevisions reports whether the revisions of a source are those of the store, so that what has
 // changed since one of them can be read there.
-func (s Source) ByStore() bool {
+func (s Source) UsesStoreRevisions() bool {
 	return s != SourceConfiguration
 }
 
--- a/internal/resource/tentative.go
+++ b/internal/resource/tentative.go
@@ -13,17 +13,17 @@
 // which it is written again.
 
 const (
-	// heldDeclared is how long what operators declared waits: boxes write it again themselves,
+	// declaredHoldPeriod is how long what operators declared waits: boxes write it again themselves,
 	// and need no longer than the store takes to take writes.
-	heldDeclared = 10 * time.Minute
-	// heldReturn is how long the return of an upstream waits that had gone: the entry of one
+	declaredHoldPeriod = 10 * time.Minute
+	// returnHoldPeriod is how long the return of an upstream waits that had gone: the entry of one
 	// which does not live lapses after three heartbeats, 3.6 s.
-	heldReturn = 6 * time.Second
-	// heldRest is how long all else waits, but for upstreams that are gone; see LapsePeriod.
-	heldRest = 3 * time.Second
+	returnHoldPeriod = 6 * time.Second
+	// defaultHoldPeriod is how long all else waits, but for upstreams that are gone; see LapseGracePeriod.
+	defaultHoldPeriod = 3 * time.Second
 	// tentativePeriod is how long what was tentative as it came is passed on so: as long as
 	// anything waits that others may know better.
-	tentativePeriod = heldReturn
+	tentativePeriod = returnHoldPeriod
 )
 
 // heldChange is a change that waits.
@@ -32,9 +32,9 @@
 	due time.Time // when it is taken in, unless something newer has come
 }
 
-// Held returns how many changes of a source wait, since the store may have told them from a
+// CountHeld returns how many changes of a source wait, since the store may have told them from a
 // copy.
-func (v *View) Held(s Source) int {
+func (v *View) CountHeld(s Source) int {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
 	n := 0
@@ -46,17 +46,17 @@
 	return n
 }
 
-// Holds reports whether a change of a resource waits.
-func (v *View) Holds(k Kind, name string) bool {
+// IsHeld reports whether a change of a resource waits.
+func (v *View) IsHeld(k Kind, name string) bool {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
 	_, ok := v.held[key(k, name)]
 	return ok
 }
 
-// Lost returns the resources of a source that the store may have lost since it came back from
+// PossiblyLost returns the resources of a source that the store may have lost since it came back from
 // a copy, as they are in force.
-func (v *View) Lost(s Source) []Change {
+func (v *View) PossiblyLost(s Source) []Change {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
 	var l []Change
@@ -71,76 +71,76 @@
 // hold has a change wait; the lock is held. Of one era it waits from when the first one came;
 // each further copy from which the store comes back is one that may be old.
 func (v *View) hold(k string, e *entry, d time.Duration) {
-	h, waits := v.held[k]
-	if waits && h.Revision >= e.Revision {
+	h, held := v.held[k]
+	if held && h.Revision >= e.Revision {
 		return
 	}
-	if !waits || revision.Era(h.Revision) < revision.Era(e.Revision) {
+	if !held || revision.Era(h.Revision) < revision.Era(e.Revision) {
 		h.due = v.now().Add(d)
-		time.AfterFunc(d, v.settle)
+		time.AfterFunc(d, v.releaseHeld)
 	}
 	h.entry = *e
 	v.held[k] = h
 }
 
-// settle takes in the changes that have waited long enough.
-func (v *View) settle() {
+// releaseHeld takes in the changes that have waited long enough.
+func (v *View) releaseHeld() {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	moved := false
+	changed := false
 	for k, h := range v.held {
 		if v.now().Before(h.due) {
 			continue
 		}
 		h.Tentative = false
-		moved = v.set(k, h.entry) || moved
+		changed = v.set(k, h.entry) || changed
 	}
-	if moved {
-		v.signal()
+	if changed {
+		v.notifyChanged()
 	}
 }
 
-// told returns the change of a resource as it is passed on: the one that waits, where there
+// outgoing returns the change of a resource as it is passed on: the one that waits, where there
 // is one; the lock is held.
-func (v *View) told(k string, e *entry) Change {
+func (v *View) outgoing(k string, e *entry) Change {
 	if h, ok := v.held[k]; ok {
 		return h.Change
 	}
 	c := e.Change
-	c.Tentative = !e.tentativeTill.IsZero() && v.now().Before(e.tentativeTill)
+	c.Tentative = !e.tentativeUntil.IsZero() && v.now().Before(e.tentativeUntil)
 	return c
 }
 
 // holdPeriod returns for how long a change waits that is to replace old: 0 where it does not.
 func holdPeriod(old, e *entry) time.Duration {
-	if !e.Tentative || revision.Era(old.Revision) >= revision.Era(e.Revision) || !goesBack(old, e) {
+	if !e.Tentative || revision.Era(old.Revision) >= revision.Era(e.Revision) || !mayBeStale(old, e) {
 		return 0
 	}
 	switch {
 	case e.source == SourceResources:
-		return heldDeclared
+		return declaredHoldPeriod
 	case e.Resource.Kind != KindUpstream:
-		return heldRest
+		return defaultHoldPeriod
 	case e.Deleted:
-		return LapsePeriod
+		return LapseGracePeriod
 	}
-	return heldReturn
+	return returnHoldPeriod
 }
 
-// goesBack reports whether a change may be of before old. A lower version under a later era is
+// mayBeStale reports whether a change may be of before old. A lower version under a later era is
 // either of the copy, or was given out again.
-func goesBack(old, e *entry) bool {
+func mayBeStale(old, e *entry) bool {
 	if e.Deleted {
 		return !old.Deleted
 	}
 	if revision.Version(e.Revision) >= revision.Version(old.Revision) && !e.Redated {
 		return false
 	}
-	return e.source != SourceUpstreams || !goesForward(old, e)
+	return e.source != SourceUpstreams || !provesNewer(old, e)
 }
 
-// goesForward reports whether an upstream's entry tells what cannot be of before another one.
-func goesForward(old, e *entry) bool {
+// provesNewer reports whether an upstream's entry tells what cannot be of before another one.
+func provesNewer(old, e *entry) bool {
 	x, err := Decode[UpstreamSpec](e.Resource)
 	if err != nil {
 		return false
--- a/internal/resource/upstream.go
+++ b/internal/resource/upstream.go
@@ -9,13 +9,13 @@
 
 // Upstream is an upstream with its decoded spec, completed from its service.
 type Upstream struct {
-	ColdUntil   time.Time // until when it is cold, as far as its entry told
-	EvacuatedAt time.Time // when this box learned that its hall is evacuated; zero where it is not
-	LapsedAt    time.Time // when this box learned that its entry had gone; zero where it stands
-	Name        string
-	Service     *Service // nil where its service is not declared
-	Spec        UpstreamSpec
-	Told        bool // it said itself that it is leaving; see View.NoteLeaving
+	ColdUntil       time.Time // until when it is cold, as far as its entry told
+	EvacuatedAt     time.Time // when this box learned that its hall is evacuated; zero where it is not
+	LapsedAt        time.Time // when this box learned that its entry had gone; zero where it stands
+	Name            string
+	Service         *Service // nil where its service is not declared
+	Spec            UpstreamSpec
+	ReportedLeaving bool // it said itself that it is leaving; see View.NoteLeaving
 }
 
 // UpstreamSpec declares an engine or a plain service.
@@ -44,13 +44,13 @@
 	UpstreamService UpstreamType = "service"
 )
 
-// LapsePeriod is how long an upstream whose entry went while the store was away
+// LapseGracePeriod is how long an upstream whose entry went while the store was away
 // is still used: entries of those that live are back within about two seconds.
-const LapsePeriod = 1800 * time.Millisecond
+const LapseGracePeriod = 1800 * time.Millisecond
 
-// Lapsed returns a copy of an upstream's resource whose entry has gone while the
+// MarkLapsed returns a copy of an upstream's resource whose entry has gone while the
 // platform's store was away.
-func Lapsed(r *Resource, revision int64) (*Resource, error) {
+func MarkLapsed(r *Resource, revision int64) (*Resource, error) {
 	s, err := Decode[UpstreamSpec](r)
 	if err != nil {
 		return nil, err
@@ -66,8 +66,8 @@
 	return &c, nil
 }
 
-// lapsed reports whether a resource is an upstream whose entry has gone; see Lapsed.
-func lapsed(r *Resource) bool {
+// isLapsed reports whether a resource is an upstream whose entry has gone; see Lapsed.
+func isLapsed(r *Resource) bool {
 	if r.Kind != KindUpstream {
 		return false
 	}
@@ -108,20 +108,20 @@
 	return !u.EvacuatedAt.IsZero()
 }
 
-// Leaves reports whether the upstream is leaving, by its entry or by its own word.
-func (u *Upstream) Leaves() bool {
-	return u.Spec.Leaving || u.Told
+// IsLeaving reports whether the upstream is leaving, by its entry or by its own word.
+func (u *Upstream) IsLeaving() bool {
+	return u.Spec.Leaving || u.ReportedLeaving
 }
 
-// Takes reports whether the upstream may be given new work.
-func (u *Upstream) Takes(now time.Time) bool {
-	return !u.Evacuated() && u.Stays(now)
+// AcceptsWork reports whether the upstream may be given new work.
+func (u *Upstream) AcceptsWork(now time.Time) bool {
+	return !u.Evacuated() && u.KeepsWork(now)
 }
 
-// Stays reports whether what runs at the upstream may go on there.
-func (u *Upstream) Stays(now time.Time) bool {
-	if u.Leaves() {
+// KeepsWork reports whether what runs at the upstream may go on there.
+func (u *Upstream) KeepsWork(now time.Time) bool {
+	if u.IsLeaving() {
 		return false
 	}
-	return u.LapsedAt.IsZero() || now.Sub(u.LapsedAt) < LapsePeriod
+	return u.LapsedAt.IsZero() || now.Sub(u.LapsedAt) < LapseGracePeriod
 }
--- a/internal/resource/view.go
+++ b/internal/resource/view.go
@@ -14,9 +14,9 @@
 type entry struct {
 	Change
 	source Source
-	// tentativeTill is until when the change is passed on as one that the store may have told
+	// tentativeUntil is until when the change is passed on as one that the store may have told
 	// from a copy; zero for others.
-	tentativeTill time.Time
+	tentativeUntil time.Time
 }
 
 // View is what one box knows of the resources.
@@ -25,39 +25,39 @@
 // get values that are never changed afterwards. View's lock is the innermost of
 // a box: no other lock is taken while it is held.
 type View struct {
-	mutex     sync.RWMutex          // guards the fields below
-	changed   chan struct{}         // closed at the next change
-	floors    Revisions             // of each source: older changes are accounted for
-	held      map[string]heldChange // by kind and name: changes that wait, since the store may have told them from a copy
-	index     index
-	leaps     map[Source][]leap
-	marks     []string // keys of removed resources, oldest first
-	now       func() time.Time
-	resources map[string]entry // by kind and name; removals stay as marks
-	revisions Revisions
-	// tentativeTill is, of each source, until when what is gone from it is passed on as
+	mutex      sync.RWMutex          // guards the fields below
+	changed    chan struct{}         // closed at the next change
+	floors     Revisions             // of each source: older changes are accounted for
+	held       map[string]heldChange // by kind and name: changes that wait, since the store may have told them from a copy
+	index      index
+	gaps       map[Source][]revisionGap
+	tombstones []string // keys of removed resources, oldest first
+	now        func() time.Time
+	resources  map[string]entry // by kind and name; removals stay as marks
+	revisions  Revisions
+	// tentativeUntil is, of each source, until when what is gone from it is passed on as
 	// tentative.
-	tentativeTill map[Source]time.Time
-	version       uint64
+	tentativeUntil map[Source]time.Time
+	version        uint64
 }
 
-// maxMarks bounds the removals that are remembered. An older change of a
+// maxTombstones bounds the removals that are remembered. An older change of a
 // resource whose mark was dropped could bring it back; such a change would have
-// to be older than the last maxMarks removals.
-const maxMarks = 4096
+// to be older than the last maxTombstones removals.
+const maxTombstones = 4096
 
 // NewView returns an empty view.
 func NewView() *View {
 	return &View{
 		changed: make(chan struct{}), floors: make(Revisions), held: make(map[string]heldChange), index: newIndex(),
-		leaps: make(map[Source][]leap), now: time.Now, resources: make(map[string]entry), revisions: make(Revisions),
-		tentativeTill: make(map[Source]time.Time),
+		gaps: make(map[Source][]revisionGap), now: time.Now, resources: make(map[string]entry), revisions: make(Revisions),
+		tentativeUntil: make(map[Source]time.Time),
 	}
 }
 
 // Apply takes in changes that operators declared; see Take.
 func (v *View) Apply(changes []Change, r int64) bool {
-	return v.Take(&Batch{Changes: changes, Revision: r, Source: SourceResources})
+	return v.Merge(&Batch{Changes: changes, Revision: r, Source: SourceResources})
 }
 
 // Changed returns a channel that is closed at the next change.
@@ -105,11 +105,11 @@
 		if v.revisions[s] <= have[s] {
 			continue
 		}
-		b := Batch{Revision: v.revisions[s], Settled: true, Source: s, Tentative: v.now().Before(v.tentativeTill[s]), Whole: v.leapt(s, have[s])}
-		if b.Whole {
+		b := Batch{Revision: v.revisions[s], FromView: true, Source: s, Tentative: v.now().Before(v.tentativeUntil[s]), Snapshot: v.inGap(s, have[s])}
+		if b.Snapshot {
 			b.Changes = v.live(s)
 		} else {
-			b.Changes = v.since(s, have[s], v.told)
+			b.Changes = v.since(s, have[s], v.outgoing)
 		}
 		l = append(l, b)
 	}
@@ -126,18 +126,18 @@
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	u := v.index.upstreams[name]
-	news := v.index.leaving.tell(name, born, u)
+	changed := v.index.leaving.record(name, born, u)
 	if u == nil {
-		v.index.leaving.unlist(name, v.index.upstreams)
+		v.index.leaving.markUnlisted(name, v.index.upstreams)
 	}
-	if !news {
+	if !changed {
 		return false
 	}
 	c := *u
-	c.Told = true
+	c.ReportedLeaving = true
 	v.index.upstreams[name] = &c
 	v.index.changedUpstreams = append(v.index.changedUpstreams, name)
-	v.signal()
+	v.notifyChanged()
 	return true
 }
 
@@ -171,41 +171,41 @@
 	return v.resources[key(r.Kind, r.Metadata.Name)].source
 }
 
-// Take takes in changes of one source and then stands at their revision.
+// Merge takes in changes of one source and then stands at their revision.
 //
 // A change at or below the revision in force of its own resource is passed
 // over, and a revision below the current one leaves that as it is, so that
 // neither ever falls. A resource that a whole batch tells again as it stands keeps the
 // revision of its last change. A tentative change that would go back to what may be of a copy
 // of the store waits; see holdPeriod. Take reports whether anything was taken in.
-func (v *View) Take(b *Batch) bool {
+func (v *View) Merge(b *Batch) bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	complete := b.Whole || b.Settled
+	complete := b.Snapshot || b.FromView
 	if complete && b.Revision < max(v.revisions[b.Source], v.floors[b.Source]) {
-		v.leap(b.Source, b.Revision)
+		v.recordGap(b.Source, b.Revision)
 		v.revisions[b.Source] = max(v.revisions[b.Source], b.Revision)
 		return false // the view is ahead of it, by a whole read if not by a change
 	}
 	if b.Tentative {
-		v.tentativeTill[b.Source] = v.now().Add(tentativePeriod)
+		v.tentativeUntil[b.Source] = v.now().Add(tentativePeriod)
 	}
-	moved, named := v.setAll(b, complete)
+	changed, named := v.setAll(b, complete)
 	r := b.Revision
-	if b.Whole && !v.removeOthers(b, named) && !b.Settled && !b.Tentative {
-		r = b.Newest() // others lack nothing, and need not ask for it
+	if b.Snapshot && !v.removeOthers(b, named) && !b.FromView && !b.Tentative {
+		r = b.NewestRevision() // others lack nothing, and need not ask for it
 	} else {
-		moved = moved || b.Whole
+		changed = changed || b.Snapshot
 	}
-	moved = moved || r > v.revisions[b.Source]
+	changed = changed || r > v.revisions[b.Source]
 	if complete {
-		v.leap(b.Source, b.Revision)
+		v.recordGap(b.Source, b.Revision)
 	}
 	v.revisions[b.Source] = max(v.revisions[b.Source], r)
-	if moved {
-		v.signal()
+	if changed {
+		v.notifyChanged()
 	}
-	return moved
+	return changed
 }
 
 // Version rises with every change of the view.
@@ -215,13 +215,13 @@
 	return v.version
 }
 
-// dropMarks forgets the oldest removals beyond maxMarks.
-func (v *View) dropMarks() {
-	for len(v.marks) > maxMarks {
-		if e, ok := v.resources[v.marks[0]]; ok && e.Deleted {
-			delete(v.resources, v.marks[0])
+// dropTombstones forgets the oldest removals beyond maxTombstones.
+func (v *View) dropTombstones() {
+	for len(v.tombstones) > maxTombstones {
+		if e, ok := v.resources[v.tombstones[0]]; ok && e.Deleted {
+			delete(v.resources, v.tombstones[0])
 		}
-		v.marks = v.marks[1:]
+		v.tombstones = v.tombstones[1:]
 	}
 }
 
@@ -232,7 +232,7 @@
 		if e.source != s {
 			continue
 		}
-		if c := v.told(k, &e); !c.Deleted {
+		if c := v.outgoing(k, &e); !c.Deleted {
 			l = append(l, c)
 		}
 	}
@@ -241,18 +241,18 @@
 
 // removeOthers removes what a whole batch does not name.
 func (v *View) removeOthers(b *Batch, named map[string]bool) bool {
-	moved := false
+	changed := false
 	for k, e := range v.resources {
 		if e.source != b.Source || named[k] || e.Revision >= b.Revision {
 			continue
 		}
-		if h, waits := v.held[k]; e.Deleted && (!waits || h.Revision >= b.Revision) {
+		if h, held := v.held[k]; e.Deleted && (!held || h.Revision >= b.Revision) {
 			continue // else others hear that what waits is not there, either
 		}
 		e.Deleted, e.Revision, e.Tentative = true, b.Revision, b.Tentative
-		moved = v.set(k, e) || moved
+		changed = v.set(k, e) || changed
 	}
-	return moved
+	return changed
 }
 
 // replaces reports whether a change takes the place of the one before now, or has it wait.
@@ -260,7 +260,7 @@
 	if old.Revision >= e.Revision {
 		return false
 	}
-	e.Deleted = e.Deleted || (old.Deleted && lapsed(e.Resource)) // what has lapsed at another box does not come back here
+	e.Deleted = e.Deleted || (old.Deleted && isLapsed(e.Resource)) // what has lapsed at another box does not come back here
 	if d := holdPeriod(old, e); d > 0 {
 		v.hold(k, e, d)
 		return false
@@ -275,22 +275,22 @@
 		return false
 	}
 	delete(v.held, k)
-	e.tentativeTill = time.Time{}
+	e.tentativeUntil = time.Time{}
 	if e.Tentative {
-		e.tentativeTill = v.now().Add(tentativePeriod)
+		e.tentativeUntil = v.now().Add(tentativePeriod)
 	}
 	v.resources[k] = e
 	v.index.put(e.Change, e.source, v.now())
 	if e.Deleted && !old.Deleted {
-		v.marks = append(v.marks, k)
-		v.dropMarks()
+		v.tombstones = append(v.tombstones, k)
+		v.dropTombstones()
 	}
 	return true
 }
 
 // setAll takes in the changes of a batch. It returns whether any was news, and the
 // keys of the resources that the batch names.
-func (v *View) setAll(b *Batch, complete bool) (moved bool, named map[string]bool) {
+func (v *View) setAll(b *Batch, complete bool) (changed bool, named map[string]bool) {
 	named = make(map[string]bool, len(b.Changes))
 	for _, c := range b.Changes {
 		k := key(c.Resource.Kind, c.Resource.Metadata.Name)
@@ -299,32 +299,32 @@
 			continue // it is accounted for
 		}
 		e := entry{Change: c, source: b.Source}
-		if b.Whole && !v.tells(k, &e, b) {
+		if b.Snapshot && !v.reconcile(k, &e, b) {
 			continue
 		}
-		moved = v.set(k, e) || moved
+		changed = v.set(k, e) || changed
 	}
-	return moved, named
+	return changed, named
 }
 
-// tells reports whether a whole batch tells something anew with one of its changes, which is
+// reconcile reports whether a whole batch tells something anew with one of its changes, which is
 // then dated by the batch where its own revision is one that the view knows.
-func (v *View) tells(k string, e *entry, b *Batch) bool {
-	h, waits := v.held[k]
-	stands := v.stands(k, e)
-	if stands && (!waits || h.Revision >= b.Revision) {
+func (v *View) reconcile(k string, e *entry, b *Batch) bool {
+	h, held := v.held[k]
+	unchanged := v.matches(k, e)
+	if unchanged && (!held || h.Revision >= b.Revision) {
 		return false
 	}
-	if stands || e.Revision <= v.revisions[b.Source] {
+	if unchanged || e.Revision <= v.revisions[b.Source] {
 		e.Revision, e.Redated = b.Revision, true // it was otherwise at the revision known here, and has changed since
 		e.Tentative = e.Tentative || b.Tentative
 	}
 	return true
 }
 
-// signal makes the indices those of the resources as they stand and tells of the
+// notifyChanged makes the indices those of the resources as they stand and tells of the
 // change; the lock is held.
-func (v *View) signal() {
+func (v *View) notifyChanged() {
 	v.index.rebuild()
 	v.version++
 	close(v.changed)
@@ -349,8 +349,8 @@
 	return l
 }
 
-// stands reports whether a resource stands as e says.
-func (v *View) stands(k string, e *entry) bool {
+// matches reports whether a resource stands as e says.
+func (v *View) matches(k string, e *entry) bool {
 	old, ok := v.resources[k]
 	return ok && !old.Deleted && !e.Deleted && old.source == e.source && bytes.Equal(old.Resource.Spec, e.Resource.Spec)
 }
--- a/internal/resource/workspace.go
+++ b/internal/resource/workspace.go
@@ -2,10 +2,10 @@
 
 // Workspace is a workspace with its decoded spec.
 type Workspace struct {
-	Name     string
-	Priority int  // the value of its Priority
-	Ranked   bool // it has a Priority
-	Spec     WorkspaceSpec
+	Name        string
+	Priority    int  // the value of its Priority
+	HasPriority bool // it has a Priority
+	Spec        WorkspaceSpec
 }
 
 // WorkspaceSpec declares a workspace.
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -255,7 +255,7 @@
 func (r *Router) upstreams(name string) []*resource.Upstream {
 	now := time.Now()
 	return r.view.Upstreams(func(u *resource.Upstream) bool {
-		return u.Spec.Type == resource.UpstreamService && u.Spec.Service == name && u.Takes(now)
+		return u.Spec.Type == resource.UpstreamService && u.Spec.Service == name && u.AcceptsWork(now)
 	})
 }
 
--- a/join.go
+++ b/join.go
@@ -34,7 +34,7 @@
 // settings name. One that does not answer is passed over.
 func (b *Box) askPeers(ctx context.Context) {
 	for _, a := range b.settings.Peers {
-		r, err := b.links.Once(ctx, a, b.request(box.Request{Kind: box.KindMembers}))
+		r, err := b.links.CallOnce(ctx, a, b.request(box.Request{Kind: box.KindMembers}))
 		if err != nil {
 			continue
 		}
--- a/keeper.go
+++ b/keeper.go
@@ -151,7 +151,7 @@
 				b.addRuns(l)
 				return nil
 			}
-			_, err := b.links.Once(ctx, b.members.Address(n), b.request(box.Request{Kind: box.KindServed, Served: l}))
+			_, err := b.links.CallOnce(ctx, b.members.Address(n), b.request(box.Request{Kind: box.KindServed, Served: l}))
 			return err
 		})
 	}
--- a/leaving.go
+++ b/leaving.go
@@ -40,5 +40,5 @@
 	if !b.noteLeaving(u.Name, u.Spec.Born, from) {
 		return
 	}
-	b.broadcast("", box.Request{Born: u.Spec.Born, Kind: box.KindLeaving, Leaving: u.Name}) // owners' loads repeat it
+	b.broadcast("", box.Request{Born: u.Spec.Born, Kind: box.KindLeaving, LeavingUpstream: u.Name}) // owners' loads repeat it
 }
--- a/leaving_test.go
+++ b/leaving_test.go
@@ -223,7 +223,7 @@
 			r.apply("box-a1", resource.KindUpstream, "engine-a", fmt.Sprintf(spec, false))
 			time.Sleep(10 * time.Second)
 			for n, b := range r.boxes {
-				if u := b.view.Upstream("engine-a"); u == nil || !u.Takes(time.Now()) {
+				if u := b.view.Upstream("engine-a"); u == nil || !u.AcceptsWork(time.Now()) {
 					t.Errorf("round %d: %s: got %+v, want an engine that takes new work", round, n, u)
 				}
 			}
--- a/limit_test.go
+++ b/limit_test.go
@@ -405,7 +405,7 @@
 			if q.Kind != box.KindPermit {
 				return nil
 			}
-			return &box.Call{HangUp: func() {}, Peer: "box " + to, Read: func(x *box.Reply) error {
+			return &box.Call{Abort: func() {}, Peer: "box " + to, Read: func(x *box.Reply) error {
 				x.Error = "bad_message"
 				return nil
 			}}
--- a/limits.go
+++ b/limits.go
@@ -178,7 +178,7 @@
 	call, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	began := time.Now()
-	r, err := b.links.Once(call, b.members.Address(name), b.request(box.Request{Kind: box.KindPermit, Permit: q}))
+	r, err := b.links.CallOnce(call, b.members.Address(name), b.request(box.Request{Kind: box.KindPermit, Permit: q}))
 	now := time.Now()
 	if err == nil && r.Grant != nil {
 		b.limits.heard(name)
@@ -199,7 +199,7 @@
 	if digest == b.limits.limiter.Limits().Digest(time.Now()) {
 		return
 	}
-	r, err := b.links.Once(ctx, m.Address, b.request(box.Request{Kind: box.KindLimits}))
+	r, err := b.links.CallOnce(ctx, m.Address, b.request(box.Request{Kind: box.KindLimits}))
 	if err != nil {
 		return // the next heartbeat tries again
 	}
@@ -230,7 +230,7 @@
 	b.start(func() {
 		ctx, cancel := context.WithTimeout(b.running, heartbeatPeriod)
 		defer cancel()
-		_, _ = b.links.Once(ctx, b.members.Address(o), b.request(box.Request{Kind: box.KindLimits, Limits: []ratelimit.Limit{l}})) // the next ask tells it, too
+		_, _ = b.links.CallOnce(ctx, b.members.Address(o), b.request(box.Request{Kind: box.KindLimits, Limits: []ratelimit.Limit{l}})) // the next ask tells it, too
 	})
 }
 
--- a/linetiller.go
+++ b/linetiller.go
@@ -50,7 +50,7 @@
 	ignored          ignoredRows
 	keys             *requestkey.Keys
 	limits           *limits
-	links            *box.Links
+	links            *box.Endpoint
 	members          *member.Table
 	metrics          *metric.Set
 	naive            *placement.Naive
--- a/listen.go
+++ b/listen.go
@@ -40,24 +40,24 @@
 }
 
 // listenBoxes opens the address for other boxes.
-func (b *Box) listenBoxes() (*box.Links, error) {
+func (b *Box) listenBoxes() (*box.Endpoint, error) {
 	s := b.settings
 	if s.Links == settings.LinksPlain {
-		p, err := box.ListenPlain(s.BoxAddress, b.answer)
+		p, err := box.ListenHTTP(s.BoxAddress, b.answer)
 		if err != nil {
 			return nil, err
 		}
-		return p.Links(), nil
+		return p.Endpoint(), nil
 	}
 	server, dial, err := b.linkSecurity()
 	if err != nil {
 		return nil, fail.Wrap(fail.BadInput, fail.Place{Peer: "boxes", Step: "load certificates"}, "bad_certificate", err)
 	}
-	t, err := box.Listen(s.BoxAddress, server, dial, b.answer)
+	t, err := box.ListenQUIC(s.BoxAddress, server, dial, b.answer)
 	if err != nil {
 		return nil, err
 	}
-	return t.Links(), nil
+	return t.Endpoint(), nil
 }
 
 // listenEntry opens the addresses of the entry: for requests, for the balancer's
--- a/readers_test.go
+++ b/readers_test.go
@@ -71,7 +71,7 @@
 	t.Helper()
 	time.Sleep(d)
 	for n, b := range r.boxes {
-		if u := b.view.Upstream(engine); n != but && u != nil && u.Takes(time.Now()) {
+		if u := b.view.Upstream(engine); n != but && u != nil && u.AcceptsWork(time.Now()) {
 			t.Errorf("%s: %v after its notice the engine is still used", n, d)
 		}
 	}
--- a/region_test.go
+++ b/region_test.go
@@ -313,8 +313,8 @@
 }
 
 // links are a box's calls to other boxes in memory, through the codec.
-func (r *region) links(from string) *box.Links {
-	return &box.Links{
+func (r *region) links(from string) *box.Endpoint {
+	return &box.Endpoint{
 		Address: func() string { return from },
 		Call: func(ctx context.Context, to string, q *box.Request) (*box.Call, error) {
 			if c := r.answered(to, q); c != nil {
@@ -390,12 +390,12 @@
 	deadline := time.Now().Add(time.Hour)
 	check := time.NewTicker(500 * time.Millisecond) // notices a cut, as an idle limit does
 	return &box.Call{
-		HangUp: func() {
+		Abort: func() {
 			check.Stop()
 			cancel()
 		},
-		Peer:     "box " + to,
-		ReadTill: func(t time.Time) { deadline = t },
+		Peer:            "box " + to,
+		SetReadDeadline: func(t time.Time) { deadline = t },
 		Read: func(x *box.Reply) error {
 			for {
 				select {
--- a/register.go
+++ b/register.go
@@ -77,7 +77,7 @@
 
 // rowLost reports whether the store, which came back from a copy, has lost this box's row.
 func (b *Box) rowLost() bool {
-	return b.view.Holds(resource.KindBox, b.settings.Box)
+	return b.view.IsHeld(resource.KindBox, b.settings.Box)
 }
 
 // runRegister keeps the box's own row as it should be, and removes those of boxes
--- a/restored_test.go
+++ b/restored_test.go
@@ -89,7 +89,7 @@
 	r.t.Helper()
 	for n, b := range r.boxes {
 		u := b.view.Upstream(name)
-		if got := u != nil && u.Takes(time.Now()); got != want {
+		if got := u != nil && u.AcceptsWork(time.Now()); got != want {
 			r.t.Errorf("%s: %s: %s: got takes work %v, want %v", when, n, name, got, want)
 		}
 	}
--- a/rewrite.go
+++ b/rewrite.go
@@ -36,7 +36,7 @@
 	if row != nil {
 		condition = row.Revision
 	}
-	if !b.view.Holds(x.Kind, x.Metadata.Name) {
+	if !b.view.IsHeld(x.Kind, x.Metadata.Name) {
 		return nil // it was written meanwhile
 	}
 	r, err := b.store.Commit(ctx, &table.Transaction{
@@ -51,7 +51,7 @@
 
 // rewriteAll writes all declared resources again that the store has lost.
 func (b *Box) rewriteAll(ctx context.Context) {
-	l := b.view.Lost(resource.SourceResources)
+	l := b.view.PossiblyLost(resource.SourceResources)
 	for i := range l {
 		if err := b.rewrite(ctx, &l[i]); err != nil && ctx.Err() == nil {
 			event.PlatformDown.Log(b.log, "source", "resources", "step", fail.Step(err), "error", err.Error())
@@ -64,7 +64,7 @@
 func (b *Box) runRewrite(ctx context.Context) {
 	for {
 		c := b.view.Changed()
-		if len(b.view.Lost(resource.SourceResources)) == 0 || !b.follower.Reads() {
+		if len(b.view.PossiblyLost(resource.SourceResources)) == 0 || !b.follower.Reads() {
 			select {
 			case <-ctx.Done():
 				return
--- a/routed_store_test.go
+++ b/routed_store_test.go
@@ -96,7 +96,7 @@
 			if _, whole, status := r.plan(n, "new-"+n, "new-key", 40); !whole {
 				t.Errorf("%s: the new key: got status %d, want a whole stream", n, status)
 			}
-			if u := b.view.Upstream("i-a1"); u != nil && u.Takes(time.Now()) {
+			if u := b.view.Upstream("i-a1"); u != nil && u.AcceptsWork(time.Now()) {
 				t.Errorf("%s: the engine that gave notice is still used", n)
 			}
 		}
--- a/silence_test.go
+++ b/silence_test.go
@@ -206,7 +206,7 @@
 			}
 			knows = knows && b.view.Revisions()[resource.SourceConfiguration] >= int64(version)
 			u := b.view.Upstream(engine)
-			leaves = leaves && (u == nil || !u.Takes(time.Now()))
+			leaves = leaves && (u == nil || !u.AcceptsWork(time.Now()))
 		}
 		if knows {
 			key = min(key, time.Since(began))
