--- a/internal/box/clock.go
+++ b/internal/box/clock.go
@@ -7,12 +7,11 @@
 	"github.com/linetiller/linetiller/internal/ratelimit"
 )
 
-// Clocks of boxes may differ by seconds and jump. Times in a message are by the
-// sender's clock; the receiver shifts them by the difference between its own
-// clock at the arrival and the sender's at the send. The way of the message,
-// milliseconds, counts as if it took no time.
+// The clocks of boxes may differ by seconds and jump. Times in a message are in the sender's
+// clock. The receiver shifts them by the difference between its own clock on arrival and the
+// sender's clock on sending. The network latency, a few milliseconds, is ignored.
 
-// Shift makes the times in q those of a clock that shows now at its arrival.
+// Shift converts the times in q to the receiver's clock; now is its time of arrival.
 func (q *Request) Shift(now time.Time) {
 	if q.SentAt.IsZero() {
 		return
@@ -42,7 +41,7 @@
 	}
 }
 
-// Shift makes the times in r those of a clock that shows now at its arrival.
+// Shift converts the times in r to the receiver's clock; now is its time of arrival.
 func (r *Reply) Shift(now time.Time) {
 	if r.SentAt.IsZero() {
 		return
@@ -66,7 +65,6 @@
 	}
 }
 
-// shift moves the times in u.
 func (u *ProgressReport) shift(by time.Duration) {
 	for i := range u.Items {
 		if w := u.Items[i].Work; w != nil {
--- a/internal/box/clock_test.go
+++ b/internal/box/clock_test.go
@@ -7,8 +7,8 @@
 	"github.com/linetiller/linetiller/internal/policy"
 )
 
-// TestTimesFollowTheReceiversClock sends an ask from a box whose clock is 40
-// minutes ahead: what is left until its deadline must not change.
+// TestTimesFollowTheReceiversClock sends messages from a box whose clock is 40 minutes ahead. The
+// time left until a deadline, and the ages of other times, must not change.
 func TestTimesFollowTheReceiversClock(t *testing.T) {
 	here := time.Unix(10_000, 0)
 	there := here.Add(40 * time.Minute)
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestTimesKeepTheirFractions sends times over the wire: what was 0.3 s ago must not
-// come out as a second or none.
+// TestTimesKeepTheirFractions guards against encoding times in whole seconds, which would turn an
+// age of 0.3 s into 0 or 1 s.
 func TestTimesKeepTheirFractions(t *testing.T) {
 	now := time.Unix(1_800_000_000, 987_654_321)
 	q := &Request{SentAt: now, Placement: &PlacementRequest{Work: policy.Work{Arrived: now.Add(-300 * time.Millisecond), Deadline: now.Add(1700 * time.Millisecond)}}}
--- a/internal/box/codec.go
+++ b/internal/box/codec.go
@@ -6,16 +6,15 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// decodeMode and Encoding are how messages are read and written. Times are written with
-// their fractions: whole seconds, the library's default, would move every deadline, age
-// and load by up to one.
+// Modes for decoding and encoding messages. Times are encoded with microseconds. The library's
+// default, whole seconds, would shift every deadline, age and load by up to a second.
 var (
 	decodeMode = newDecodeMode()
-	// Encoding writes messages.
+	// Encoding encodes messages.
 	Encoding = newEncoding()
 )
 
-// The bounds of a message that is read.
+// Limits on decoded messages.
 const (
 	maxElements = 1 << 20
 	maxLevels   = 16
--- a/internal/box/links.go
+++ b/internal/box/endpoint.go
@@ -7,36 +7,37 @@
 	"github.com/linetiller/linetiller/internal/fail"
 )
 
-// ReasonUnreachable is the reason of a call that did not reach the other box, or whose answer was lost.
+// ReasonUnreachable is the error reason of a call that did not reach the other box, or whose reply
+// was lost.
 const ReasonUnreachable = "box_unreachable"
 
-// Endpoint are the calls that a box makes to others. Its fields are seams: a
-// Transport fills them with QUIC, a Plain with HTTP, tests with links in memory.
+// Endpoint is a box's own address and its means to call other boxes. A QUICTransport implements
+// the functions over QUIC and an HTTPTransport over HTTP; tests replace them in memory.
 type Endpoint struct {
-	// Address returns the address for the other boxes.
+	// Address returns the address at which other boxes reach this one.
 	Address func() string
 	// Call sends a request to the box at address.
 	Call func(ctx context.Context, address string, q *Request) (*Call, error)
-	// Close hangs up on every box and waits.
+	// Close closes all connections and waits for the calls in progress.
 	Close func() error
 }
 
-// Call is one call in progress. Its fields are seams.
+// Call is a call in progress. Tests may set its functions.
 type Call struct {
-	// Drain reads on to the end of the replies, where that lets a connection be kept;
-	// nil where it does not.
+	// Drain reads the rest of the response, so that its connection can be reused; nil if the
+	// transport does not need it.
 	Drain func()
-	// Abort ends the call.
+	// Abort ends the call, whether or not its replies have arrived.
 	Abort func()
-	// Peer names the other box, for errors.
+	// Peer names the other box in errors.
 	Peer string
 	// Read reads the next reply.
 	Read func(r *Reply) error
-	// SetReadDeadline bounds the wait for replies; the zero time lifts the bound.
+	// SetReadDeadline limits the wait for replies; the zero time removes the limit.
 	SetReadDeadline func(t time.Time)
 }
 
-// CallOnce sends q and returns its one reply.
+// CallOnce sends q and returns its single reply.
 func (l *Endpoint) CallOnce(ctx context.Context, address string, q *Request) (*Reply, error) {
 	c, err := l.Call(ctx, address, q)
 	if err != nil {
@@ -50,13 +51,14 @@
 	return r, err
 }
 
-// Close hangs up.
+// Close aborts the call.
 func (c *Call) Close() error {
 	c.Abort()
 	return nil
 }
 
-// Next returns the next reply.
+// Next returns the next reply. It returns an error if the reply cannot be read or reports a
+// failure.
 func (c *Call) Next() (*Reply, error) {
 	p := fail.Place{Peer: c.Peer, Step: "read reply"}
 	r := new(Reply)
--- a/internal/box/plain.go
+++ b/internal/box/http.go
@@ -14,12 +14,12 @@
 	"github.com/linetiller/linetiller/internal/fail"
 )
 
-// HTTPTransport calls other boxes and answers their calls over HTTP on TCP, without
-// encryption and without knowing who calls: it is for networks that only boxes
-// can reach, where nobody hands out certificates. It is safe for concurrent use.
+// HTTPTransport calls other boxes and serves their calls over HTTP on TCP, without encryption or
+// authentication. It is meant for networks that only boxes can reach and in which no certificates
+// are issued. It is safe for concurrent use.
 type HTTPTransport struct {
 	cancel   context.CancelFunc
-	clients  map[string]*http.Client // by address, each with connections of its own
+	clients  map[string]*http.Client // by address, each with its own connections
 	ctx      context.Context
 	handler  Handler
 	listener net.Listener
@@ -30,15 +30,15 @@
 
 const (
 	callPath         = "/call"
-	maxIdlePerBox    = 8                      // connections kept to one box
-	httpDialTimeout  = time.Second            // a box that does not answer a connection in that time counts as gone
-	httpDrainTimeout = 100 * time.Millisecond // for the end of an answer after its last reply
-	httpIdleTimeout  = 30 * time.Second       // that an unused connection is kept: heartbeats come each second
-	httpReadTimeout  = 2 * time.Second        // for a request to arrive whole
-	httpWriteTimeout = 2 * time.Second        // for one reply to be taken
+	maxIdlePerBox    = 8                      // idle connections kept to one box
+	httpDialTimeout  = time.Second            // a box that does not accept a connection within it is considered gone
+	httpDrainTimeout = 100 * time.Millisecond // for reading the end of a response after its last reply
+	httpIdleTimeout  = 30 * time.Second       // for keeping an idle connection; heartbeats use it every second
+	httpReadTimeout  = 2 * time.Second        // for receiving a complete request
+	httpWriteTimeout = 2 * time.Second        // for writing one reply
 )
 
-// ListenHTTP returns links at address (IP:port) that answer by h.
+// ListenHTTP returns a transport that listens at address (IP:port) and serves calls with h.
 func ListenHTTP(address string, h Handler) (*HTTPTransport, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -54,12 +54,12 @@
 	return p, nil
 }
 
-// Address returns the address for the other boxes.
+// Address returns the address at which other boxes reach this one.
 func (p *HTTPTransport) Address() string {
 	return p.listener.Addr().String()
 }
 
-// Call sends q to the box at address. The caller closes the call.
+// Call sends q to the box at address. The caller must close the call.
 func (p *HTTPTransport) Call(ctx context.Context, address string, q *Request) (*Call, error) {
 	place := fail.Place{Peer: "box " + address, Step: "call " + string(q.Kind)}
 	ctx, cancel := context.WithCancel(ctx)
@@ -71,7 +71,7 @@
 	return &Call{Drain: c.drain, Abort: c.abort, Peer: place.Peer, Read: c.read, SetReadDeadline: c.setReadDeadline}, nil
 }
 
-// Close hangs up on every box and waits for the calls in progress.
+// Close closes all connections and waits for the calls in progress.
 func (p *HTTPTransport) Close() error {
 	p.cancel()
 	err := p.server.Close()
@@ -84,12 +84,12 @@
 	return err
 }
 
-// Endpoint returns the calls.
+// Endpoint returns the transport as an Endpoint.
 func (p *HTTPTransport) Endpoint() *Endpoint {
 	return &Endpoint{Address: p.Address, Call: p.Call, Close: p.Close}
 }
 
-// serve answers one call by the handler.
+// serve handles one call.
 func (p *HTTPTransport) serve(w http.ResponseWriter, r *http.Request) {
 	p.workers.Add(1)
 	defer p.workers.Done()
@@ -119,8 +119,8 @@
 	})
 }
 
-// writeCompressed writes the one reply of a call, which may be large: a
-// configuration of 1,600 routes has half a megabyte, and some boxes 10 Mbit/s.
+// writeCompressed writes the single reply of a call, compressed because it may be large: a
+// configuration with 1,600 routes is half a megabyte, and some boxes have 10 Mbit/s.
 func writeCompressed(w http.ResponseWriter, v *Reply) error {
 	w.Header().Set("Content-Encoding", "gzip")
 	z, err := gzip.NewWriterLevel(w, gzip.BestSpeed)
--- a/internal/box/plaincall.go
+++ b/internal/box/httpcall.go
@@ -10,28 +10,18 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// httpCall is one call in progress. It is used by one goroutine.
+// httpCall is a call in progress. It is not safe for concurrent use.
 type httpCall struct {
 	cancel    context.CancelFunc
 	decoder   *cbor.Decoder
 	err       error
-	onTimeout func() // has later calls to the box go over new connections
+	onTimeout func() // makes later calls to the box use new connections
 	response  *http.Response
 	ready     chan struct{} // closed once response or err is set
 	timer     *time.Timer
 }
 
-// drain reads on to the end of the answer, so that its connection can be kept.
-func (c *httpCall) drain() {
-	if c.decoder == nil || c.response == nil {
-		return
-	}
-	t := time.AfterFunc(httpDrainTimeout, c.cancel)
-	defer t.Stop()
-	_, _ = io.Copy(io.Discard, c.response.Body)
-}
-
-// abort ends the call, whether or not its answer has come.
+// abort ends the call, whether or not its response has arrived.
 func (c *httpCall) abort() {
 	if c.timer != nil {
 		c.timer.Stop()
@@ -45,6 +35,16 @@
 	}()
 }
 
+// drain reads the rest of the response, so that its connection can be reused.
+func (c *httpCall) drain() {
+	if c.decoder == nil || c.response == nil {
+		return
+	}
+	t := time.AfterFunc(httpDrainTimeout, c.cancel)
+	defer t.Stop()
+	_, _ = io.Copy(io.Discard, c.response.Body)
+}
+
 // read reads the next reply.
 func (c *httpCall) read(r *Reply) error {
 	<-c.ready
@@ -52,7 +52,7 @@
 		return c.err
 	}
 	if c.response.StatusCode != http.StatusOK {
-		return errors.New("the box answered " + c.response.Status)
+		return errors.New("unexpected HTTP status " + c.response.Status)
 	}
 	if c.decoder == nil {
 		c.decoder = decodeMode.NewDecoder(io.LimitReader(c.response.Body, MaxMessageBytes))
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// setReadDeadline bounds the wait for replies; the zero time lifts the bound.
+// setReadDeadline limits the wait for replies; the zero time removes the limit.
 func (c *httpCall) setReadDeadline(t time.Time) {
 	if c.timer != nil {
 		c.timer.Stop()
--- a/internal/box/plainsend.go
+++ b/internal/box/httpsend.go
@@ -9,18 +9,19 @@
 	"time"
 )
 
-// httpResult is the head of the answer to a request that was sent, or an error.
+// httpResult is the outcome of one attempt to send a request: a response, with its body unread, or
+// an error.
 type httpResult struct {
 	err      error
 	response *http.Response
-	attempt  int // which of the sends it answers
+	attempt  int // index of the attempt
 }
 
-// resendAfter is how long after the end of its wait a request counts as late: boxes answer
-// within some milliseconds.
+// resendAfter is how long after the requested wait a response counts as late. Boxes normally reply
+// within milliseconds.
 const resendAfter = 200 * time.Millisecond
 
-// clientOf returns what makes calls to the box at an address.
+// clientOf returns the HTTP client for the box at an address.
 func (p *HTTPTransport) clientOf(address string) *http.Client {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -36,7 +37,17 @@
 	return c
 }
 
-// post sends a request once.
+// dropIdleConnections makes later calls to the box at an address use new connections. The kept
+// ones may have stopped carrying data without having been closed.
+func (p *HTTPTransport) dropIdleConnections(address string) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if c := p.clients[address]; c != nil {
+		c.CloseIdleConnections()
+	}
+}
+
+// post sends a request once and returns the response with its body unread.
 func (p *HTTPTransport) post(ctx context.Context, address string, q *Request) (*http.Response, error) {
 	b, err := Encoding.Marshal(q)
 	if err != nil {
@@ -49,18 +60,9 @@
 	return p.clientOf(address).Do(r)
 }
 
-// dropIdleConnections has later calls to the box at an address go over new connections: the kept ones may have
-// gone silent without being closed.
-func (p *HTTPTransport) dropIdleConnections(address string) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	if c := p.clients[address]; c != nil {
-		c.CloseIdleConnections()
-	}
-}
-
-// send sends a request and returns the head of its answer. Where that is late, the request is
-// sent once more over a new connection if it may be, and the first answer counts.
+// send sends a request and returns the response with its body unread. If the response is late and
+// the request is repeatable, it sends the request again over a new connection, and the first
+// response wins.
 func (p *HTTPTransport) send(ctx context.Context, address string, q *Request) (*http.Response, error) {
 	var cancels []context.CancelFunc
 	answers := make(chan httpResult, 2)
@@ -105,7 +107,7 @@
 	}
 }
 
-// repeatable reports whether handling a request of a kind twice does the same as handling it once.
+// repeatable reports whether requests of a kind are idempotent.
 func repeatable(k Kind) bool {
 	switch k {
 	case KindPlacement, KindPermit, KindMoveSlot, KindProgress:
--- a/internal/box/secured_test.go
+++ b/internal/box/secured_test.go
@@ -11,7 +11,7 @@
 	"github.com/linetiller/linetiller/internal/certificate"
 )
 
-// newMutualTLS returns configurations under a new authority.
+// newMutualTLS returns TLS configurations with a certificate of a new authority.
 func newMutualTLS(t *testing.T) (server, client *tls.Config) {
 	t.Helper()
 	a, err := certificate.NewAuthority(time.Now())
--- a/internal/box/silent_test.go
+++ b/internal/box/silent_test.go
@@ -10,7 +10,7 @@
 	"github.com/linetiller/linetiller/internal/ratelimit"
 )
 
-// blackholeProxy passes connections on to a box, until those that are open carry nothing more.
+// blackholeProxy forwards connections to a box until it blackholes those that are open.
 type blackholeProxy struct {
 	listener   net.Listener
 	mutex      sync.Mutex // guards the fields below
@@ -59,7 +59,18 @@
 	}
 }
 
-// forward copies from one connection to another; what arrives once they are silent is lost.
+// blackhole drops all further data of the open connections without closing them, and returns their
+// number.
+func (s *blackholeProxy) blackhole() int {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	for _, c := range s.open {
+		s.blackholed[c] = true
+	}
+	return len(s.open)
+}
+
+// forward copies from one connection to another. Data from a blackholed connection is dropped.
 func (s *blackholeProxy) forward(to, from net.Conn) {
 	defer func() { _ = to.Close() }()
 	b := make([]byte, 4096)
@@ -77,28 +88,19 @@
 	}
 }
 
-// blackhole makes the open connections carry nothing more, and returns how many there are.
-func (s *blackholeProxy) blackhole() int {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	for _, c := range s.open {
-		s.blackholed[c] = true
-	}
-	return len(s.open)
-}
-
-// TestCallsOverLostConnections has kept connections to a box carry nothing more, while new ones work:
-// each call was lost over one of them, until all were used up.
+// TestCallsOverLostConnections blackholes the idle connections to a box while new ones work.
+// Without resending and dropping idle connections, one call after another would be lost until all
+// of them were used up.
 func TestCallsOverLostConnections(t *testing.T) {
 	const (
 		kept        = 4
-		longTimeout = time.Minute // never reached where an answer comes
+		longTimeout = time.Minute // never reached if a reply arrives
 	)
-	concurrentPermit := &Request{Kind: KindPermit, Permit: &ratelimit.Ask{Want: 1}} // never sent twice
+	concurrentPermit := &Request{Kind: KindPermit, Permit: &ratelimit.Ask{Want: 1}} // not repeatable, so never sent twice
 	for _, x := range []struct {
 		q     *Request
-		first time.Duration // for the first call
-		want  bool          // whether it is to be answered
+		first time.Duration // timeout of the first call
+		want  bool          // whether the first call gets a reply
 	}{
 		{&Request{Kind: KindHeartbeat}, longTimeout, true},
 		{&Request{Kind: KindWatchChanges, Wait: time.Millisecond}, longTimeout, true},
@@ -108,7 +110,7 @@
 			var all sync.WaitGroup
 			all.Add(kept)
 			a := newHTTPTransport(t, func(_ context.Context, q *Request, answer func(*Reply) error) {
-				if q.Permit != nil && q.Permit.Want > 0 { // at once, so that each has a connection of its own
+				if q.Permit != nil && q.Permit.Want > 0 { // let the calls overlap, so that each opens its own connection
 					all.Done()
 					all.Wait()
 				}
@@ -135,10 +137,10 @@
 				t.Fatalf("ends of open connections: got %d, want %d", got, want)
 			}
 			if err := call(x.q, x.first); (err == nil) != x.want {
-				t.Errorf("first call: got %v, want an answer %v", err, x.want)
+				t.Errorf("first call: got %v, want a reply %v", err, x.want)
 			}
 			if err := call(x.q, longTimeout); err != nil {
-				t.Errorf("second call: got %v, want an answer", err)
+				t.Errorf("second call: got %v, want a reply", err)
 			}
 		})
 	}
--- a/internal/box/transport.go
+++ b/internal/box/transport.go
@@ -14,14 +14,14 @@
 	"github.com/linetiller/linetiller/internal/fail"
 )
 
-// Handler answers one request; answer may be called more than once. Its context
-// ends when the caller has hung up.
+// Handler serves one request. It may call answer several times. Its context is cancelled when the
+// caller ends the call.
 type Handler func(ctx context.Context, q *Request, answer func(*Reply) error)
 
-// QUICTransport calls other boxes and answers their calls, on one UDP socket. It is
-// safe for concurrent use.
+// QUICTransport calls other boxes and serves their calls over QUIC on one UDP socket. It is safe
+// for concurrent use.
 type QUICTransport struct {
-	mutex       sync.Mutex // guards connections; no other lock is taken under it
+	mutex       sync.Mutex // guards connections; no other lock may be taken while it is held
 	connections map[string]*quic.Conn
 
 	cancel   context.CancelFunc
@@ -34,10 +34,10 @@
 	workers  sync.WaitGroup
 }
 
-// Protocol names the protocol between boxes in the TLS handshake.
+// Protocol is the ALPN name of the protocol between boxes in the TLS handshake.
 const Protocol = "linetiller-box/1"
 
-// MaxMessageBytes bounds the messages of one stream in one direction.
+// MaxMessageBytes limits the total size of the messages of one call in one direction.
 const MaxMessageBytes = 64 << 20
 
 const (
@@ -47,10 +47,10 @@
 	maxStreams      = 1 << 16
 )
 
-// ListenQUIC returns a transport at address (IP:port) that answers by h.
+// ListenQUIC returns a transport that listens at address (IP:port) and serves calls with h.
 //
-// Both configurations must name Protocol; where they carry certificates, both
-// ends are authenticated.
+// Both TLS configurations must name Protocol. If both carry certificates, the boxes authenticate
+// each other.
 func ListenQUIC(address string, server, client *tls.Config, h Handler) (*QUICTransport, error) {
 	p := fail.Place{Peer: "boxes", Step: "listen"}
 	s, err := net.ListenPacket("udp", address)
@@ -72,12 +72,12 @@
 	return t, nil
 }
 
-// Address returns the address the transport listens at.
+// Address returns the address at which the transport listens.
 func (t *QUICTransport) Address() string {
 	return t.socket.LocalAddr().String()
 }
 
-// Call sends q to the box at address. The caller closes the call.
+// Call sends q to the box at address. The caller must close the call.
 func (t *QUICTransport) Call(ctx context.Context, address string, q *Request) (*Call, error) {
 	p := fail.Place{Peer: "box " + address, Step: "call " + string(q.Kind)}
 	c, err := t.connection(ctx, address)
@@ -113,7 +113,7 @@
 	}, nil
 }
 
-// Close hangs up on every box and waits for the calls in progress.
+// Close closes all connections and waits for the calls in progress.
 func (t *QUICTransport) Close() error {
 	t.cancel()
 	err := t.listener.Close()
@@ -126,12 +126,13 @@
 	return errors.Join(err, t.quic.Close(), ignoreClosed(t.socket.Close()))
 }
 
-// Endpoint returns the transport's calls.
+// Endpoint returns the transport as an Endpoint.
 func (t *QUICTransport) Endpoint() *Endpoint {
 	return &Endpoint{Address: t.Address, Call: t.Call, Close: t.Close}
 }
 
-// DecodeRequest reads a request, as the transport does.
+// DecodeRequest decodes a request, checks that it has the part that its kind needs, and converts
+// its times to the local clock.
 func DecodeRequest(r io.Reader) (*Request, error) {
 	q := new(Request)
 	if err := decodeMode.NewDecoder(io.LimitReader(r, MaxMessageBytes)).Decode(q); err != nil {
@@ -139,16 +140,16 @@
 	}
 	q.Shift(time.Now())
 	if q.Kind == KindPlacement && q.Placement == nil {
-		return nil, errors.New("an ask without its work")
+		return nil, errors.New("placement request without its work")
 	}
 	if q.Kind == KindPermit && q.Permit == nil {
-		return nil, errors.New("an ask for a permit without its limit")
+		return nil, errors.New("permit request without its limit")
 	}
 	if q.Kind == KindMoveSlot && q.MoveSlot == nil {
-		return nil, errors.New("a turn without its run")
+		return nil, errors.New("move slot request without its run")
 	}
 	if q.Kind == KindProgress && q.Progress == nil {
-		return nil, errors.New("an update without its items")
+		return nil, errors.New("progress report without its items")
 	}
 	return q, nil
 }
@@ -163,22 +164,7 @@
 	}
 }
 
-func (t *QUICTransport) serveStream(s *quic.Stream) {
-	defer func() { _ = s.Close() }()
-	_ = s.SetReadDeadline(time.Now().Add(idleTimeout))
-	e := Encoding.NewEncoder(s)
-	q, err := DecodeRequest(s)
-	if err != nil {
-		_ = e.Encode(&Reply{Error: "bad_message"})
-		return
-	}
-	ctx, cancel := context.WithCancel(s.Context())
-	defer cancel()
-	defer context.AfterFunc(t.ctx, cancel)()
-	t.handler(ctx, q, func(r *Reply) error { return e.Encode(r) })
-}
-
-// connection returns the open connection to address, or makes one.
+// connection returns the open connection to address, dialing if there is none.
 func (t *QUICTransport) connection(ctx context.Context, address string) (*quic.Conn, error) {
 	t.mutex.Lock()
 	c := t.connections[address]
@@ -227,6 +213,21 @@
 	}
 }
 
+func (t *QUICTransport) serveStream(s *quic.Stream) {
+	defer func() { _ = s.Close() }()
+	_ = s.SetReadDeadline(time.Now().Add(idleTimeout))
+	e := Encoding.NewEncoder(s)
+	q, err := DecodeRequest(s)
+	if err != nil {
+		_ = e.Encode(&Reply{Error: "bad_message"})
+		return
+	}
+	ctx, cancel := context.WithCancel(s.Context())
+	defer cancel()
+	defer context.AfterFunc(t.ctx, cancel)()
+	t.handler(ctx, q, func(r *Reply) error { return e.Encode(r) })
+}
+
 func quicConfig() *quic.Config {
 	return &quic.Config{
 		HandshakeIdleTimeout: 2 * time.Second,
--- a/internal/box/transport_test.go
+++ b/internal/box/transport_test.go
@@ -48,7 +48,7 @@
 	return v
 }
 
-// eachTransport runs f over each kind of links.
+// eachTransport runs f as a subtest over each transport.
 func eachTransport(t *testing.T, f func(t *testing.T, newEndpoint func(Handler) *Endpoint)) {
 	t.Helper()
 	t.Run("quic", func(t *testing.T) {
@@ -84,8 +84,8 @@
 	})
 }
 
-// TestHangingUpEndsTheHandler checks that a box which no longer waits for a
-// place is noticed by its owner.
+// TestHangingUpEndsTheHandler checks that ending a call cancels its handler's context, so that an
+// owner notices when a box no longer waits for a slot.
 func TestHangingUpEndsTheHandler(t *testing.T) {
 	eachTransport(t, func(t *testing.T, newEndpoint func(Handler) *Endpoint) {
 		handlerDone := make(chan struct{})
@@ -119,7 +119,7 @@
 	}
 }
 
-// TestStrangersAreRefused joins a box whose certificate another authority signed.
+// TestStrangersAreRefused checks that a box with a certificate of another authority cannot call.
 func TestStrangersAreRefused(t *testing.T) {
 	reached := false
 	server, client := newMutualTLS(t)
@@ -143,14 +143,14 @@
 	}
 	defer func() { _ = untrusted.Close() }()
 	if _, err := untrusted.Endpoint().CallOnce(t.Context(), a.Address(), &Request{Kind: KindHeartbeat}); err == nil || reached {
-		t.Errorf("stranger: got %v, reached %v, want to be refused", err, reached)
+		t.Errorf("untrusted box: got %v, handler reached %v, want an error and false", err, reached)
 	}
 	if _, err := trusted.Endpoint().CallOnce(t.Context(), a.Address(), &Request{Kind: KindHeartbeat}); err != nil {
-		t.Errorf("friend: got %v", err)
+		t.Errorf("trusted box: got %v, want no error", err)
 	}
 }
 
-// FuzzDecodeRequest reads any message without a panic.
+// FuzzDecodeRequest checks that DecodeRequest does not panic on any input.
 func FuzzDecodeRequest(f *testing.F) {
 	for _, q := range []Request{
 		{Kind: KindHeartbeat, From: Member{Name: "a"}},
--- a/internal/resource/box.go
+++ b/internal/resource/box.go
@@ -6,8 +6,8 @@
 	Spec BoxSpec
 }
 
-// BoxSpec tells where a box is. Each box writes its own.
+// BoxSpec describes the location of a box. Each box writes its own.
 type BoxSpec struct {
-	Address string `json:"address"` // IP:port for other boxes
+	Address string `json:"address"` // IP:port for calls from other boxes
 	Hall    string `json:"hall"`
 }
--- a/internal/resource/check.go
+++ b/internal/resource/check.go
@@ -28,16 +28,16 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]*[a-z0-9])?$`)
 
-// Fault is one thing wrong with a resource.
+// Fault is a validation error of a resource.
 type Fault struct {
 	Field   string `json:"field"` // the path of the field, such as "spec.kvTokens"
 	Message string `json:"message"`
 }
 
-// Faults is every fault of a resource; it is an error where it is not empty.
+// Faults holds all validation errors of a resource. Use it as an error only if it is not empty.
 type Faults []Fault
 
-// Check returns every fault of r, and nil where it is sound.
+// Check validates r and returns all faults, or nil if it is valid.
 func Check(r *Resource) Faults {
 	var f Faults
 	if !slices.Contains(Kinds, r.Kind) {
@@ -54,7 +54,8 @@
 	return f
 }
 
-// Decode reads r's spec into a value of the kind's type; unknown fields are faults.
+// Decode decodes r's spec as a T, which must be the spec type of its kind. Unknown fields and
+// trailing data are errors.
 func Decode[T any](r *Resource) (*T, error) {
 	v := new(T)
 	d := json.NewDecoder(bytes.NewReader(r.Spec))
@@ -68,7 +69,7 @@
 	return v, nil
 }
 
-// Error lists the faults, one after another.
+// Error returns the faults, separated by semicolons.
 func (f Faults) Error() string {
 	var s []string
 	for _, x := range f {
@@ -151,7 +152,7 @@
 	case RepeatNever, RepeatSafely:
 	case RepeatResume:
 		if !s.Stream {
-			f.add("spec.repeat", "may be %q only where the answer is a stream", RepeatResume)
+			f.add("spec.repeat", "may be %q only if the response is a stream", RepeatResume)
 		}
 	default:
 		f.add("spec.repeat", "must be %q, %q or %q, not %q", RepeatNever, RepeatResume, RepeatSafely, s.Repeat)
@@ -206,7 +207,7 @@
 		return
 	}
 	if _, err := netip.ParseAddrPort(u.Host); err != nil {
-		f.add("spec.address", "must name an IP number and a port, not %q", u.Host)
+		f.add("spec.address", "must name an IP address and a port, not %q", u.Host)
 	}
 }
 
--- a/internal/resource/engine.go
+++ b/internal/resource/engine.go
@@ -5,16 +5,17 @@
 // EngineSpec describes the model engines of a service.
 type EngineSpec struct {
 	KVTokens       int      `json:"kvTokens"`                // memory for prompts and outputs, in tokens
-	LinkMbps       float64  `json:"linkMbps,omitempty"`      // of the link over which memory is copied
-	MaxBatch       int      `json:"maxBatch"`                // generations at once
+	LinkMbps       float64  `json:"linkMbps,omitempty"`      // bandwidth of the link over which generation memory is copied, in Mbit/s
+	MaxBatch       int      `json:"maxBatch"`                // maximum concurrent generations
 	Migrates       bool     `json:"migrates,omitempty"`      // running generations can be moved to another engine
-	Models         []string `json:"models,omitempty"`        // that its engines run
-	Standby        bool     `json:"standby,omitempty"`       // an engine can send a running generation's memory to another one
-	BytesPerToken  float64  `json:"tokenBytes,omitempty"`    // of memory a token
-	TokensPerEvent int      `json:"tokensAnEvent,omitempty"` // of a stream
+	Models         []string `json:"models,omitempty"`        // the models that its engines serve
+	Standby        bool     `json:"standby,omitempty"`       // an engine can send the memory of a running generation to another one
+	BytesPerToken  float64  `json:"tokenBytes,omitempty"`    // memory per token
+	TokensPerEvent int      `json:"tokensAnEvent,omitempty"` // tokens per stream event
 }
 
-// CopyTime returns how long the link takes to copy the memory of that many tokens.
+// CopyTime returns how long the link takes to copy the memory of the given number of tokens, or 0
+// if its bandwidth is unknown.
 func (e *EngineSpec) CopyTime(tokens int) time.Duration {
 	if e.LinkMbps <= 0 {
 		return 0
--- a/internal/resource/evacuation.go
+++ b/internal/resource/evacuation.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// EvacuationSpec declares that nothing further is sent to the upstreams of a data hall.
-// What runs there goes on.
+// EvacuationSpec declares that no new work is sent to the upstreams of a data hall. Running work
+// continues.
 type EvacuationSpec struct {
-	Hall string `json:"hall"` // the data hall's name
+	Hall string `json:"hall"`
 }
 
-// evacuations are the evacuations in force, and the halls that they name.
+// evacuations holds the current evacuations and the halls that they name.
 type evacuations struct {
-	halls     map[string]time.Time // when this box learned that a hall is evacuated
-	hallOf    map[string]string    // by resource: its hall; two may name one hall
-	learnedAt map[string]time.Time // by resource: when this box learned of one that is new
+	halls     map[string]time.Time // by hall: when this box learned of its evacuation
+	hallOf    map[string]string    // by resource name: its hall; several may name the same hall
+	learnedAt map[string]time.Time // by resource name: when this box learned of it; cleared by rebuild
 }
 
 func newEvacuations() evacuations {
 	return evacuations{halls: make(map[string]time.Time), hallOf: make(map[string]string), learnedAt: make(map[string]time.Time)}
 }
 
-// rebuild makes the halls anew, and reports whether any has come or gone. A hall that
-// stays evacuated keeps the moment at which this box learned of it.
+// rebuild recomputes the evacuated halls and reports whether any was added or removed. A hall that
+// stays evacuated keeps the time at which this box learned of it.
 func (e *evacuations) rebuild() (changed bool) {
 	old := e.halls
 	e.halls = make(map[string]time.Time, len(e.hallOf))
--- a/internal/resource/evacuation_test.go
+++ b/internal/resource/evacuation_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// evacuate sets or withdraws an evacuation under a name.
+// evacuate declares or withdraws an evacuation of a hall under a resource name.
 func evacuate(v *View, revision int64, name, hall string, withdrawn bool) {
 	s := json.RawMessage(fmt.Sprintf(`{"hall":%q}`, hall))
 	v.Merge(&Batch{Revision: revision, Source: SourceEvacuations, Changes: []Change{{
@@ -15,9 +15,9 @@
 	}}})
 }
 
-// TestEvacuationCoversItsHall sets and withdraws evacuations: the upstreams of the halls
-// that are named take nothing, what runs there stays, and a hall named twice is taken back
-// with the second withdrawal. Upstreams that join an evacuated hall take nothing either.
+// TestEvacuationCoversItsHall declares and withdraws evacuations. Upstreams in an evacuated hall,
+// including those that join later, must accept no new work but keep what runs. A hall named by two
+// evacuations stays evacuated until both are withdrawn.
 func TestEvacuationCoversItsHall(t *testing.T) {
 	v, now := NewView(), time.Now()
 	addUpstream := func(revision int64, name, hall string) {
@@ -33,32 +33,32 @@
 		for n, w := range want {
 			u := v.Upstream(n)
 			if got := u.AcceptsWork(now); got != w || !u.KeepsWork(now) {
-				t.Errorf("%s: %s: got takes %v, stays %v; want %v, true", step, n, got, u.KeepsWork(now), w)
+				t.Errorf("%s: %s: got accepts work %v, keeps work %v; want %v, true", step, n, got, u.KeepsWork(now), w)
 			}
 		}
 		for _, u := range v.UpstreamsOfService("desk") {
 			if u.AcceptsWork(now) != want[u.Name] {
-				t.Errorf("%s: %s in its service's list: got takes %v, want %v", step, u.Name, u.AcceptsWork(now), want[u.Name])
+				t.Errorf("%s: %s in its service's list: got accepts work %v, want %v", step, u.Name, u.AcceptsWork(now), want[u.Name])
 			}
 		}
 	}
-	checkAccepts("none", map[string]bool{"a1": true, "b1": true})
+	checkAccepts("no evacuation", map[string]bool{"a1": true, "b1": true})
 	evacuate(v, 3, "one", "a", false)
-	checkAccepts("a", map[string]bool{"a1": false, "b1": true})
+	checkAccepts("a evacuated", map[string]bool{"a1": false, "b1": true})
 	addUpstream(4, "a2", "a")
-	checkAccepts("an upstream joins", map[string]bool{"a1": false, "a2": false, "b1": true})
+	checkAccepts("an upstream joins a", map[string]bool{"a1": false, "a2": false, "b1": true})
 	since := v.Upstream("a1").EvacuatedAt
 	evacuate(v, 5, "two", "a", false)
 	evacuate(v, 6, "three", "b", false)
-	checkAccepts("a twice, b", map[string]bool{"a1": false, "a2": false, "b1": false})
+	checkAccepts("a twice and b evacuated", map[string]bool{"a1": false, "a2": false, "b1": false})
 	evacuate(v, 7, "one", "a", true)
 	evacuate(v, 8, "three", "b", true)
-	checkAccepts("a once", map[string]bool{"a1": false, "a2": false, "b1": true})
+	checkAccepts("one evacuation of a left", map[string]bool{"a1": false, "a2": false, "b1": true})
 	if got := v.Upstream("a1").EvacuatedAt; got != since {
 		t.Errorf("evacuated since: got %v, want %v", got, since)
 	}
 	evacuate(v, 9, "two", "a", true)
-	checkAccepts("taken back", map[string]bool{"a1": true, "a2": true, "b1": true})
+	checkAccepts("both withdrawn", map[string]bool{"a1": true, "a2": true, "b1": true})
 	evacuate(v, 10, "two", "a", false)
-	checkAccepts("again", map[string]bool{"a1": false, "a2": false, "b1": true})
+	checkAccepts("a evacuated again", map[string]bool{"a1": false, "a2": false, "b1": true})
 }
--- a/internal/resource/file.go
+++ b/internal/resource/file.go
@@ -9,18 +9,18 @@
 	"strings"
 )
 
-// FileFault is one thing wrong with a file of resources.
+// FileFault is one error in a resource file.
 type FileFault struct {
 	Fault
-	Line     int    // on which the resource begins, or on which reading failed
+	Line     int    // line on which the resource begins, or on which parsing failed
 	Resource string // kind and name
 }
 
-// FileFaults is every fault of a file of resources.
+// FileFaults holds all errors in a resource file.
 type FileFaults []FileFault
 
-// Read reads a file of resources: JSON objects one after another, or lists of
-// them. It returns every fault that it finds.
+// Read parses a resource file: a sequence of JSON objects, or lists of them. It returns all faults
+// that it finds.
 func Read(b []byte) ([]*Resource, FileFaults) {
 	var l []*Resource
 	var faults FileFaults
@@ -40,7 +40,7 @@
 	}
 }
 
-// ErrorIn returns the faults as an error that names the file.
+// ErrorIn returns the faults as one error, with the path and line of each.
 func (f FileFaults) ErrorIn(path string) error {
 	var l []string
 	for _, x := range f {
@@ -86,8 +86,8 @@
 	return 1 + bytes.Count(b[:min(offset, len(b))], []byte("\n"))
 }
 
-// lineOfField returns how many lines into raw the last part of a field's path
-// stands, or 0 where it is missing.
+// lineOfField returns the line, counted from 0 at the start of raw, on which the last element of a
+// field's path first occurs, or 0 if it does not.
 func lineOfField(raw []byte, field string) int {
 	n := field[strings.LastIndexByte(field, '.')+1:]
 	n, _, _ = strings.Cut(n, "[")
--- a/internal/resource/leap.go
+++ b/internal/resource/gap.go
@@ -1,13 +1,23 @@
 package resource
 
-// revisionGap is a step from one revision of a source to another between which something
-// may have come and gone that the view never knew.
+// revisionGap is a range of revisions of a source that the view skipped. Resources may have been
+// added and removed in it without the view seeing them.
 type revisionGap struct{ from, to int64 }
 
-// maxGaps bounds the leaps that are remembered; the oldest are taken together.
+// maxGaps bounds the gaps that are remembered; beyond it, the two oldest are merged.
 const maxGaps = 32
 
-// recordGap takes in that the view goes to revision r of a source in one step.
+// inGap reports whether a revision of a source lies inside a gap of the view.
+func (v *View) inGap(s Source, r int64) bool {
+	for _, l := range v.gaps[s] {
+		if l.from < r && r < l.to {
+			return true
+		}
+	}
+	return false
+}
+
+// recordGap records that the view advances to revision r of a source in one step.
 func (v *View) recordGap(s Source, r int64) {
 	v.floors[s] = max(v.floors[s], r)
 	from := v.revisions[s]
@@ -20,13 +30,3 @@
 		v.gaps[s] = l[1:]
 	}
 }
-
-// inGap reports whether a revision of a source lies inside a leap of the view.
-func (v *View) inGap(s Source, r int64) bool {
-	for _, l := range v.gaps[s] {
-		if l.from < r && r < l.to {
-			return true
-		}
-	}
-	return false
-}
--- a/internal/resource/index.go
+++ b/internal/resource/index.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// index holds decoded copies of resources, so that a request decodes nothing.
-// View's lock guards it.
+// index holds decoded resources, so that handling a request decodes none. It is guarded by the
+// lock of View.
 type index struct {
 	boxes       map[string]*Box
 	evacuations evacuations
@@ -21,14 +21,14 @@
 	upstreams   map[string]*Upstream
 	workspaces  map[string]*Workspace
 
-	// Made by rebuild from the above.
+	// Derived from the above by rebuild.
 	byKey     map[string]*Workspace  // by key hash
-	byModel   map[string][]*Upstream // by model, in order of name; made when asked for
-	byHost    map[string][]*Route    // the longest prefix first
-	byService map[string][]*Upstream // by service, in order of name; made when asked for
-	joined    map[string]*Upstream   // upstreams with their services
+	byModel   map[string][]*Upstream // by model, sorted by name; filled on demand
+	byHost    map[string][]*Route    // by host, longest prefix first
+	byService map[string][]*Upstream // by service, sorted by name; filled on demand
+	joined    map[string]*Upstream   // by name: upstreams completed with their services
 
-	// What rebuild has to make anew.
+	// What rebuild has to recompute.
 	changedUpstreams []string // by name
 	hallsOutdated    bool
 	keysOutdated     bool
@@ -36,7 +36,6 @@
 	servicesChanged  bool
 }
 
-// newIndex returns an empty index.
 func newIndex() index {
 	return index{
 		boxes: make(map[string]*Box), evacuations: newEvacuations(), leaving: newLeavingNotices(), limits: make(map[string]LimitsSpec), priorities: make(map[string]int), routeSpecs: make(map[string]RouteSpec),
@@ -45,8 +44,8 @@
 	}
 }
 
-// join completes an upstream from its service, where that is declared, and tells whether
-// its hall is evacuated.
+// join returns an upstream completed with the defaults of its service, if declared, and with the
+// time since which its hall is evacuated.
 func (x *index) join(u *Upstream) *Upstream {
 	s, evacuatedAt := x.services[u.Spec.Service], x.evacuations.halls[u.Spec.Hall]
 	if s == nil && evacuatedAt.IsZero() {
@@ -71,7 +70,7 @@
 	return &v
 }
 
-// list returns the upstreams for which keep says so, by name.
+// list returns the upstreams for which keep returns true, sorted by name.
 func (x *index) list(keep func(*Upstream) bool) []*Upstream {
 	var l []*Upstream
 	for _, u := range x.joined {
@@ -83,7 +82,7 @@
 	return l
 }
 
-// put takes in one change; rebuild must follow.
+// put stores one change. The caller must call rebuild afterwards.
 func (x *index) put(c Change, source Source, now time.Time) {
 	n := c.Resource.Metadata.Name
 	switch c.Resource.Kind {
@@ -127,7 +126,7 @@
 	}
 }
 
-// rebuild makes what is derived from several resources, as far as they have changed:
+// rebuild recomputes what is derived from several resources, but only the parts that changed:
 // upstreams come and go every second, and there may be thousands.
 func (x *index) rebuild() {
 	x.rebuildUpstreams()
@@ -141,8 +140,8 @@
 	}
 }
 
-// rebuildKeys makes the workspaces by key. Of several with one key, the first name has
-// it, so that all boxes agree.
+// rebuildKeys recomputes the workspaces by key hash. If several workspaces declare one key, the
+// first by name gets it, so that all boxes agree.
 func (x *index) rebuildKeys() {
 	x.byKey = make(map[string]*Workspace)
 	for _, n := range slices.Sorted(maps.Keys(x.workspaces)) {
@@ -156,7 +155,7 @@
 	}
 }
 
-// rebuildRoutes makes the routes by host.
+// rebuildRoutes recomputes the routes by host.
 func (x *index) rebuildRoutes() {
 	x.byHost = make(map[string][]*Route)
 	for n, s := range x.routeSpecs {
@@ -170,8 +169,8 @@
 	}
 }
 
-// rebuildUpstreams joins the upstreams that have changed with their services, or all
-// where a service has or a hall was evacuated or taken back.
+// rebuildUpstreams joins the changed upstreams with their services, or all upstreams if a service
+// changed or the evacuation of a hall began or ended.
 func (x *index) rebuildUpstreams() {
 	if x.hallsOutdated {
 		x.hallsOutdated = false
@@ -197,7 +196,7 @@
 	x.changedUpstreams, x.servicesChanged = nil, false
 }
 
-// putSpec keeps a decoded spec in step with one change.
+// putSpec updates a map of decoded specs with one change.
 func putSpec[S, T any](m map[string]T, c Change, decoded func(*S) T) {
 	n := c.Resource.Metadata.Name
 	delete(m, n)
--- a/internal/resource/index_test.go
+++ b/internal/resource/index_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// lookups returns what a view answers to every question about the resources drawn.
+// lookups returns the results of every lookup of the resources that drawChange can draw.
 func lookups(v *View) []any {
 	var l []any
 	for i := range 3 {
@@ -57,7 +57,7 @@
 	return ""
 }
 
-// naiveRoute finds a route by reading all as they stand.
+// naiveRoute finds a route by a linear search of all resources.
 func naiveRoute(t *rapid.T, v *View, i int) string {
 	for _, r := range v.List(KindRoute) {
 		s, err := Decode[RouteSpec](r)
@@ -71,7 +71,7 @@
 	return ""
 }
 
-// naiveCount counts the upstreams that run a model by reading all as they stand.
+// naiveCount counts the upstreams of a model by a linear search of all resources.
 func naiveCount(t *rapid.T, v *View, i int) int {
 	n := 0
 	for _, r := range v.List(KindUpstream) {
@@ -86,8 +86,8 @@
 	return n
 }
 
-// TestIndexAgreesWithOneMadeAnew compares a view that took changes one by one, and
-// was asked in between, with one that is told the resources as they stand at once.
+// TestIndexAgreesWithOneMadeAnew guards against stale indices: a view that got changes one by one,
+// with lookups in between, must answer like one that got the resulting resources at once.
 func TestIndexAgreesWithOneMadeAnew(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := NewView()
--- a/internal/resource/leaving.go
+++ b/internal/resource/leaving.go
@@ -1,40 +1,39 @@
 package resource
 
-// leavingNotices are what upstreams told themselves: that they are leaving. View's lock guards
-// them.
+// leavingNotices holds the announcements of upstreams that they are leaving. It is guarded by the
+// lock of View.
 type leavingNotices struct {
-	startedAt map[string]int64 // by name: of the start that told
-	unlisted  []string         // names that told and are not listed, the one that is longest not first
+	startedAt map[string]int64 // by name: start time of the process that announced it, in Unix milliseconds
+	unlisted  []string         // announced names that are not listed, longest absent first
 }
 
-// maxUnlisted bounds the words that are remembered of upstreams which are not listed: their
-// entries may go while the store is away, and come back with it.
+// maxUnlisted bounds the notices kept for upstreams that are not listed. They are kept because an
+// entry may disappear during an outage of the store and return afterwards.
 const maxUnlisted = 4096
 
-// newLeavingNotices returns no words.
 func newLeavingNotices() leavingNotices {
 	return leavingNotices{startedAt: make(map[string]int64)}
 }
 
-// stillLeaving reports whether an upstream whose new entry has a spec leaves by its own word; before
-// is the upstream as it was listed, or nil. A word is of one start; and operators may take
-// back what they declared, which upstreams do not.
-func (l *leavingNotices) stillLeaving(name string, before *Upstream, s *UpstreamSpec, source Source) bool {
-	if source == SourceUpstreams && s.Leaving {
-		l.startedAt[name] = max(l.startedAt[name], s.Born) // an upstream writes its entry itself
-		return true
+// markUnlisted notes that an upstream has no entry, and forgets the oldest such notice beyond
+// maxUnlisted.
+func (l *leavingNotices) markUnlisted(name string, listed map[string]*Upstream) {
+	if _, announced := l.startedAt[name]; !announced {
+		return
 	}
-	born, announced := l.startedAt[name]
-	withdrawn := source == SourceResources && before != nil && before.Spec.Leaving && !s.Leaving
-	if announced && (s.Born > born || withdrawn) {
-		delete(l.startedAt, name)
-		return false
+	l.unlisted = append(l.unlisted, name)
+	if len(l.unlisted) <= maxUnlisted {
+		return
+	}
+	oldest := l.unlisted[0]
+	l.unlisted = l.unlisted[1:]
+	if listed[oldest] == nil {
+		delete(l.startedAt, oldest)
 	}
-	return announced
 }
 
-// record takes in the word of an upstream, which is listed as u or not at all, and reports
-// whether that changes what is known of a listed one.
+// record stores the announcement of an upstream, which is listed as u or unlisted if u is nil. It
+// reports whether that changes the state of a listed upstream.
 func (l *leavingNotices) record(name string, born int64, u *Upstream) bool {
 	if b, recorded := l.startedAt[name]; (recorded && b >= born) || (u != nil && u.Spec.Born > born) {
 		return false
@@ -43,18 +42,19 @@
 	return u != nil && !u.IsLeaving()
 }
 
-// markUnlisted takes in that an upstream is not listed, or not any more.
-func (l *leavingNotices) markUnlisted(name string, listed map[string]*Upstream) {
-	if _, announced := l.startedAt[name]; !announced {
-		return
-	}
-	l.unlisted = append(l.unlisted, name)
-	if len(l.unlisted) <= maxUnlisted {
-		return
+// stillLeaving reports whether an announcement of the upstream still holds once its entry has spec
+// s; before is the upstream as listed so far, or nil. An announcement is valid for one process, so
+// that a later start revokes it. Operators may withdraw a declared departure; upstreams may not.
+func (l *leavingNotices) stillLeaving(name string, before *Upstream, s *UpstreamSpec, source Source) bool {
+	if source == SourceUpstreams && s.Leaving {
+		l.startedAt[name] = max(l.startedAt[name], s.Born) // the upstream writes its own entry
+		return true
 	}
-	oldest := l.unlisted[0]
-	l.unlisted = l.unlisted[1:]
-	if listed[oldest] == nil {
-		delete(l.startedAt, oldest)
+	born, announced := l.startedAt[name]
+	withdrawn := source == SourceResources && before != nil && before.Spec.Leaving && !s.Leaving
+	if announced && (s.Born > born || withdrawn) {
+		delete(l.startedAt, name)
+		return false
 	}
+	return announced
 }
--- a/internal/resource/leaving_test.go
+++ b/internal/resource/leaving_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// putUpstream takes in an entry of upstream u, of a source.
+// putUpstream merges one change of the entry of an upstream.
 func putUpstream(v *View, s Source, revision int64, name, spec string, deleted bool) {
 	c := Change{Deleted: deleted, Revision: revision, Resource: &Resource{Kind: KindUpstream, Metadata: Metadata{Name: name}, Spec: json.RawMessage(spec)}}
 	v.Merge(&Batch{Changes: []Change{c}, Revision: revision, Source: s})
 }
 
-// TestWordOfLeavingHolds takes in what an upstream says of itself and what its entry says, in
-// orders in which they may come: once it told that it leaves, only a later start of it, or an
-// operator, brings it back.
+// TestWordOfLeavingHolds delivers an upstream's announcements that it is leaving, and its entries,
+// in various orders. Once announced, only a later start of its process, or an operator, may make
+// it accept work again.
 func TestWordOfLeavingHolds(t *testing.T) {
 	entryReady := func(born int) func(v *View, revision int64) {
 		return func(v *View, revision int64) {
@@ -40,22 +40,22 @@
 		steps []step
 		takes bool
 	}{
-		{"it tells", []step{entryReady(5), announces(5)}, false},
-		{"an entry written before comes later", []step{entryReady(5), announces(5), entryReady(5)}, false},
-		{"its entry goes and comes back", []step{entryReady(5), announces(5), removed, entryReady(5)}, false},
-		{"it tells before its entry comes", []step{announces(5), entryReady(5)}, false},
-		{"it tells after its entry went, which comes back", []step{entryReady(5), removed, announces(5), entryReady(5)}, false},
-		{"it tells no birth", []step{entryReady(0), announces(0), entryReady(0)}, false},
-		{"its entry says so, and one written before comes later", []step{entryReady(5), entryLeaving, entryReady(5)}, false},
-		{"its entry says so, and it starts again", []step{entryReady(5), entryLeaving, entryReady(6)}, true},
-		{"it starts again", []step{entryReady(5), announces(5), entryReady(6)}, true},
-		{"it starts again after its entry went", []step{entryReady(5), announces(5), removed, entryReady(6)}, true},
-		{"the word of the start before comes late", []step{entryReady(5), entryReady(6), announces(5)}, true},
-		{"the later start leaves, too", []step{entryReady(5), announces(5), entryReady(6), announces(6)}, false},
-		{"the later start tells before its entry comes", []step{entryReady(5), announces(6), entryReady(6)}, false},
-		{"it begins to tell its birth", []step{entryReady(0), announces(0), entryReady(6)}, true},
-		{"an operator takes it back", []step{declared(true), announces(0), declared(false)}, true},
-		{"an operator changes something else", []step{declared(false), announces(0), declared(false)}, false},
+		{"it announces", []step{entryReady(5), announces(5)}, false},
+		{"an entry written earlier arrives afterwards", []step{entryReady(5), announces(5), entryReady(5)}, false},
+		{"its entry is removed and returns", []step{entryReady(5), announces(5), removed, entryReady(5)}, false},
+		{"it announces before its entry arrives", []step{announces(5), entryReady(5)}, false},
+		{"it announces after its entry was removed, and the entry returns", []step{entryReady(5), removed, announces(5), entryReady(5)}, false},
+		{"its start time is unknown", []step{entryReady(0), announces(0), entryReady(0)}, false},
+		{"its entry announces it, and one written earlier arrives afterwards", []step{entryReady(5), entryLeaving, entryReady(5)}, false},
+		{"its entry announces it, and it restarts", []step{entryReady(5), entryLeaving, entryReady(6)}, true},
+		{"it restarts", []step{entryReady(5), announces(5), entryReady(6)}, true},
+		{"it restarts after its entry was removed", []step{entryReady(5), announces(5), removed, entryReady(6)}, true},
+		{"the announcement of the previous process arrives late", []step{entryReady(5), entryReady(6), announces(5)}, true},
+		{"the restarted process announces, too", []step{entryReady(5), announces(5), entryReady(6), announces(6)}, false},
+		{"the restarted process announces before its entry arrives", []step{entryReady(5), announces(6), entryReady(6)}, false},
+		{"its start time becomes known", []step{entryReady(0), announces(0), entryReady(6)}, true},
+		{"an operator withdraws it", []step{declared(true), announces(0), declared(false)}, true},
+		{"an operator changes another field", []step{declared(false), announces(0), declared(false)}, false},
 	} {
 		v := NewView()
 		for i, s := range x.steps {
@@ -63,13 +63,13 @@
 		}
 		u := v.Upstream("u")
 		if u == nil || u.AcceptsWork(time.Now()) != x.takes {
-			t.Errorf("%s: got %+v, want that it takes new work: %v", x.name, u, x.takes)
+			t.Errorf("%s: got %+v, want accepts work %v", x.name, u, x.takes)
 		}
 	}
 }
 
-// TestWordsOfUnlistedUpstreamsAreBounded has more upstreams tell that they leave than are
-// remembered once their entries have gone. Those that are listed are remembered.
+// TestWordsOfUnlistedUpstreamsAreBounded has more unlisted upstreams announce that they are
+// leaving than are remembered. The announcement of a listed upstream must not be evicted.
 func TestWordsOfUnlistedUpstreamsAreBounded(t *testing.T) {
 	v := NewView()
 	putUpstream(v, SourceUpstreams, 1, "listed", `{"hall":"a"}`, false)
@@ -78,10 +78,10 @@
 		v.NoteLeaving(fmt.Sprint("u-", i), 0)
 	}
 	if got, want := len(v.index.leaving.startedAt), maxUnlisted+1; got != want {
-		t.Errorf("words: got %d, want %d", got, want)
+		t.Errorf("notices: got %d, want %d", got, want)
 	}
 	putUpstream(v, SourceUpstreams, 2, "listed", `{"hall":"a","coldMilliseconds":5}`, false)
 	if v.Upstream("listed").AcceptsWork(time.Now()) {
-		t.Error("a listed upstream that told that it leaves takes new work")
+		t.Error("a listed upstream that announced that it is leaving accepts new work")
 	}
 }
--- a/internal/resource/limits.go
+++ b/internal/resource/limits.go
@@ -1,15 +1,15 @@
 package resource
 
-// LimitsName names the one Limits resource that is in force.
+// LimitsName is the name of the only Limits resource that takes effect.
 const LimitsName = "entry"
 
-// LimitsSpec declares what callers may send at most, and how long their connections
-// may rest. A field of 0 bounds nothing beyond the box's own settings.
+// LimitsSpec declares limits on clients' requests and connections. A field of 0 adds no limit to
+// the box's own settings.
 type LimitsSpec struct {
-	// BodyBytes bounds a request's body.
+	// BodyBytes is the maximum size of a request's body.
 	BodyBytes int64 `json:"bodyBytes,omitempty"`
-	// HeaderBytes bounds the names and values of a request's header.
+	// HeaderBytes is the maximum total size of the names and values in a request's header.
 	HeaderBytes int `json:"headerBytes,omitempty"`
-	// IdleTimeout is how long a connection without a request is kept.
+	// IdleTimeout is how long a connection without a request is kept open.
 	IdleTimeout Milliseconds `json:"idleTimeoutMilliseconds,omitempty"`
 }
--- a/internal/resource/lookup.go
+++ b/internal/resource/lookup.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// maxNamesCached bounds the names whose lists of upstreams are kept: callers name models,
-// and unknown names must not fill the memory.
+// maxNamesCached bounds the cached lists of upstreams. Clients choose the model names, so unknown
+// names must not fill the memory.
 const maxNamesCached = 1024
 
-// Boxes returns the boxes that wrote where they are, by name.
+// Boxes returns the boxes that have published their address, sorted by name.
 func (v *View) Boxes() []*Box {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
@@ -29,14 +29,14 @@
 	return len(v.index.workspaces) > 0
 }
 
-// Limits returns the limits in force; where none are declared, nothing is bounded.
+// Limits returns the declared limits, or the zero value, which limits nothing.
 func (v *View) Limits() LimitsSpec {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
 	return v.index.limits[LimitsName]
 }
 
-// Route returns the route of a request to a host and path, or nil.
+// Route returns the route for a host and path, or nil.
 func (v *View) Route(host, path string) *Route {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
@@ -48,43 +48,43 @@
 	return nil
 }
 
-// Service returns the service of that name, or nil.
+// Service returns the service of the given name, or nil.
 func (v *View) Service(name string) *Service {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
 	return v.index.services[name]
 }
 
-// Upstream returns the upstream of that name, or nil.
+// Upstream returns the upstream of the given name, or nil.
 func (v *View) Upstream(name string) *Upstream {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
 	return v.index.joined[name]
 }
 
-// Upstreams returns the upstreams for which keep says so, by name.
+// Upstreams returns the upstreams for which keep returns true, sorted by name.
 func (v *View) Upstreams(keep func(*Upstream) bool) []*Upstream {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
 	return v.index.list(keep)
 }
 
-// UpstreamsOfModel returns the engines that run a model, by name. Callers must not
-// change the list.
+// UpstreamsOfModel returns the engines that serve a model, sorted by name. Callers must not modify
+// the slice.
 func (v *View) UpstreamsOfModel(model string) []*Upstream {
 	return v.cached(model, func(x *index) map[string][]*Upstream { return x.byModel }, func(u *Upstream) bool { return slices.Contains(u.Spec.Models, model) })
 }
 
-// UpstreamsOfService returns the upstreams of a service, by name. Callers must not
-// change the list.
+// UpstreamsOfService returns the upstreams of a service, sorted by name. Callers must not modify
+// the slice.
 func (v *View) UpstreamsOfService(name string) []*Upstream {
 	return v.cached(name, func(x *index) map[string][]*Upstream { return x.byService }, func(u *Upstream) bool { return u.Spec.Service == name })
 }
 
-// WorkspaceByKey returns the workspace that bearer key opens, or nil.
+// WorkspaceByKey returns the workspace of a bearer key, or nil.
 //
-// The hash is found by its value and then compared in constant time, so that
-// the time taken tells nothing about a key.
+// The hash is looked up in a map and then compared in constant time, so that response times reveal
+// nothing about a key.
 func (v *View) WorkspaceByKey(bearer string) *Workspace {
 	h := HashKey(bearer)
 	v.mutex.RLock()
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// cached returns the upstreams for which keep says so, from a list that is made once
-// after each change.
+// cached returns the upstreams for which keep returns true, from a cache that is cleared when
+// upstreams change.
 func (v *View) cached(key string, lists func(*index) map[string][]*Upstream, keep func(*Upstream) bool) []*Upstream {
 	v.mutex.RLock()
 	l, ok := lists(&v.index)[key]
--- a/internal/resource/milliseconds.go
+++ b/internal/resource/milliseconds.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Milliseconds is a length of time, written as a number of milliseconds.
+// Milliseconds is a duration, encoded as a number of milliseconds.
 type Milliseconds int64
 
-// Duration returns m in the standard library's type.
+// Duration converts m to a time.Duration.
 func (m Milliseconds) Duration() time.Duration {
 	return time.Duration(m) * time.Millisecond
 }
--- a/internal/resource/reference.go
+++ b/internal/resource/reference.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// Reference is the name of another resource in a resource's spec.
+// Reference is a reference to another resource in a resource's spec.
 type Reference struct {
 	Field string // the path of the field that holds it
 	Kind  Kind
 	Name  string
 }
 
-// CheckReferences returns a fault for each reference of r to a resource that
-// the view does not hold.
+// CheckReferences returns a fault for each reference of r to a resource that does not exist in the
+// view.
 func (v *View) CheckReferences(r *Resource) Faults {
 	var f Faults
 	for _, x := range References(r) {
@@ -21,7 +21,7 @@
 	return f
 }
 
-// References returns the references that r holds.
+// References returns the references in the spec of r.
 func References(r *Resource) []Reference {
 	switch r.Kind {
 	case KindUpstream:
--- a/internal/resource/resource.go
+++ b/internal/resource/resource.go
@@ -1,6 +1,6 @@
-// Package resource defines what operators declare: models, versions,
-// workspaces, priorities, services, routes and upstreams, with their checks and
-// status. Boxes keep what they know of each other in the same form.
+// Package resource defines the resources that operators declare, such as models, versions,
+// workspaces, priorities, services, routes and upstreams, together with their validation and
+// status. Boxes describe themselves in the same form.
 package resource
 
 import (
@@ -26,13 +26,12 @@
 	KindWorkspace  Kind = "Workspace"
 )
 
-// Kinds lists every kind that operators declare, in the order in which they are
-// applied.
+// Kinds lists the kinds that operators declare, in the order in which they are applied.
 var Kinds = []Kind{KindModel, KindVersion, KindPriority, KindWorkspace, KindService, KindUpstream, KindRoute, KindLimits, KindEvacuation}
 
 // Metadata identifies a resource and its version.
 type Metadata struct {
-	// Generation counts the changes of Spec, from 1.
+	// Generation counts the changes of Spec, starting at 1.
 	Generation int64 `json:"generation,omitempty"`
 	// Name is unique within a kind.
 	Name string `json:"name"`
@@ -49,22 +48,22 @@
 	Type               string    `json:"type"`   // such as "InForce"
 }
 
-// HallStatus tells how far a resource is in force in one data hall.
+// HallStatus describes in how many boxes of a data hall a resource is in effect.
 type HallStatus struct {
-	Boxes   int    `json:"boxes"`   // boxes believed alive
-	Hall    string `json:"hall"`    // the data hall's name
-	InForce int    `json:"inForce"` // boxes with this generation in force
+	Boxes   int    `json:"boxes"` // boxes considered alive
+	Hall    string `json:"hall"`
+	InForce int    `json:"inForce"` // boxes in which this generation is in effect
 	Unknown int    `json:"unknown"` // boxes that did not answer
 }
 
-// Status is what the system observes about a resource.
+// Status is the observed state of a resource.
 type Status struct {
 	Conditions         []Condition  `json:"conditions,omitempty"`
 	Halls              []HallStatus `json:"halls,omitempty"`
 	ObservedGeneration int64        `json:"observedGeneration,omitempty"`
 }
 
-// Resource is one declared object; Spec holds the JSON of the kind's spec.
+// Resource is a declared object. Spec holds the kind's spec as JSON.
 type Resource struct {
 	Kind     Kind            `json:"kind"`
 	Metadata Metadata        `json:"metadata"`
@@ -72,24 +71,24 @@
 	Status   *Status         `json:"status,omitempty"`
 }
 
-// Revision returns the revision of the resource's last write, or 0.
+// Revision returns the revision of the resource's last write, or 0 if unknown.
 func (r *Resource) Revision() int64 {
 	v, _ := strconv.ParseInt(r.Metadata.ResourceVersion, 10, 64)
 	return v
 }
 
-// ModelSpec declares a model that callers may name.
+// ModelSpec declares a model that clients may request.
 type ModelSpec struct {
-	// Default is the version used where a caller names none.
+	// Default is the version used for requests that name none.
 	Default string `json:"default,omitempty"`
-	// MaxTokens bounds the output of one generation, in tokens.
+	// MaxTokens is the maximum output of one generation, in tokens.
 	MaxTokens int `json:"maxTokens"`
 }
 
-// VersionSpec declares one version of a model and where its weights are.
+// VersionSpec declares a version of a model and the location of its weights.
 type VersionSpec struct {
 	Model   string `json:"model"`
-	Weights string `json:"weights"` // the weight store's name of the object
+	Weights string `json:"weights"` // object name in the weight store
 }
 
 // PrioritySpec declares a priority; higher values go first.
--- a/internal/resource/resource_test.go
+++ b/internal/resource/resource_test.go
@@ -84,8 +84,8 @@
 	check("", false)
 }
 
-// TestViewAgainstNaive compares a view, which takes changes in any order and
-// more than once, with the newest change of each resource.
+// TestViewAgainstNaive merges changes in random order, with repetitions, and compares the view
+// with a map of the newest change of each resource.
 func TestViewAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := NewView()
@@ -124,7 +124,7 @@
 	})
 }
 
-// FuzzRead reads any file of resources without a panic.
+// FuzzRead checks that Read does not panic on any input.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(`[{"kind":"Model","metadata":{"name":"m"},"spec":{"maxTokens":1}}]`))
 	f.Add([]byte(`{"kind":"Upstream","spec":{"address":"http://[::1]:1"}} {`))
@@ -132,19 +132,19 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		l, faults := Read(b)
 		if len(faults) > 0 && faults.ErrorIn("f").Error() == "" {
-			t.Error("faults without a message")
+			t.Error("got faults without a message")
 		}
 		for _, r := range l {
 			if r == nil {
-				t.Error("a resource that is nil")
+				t.Error("got a nil resource")
 			}
 		}
 	})
 }
 
-// TestRemovalsReachBoxesThroughThoseThatNeverSawThem gives one box a configuration
-// with a route, another one only the next configuration, without it: what the second
-// tells the first must remove the route.
+// TestRemovalsReachBoxesThroughThoseThatNeverSawThem checks that a box learns of a removal from a
+// box that never saw the removed resource: it read the source only before the resource was added
+// and after it was removed.
 func TestRemovalsReachBoxesThroughThoseThatNeverSawThem(t *testing.T) {
 	snapshot := func(s Source, revision int64, names ...string) *Batch {
 		b := &Batch{Revision: revision, Source: s, Snapshot: true}
@@ -156,7 +156,7 @@
 	for _, s := range []Source{SourceConfiguration, SourceUpstreams} {
 		behind, ahead := NewView(), NewView()
 		behind.Merge(snapshot(s, 5, "stays", "goes"))
-		ahead.Merge(snapshot(s, 3, "stays")) // before there was the one that goes
+		ahead.Merge(snapshot(s, 3, "stays")) // before "goes" was added
 		ahead.Merge(snapshot(s, 9, "stays"))
 		ahead.Merge(&Batch{Revision: 12, Source: s, Changes: []Change{{Revision: 12, Resource: &Resource{Kind: KindPriority, Metadata: Metadata{Name: "comes"}, Spec: json.RawMessage(`{"value":1}`)}}}})
 		l := ahead.Missing(behind.Revisions())
@@ -174,8 +174,8 @@
 	}
 }
 
-// TestCatchingUpEnds checks that a box has nothing left to ask for once it has taken
-// in what another one told, also where a removal that it never saw came last.
+// TestCatchingUpEnds checks that a box that has merged all that another one sent is not behind it
+// any longer, even if the last change was a removal that it never saw.
 func TestCatchingUpEnds(t *testing.T) {
 	ahead, behind := NewView(), NewView()
 	snapshot := func(names ...string) *Batch {
@@ -198,9 +198,9 @@
 	}
 }
 
-// TestViewsAgreeWhicheverWayNewsComes gives some boxes some versions of a whole
-// configuration and lets them catch up from each other at random: in the end each has
-// exactly the newest version, however many it missed.
+// TestViewsAgreeWhicheverWayNewsComes gives random boxes some versions of a configuration and lets
+// random pairs catch up. In the end, each box must hold exactly the newest version, however many
+// it missed.
 func TestViewsAgreeWhicheverWayNewsComes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const boxes = 4
@@ -224,7 +224,7 @@
 				catchUp(views[rapid.IntRange(0, boxes-1).Draw(t, "from")], views[rapid.IntRange(0, boxes-1).Draw(t, "to")])
 			}
 		}
-		for range boxes { // the newest goes from box to box
+		for range boxes { // spread the newest version around the ring
 			for i := range views {
 				catchUp(views[i], views[(i+1)%boxes])
 			}
--- a/internal/resource/route.go
+++ b/internal/resource/route.go
@@ -1,46 +1,46 @@
 package resource
 
-// Repeat tells what may be done again with a request of a route.
+// Repeat specifies how requests of a route may be retried.
 type Repeat string
 
 // The ways in which requests may be repeated.
 const (
-	RepeatNever  Repeat = "never"  // it may run at most once
-	RepeatResume Repeat = "resume" // it may run more than once, and a stream from any of its events on
-	RepeatSafely Repeat = "safely" // it may run more than once, each time as a whole
+	RepeatNever  Repeat = "never"  // a request runs at most once
+	RepeatResume Repeat = "resume" // a request may run more than once, and a stream may resume after any of its events
+	RepeatSafely Repeat = "safely" // a request may run more than once, each time from the start
 )
 
-// RouteSpec declares which requests go unchanged to which service, and how.
+// RouteSpec declares which requests are proxied unchanged to which services, and how.
 type RouteSpec struct {
-	// Attempts is how many upstreams one request may be sent to at most.
+	// Attempts is the maximum number of upstreams that one request is sent to.
 	Attempts int `json:"attempts"`
 	// Host is the request's host, without a port.
 	Host string `json:"host"`
-	// MaxEventGap is the longest time between two events of a stream that keeps the
-	// answer in time; 0 where the answer is no stream.
+	// MaxEventGap is the longest time between two events of a stream that meets the latency
+	// target; 0 if the response is not a stream.
 	MaxEventGap Milliseconds `json:"pauseMilliseconds,omitempty"`
-	// FirstEventTimeout is how long a caller waits for the first event of a stream before it goes;
-	// 0 where it waits as long as for the whole.
+	// FirstEventTimeout is how long clients wait for the first event of a stream before they
+	// disconnect; 0 if they wait for it as long as for the whole response.
 	FirstEventTimeout Milliseconds `json:"patienceMilliseconds,omitempty"`
-	// PathPrefix begins the path; of several that do, the longest one counts.
+	// PathPrefix is the start of the path. The longest matching prefix wins.
 	PathPrefix string `json:"pathPrefix"`
 	// Priority names the Priority of its requests, unless their workspace has one.
 	Priority string `json:"priority,omitempty"`
 	// Public routes need no key.
 	Public bool `json:"public,omitempty"`
-	// Repeat tells what may be done again.
+	// Repeat specifies how requests may be retried.
 	Repeat Repeat `json:"repeat"`
-	// Services are where the requests go, each by its share.
+	// Services are the destinations, weighted.
 	Services []ServiceShare `json:"services"`
-	// Stream is set where the answer is a stream of events.
+	// Stream is set if the response is an event stream.
 	Stream bool `json:"stream,omitempty"`
-	// LatencyTarget is the time within which an answer, or its first event, is wanted.
+	// LatencyTarget is the time within which the response, or its first event, should arrive.
 	LatencyTarget Milliseconds `json:"targetMilliseconds,omitempty"`
-	// Timeout is how long a request may be held.
+	// Timeout is how long a request may take at most.
 	Timeout Milliseconds `json:"timeoutMilliseconds"`
 }
 
-// ServiceShare is one of the services of a route.
+// ServiceShare is one of the services of a route, with its weight.
 type ServiceShare struct {
 	Name   string `json:"name"`
 	Weight int    `json:"weight"`
@@ -49,7 +49,7 @@
 // Route is a route with its decoded spec.
 type Route struct {
 	Name     string
-	Priority int // the value of its Priority; higher goes first
+	Priority int // value of its Priority; higher goes first
 	Spec     RouteSpec
 }
 
--- a/internal/resource/seed_test.go
+++ b/internal/resource/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// The random schedules are the same at every run.
+// The property tests use a fixed seed, so that every run checks the same cases.
 func init() {
 	_ = flag.Set("rapid.seed", "20261202")
 	_ = flag.Set("rapid.nofailfile", "true")
--- a/internal/resource/service.go
+++ b/internal/resource/service.go
@@ -6,15 +6,15 @@
 	Spec ServiceSpec
 }
 
-// ServiceSpec declares a service: upstreams that are alike.
+// ServiceSpec declares a service: a group of equivalent upstreams.
 type ServiceSpec struct {
-	// ColdPerSecond is how many requests a second an upstream bears from all boxes while
-	// it is cold; 0 is no bound.
+	// ColdPerSecond is how many requests per second, from all boxes together, an upstream can
+	// handle during its cold-start period; 0 means no limit.
 	ColdPerSecond float64 `json:"coldPerSecond,omitempty"`
-	// Engine describes its upstreams where they are model engines.
+	// Engine describes the upstreams if they are model engines.
 	Engine *EngineSpec `json:"engine,omitempty"`
-	// HealthPath is where an upstream tells whether it is well.
+	// HealthPath is the path of the health check of an upstream.
 	HealthPath string `json:"healthPath,omitempty"`
-	// MaxConnections is how many connections an upstream takes from all boxes.
+	// MaxConnections is how many connections an upstream accepts from all boxes together.
 	MaxConnections int `json:"maxConnections,omitempty"`
 }
--- a/internal/resource/tentative.go
+++ b/internal/resource/tentative.go
@@ -6,34 +6,35 @@
 	"github.com/linetiller/linetiller/internal/revision"
 )
 
-// A store that comes back from a copy tells its rows as they were some seconds before, under
-// a later era, until those that wrote them have written again. Which rows are of the copy it
-// does not tell. So what is read from it as a whole in that time is tentative: a change that
-// would take a resource back waits, until the store tells otherwise or the time is over in
-// which it is written again.
+// A store that was restored from a backup serves its rows as they were some seconds earlier,
+// under a new era, until their writers have written them again. It does not say which rows
+// come from the backup. Snapshots read in that time are therefore tentative: a change that
+// would revert a resource is held until the store reports something newer, or until the
+// period has passed in which the writers write their rows again.
 
 const (
-	// declaredHoldPeriod is how long what operators declared waits: boxes write it again themselves,
-	// and need no longer than the store takes to take writes.
+	// declaredHoldPeriod applies to resources that operators declared. Boxes write these again
+	// themselves, as soon as the store accepts writes.
 	declaredHoldPeriod = 10 * time.Minute
-	// returnHoldPeriod is how long the return of an upstream waits that had gone: the entry of one
-	// which does not live lapses after three heartbeats, 3.6 s.
+	// returnHoldPeriod applies to upstreams that return after having been removed: the entry of a
+	// dead one lapses after three missed heartbeats, 3.6 s.
 	returnHoldPeriod = 6 * time.Second
-	// defaultHoldPeriod is how long all else waits, but for upstreams that are gone; see LapseGracePeriod.
+	// defaultHoldPeriod applies to all other changes except the removal of upstreams, for which it
+	// is LapseGracePeriod.
 	defaultHoldPeriod = 3 * time.Second
-	// tentativePeriod is how long what was tentative as it came is passed on so: as long as
-	// anything waits that others may know better.
+	// tentativePeriod is how long a tentative change is reported to other boxes as tentative: as
+	// long as any change is held for which another box may have newer data.
 	tentativePeriod = returnHoldPeriod
 )
 
-// heldChange is a change that waits.
+// heldChange is a delayed change.
 type heldChange struct {
 	entry
-	due time.Time // when it is taken in, unless something newer has come
+	due time.Time // when it is applied, unless a newer change arrives first
 }
 
-// CountHeld returns how many changes of a source wait, since the store may have told them from a
-// copy.
+// CountHeld returns how many changes of a source are held because they may come from a backup of
+// the store.
 func (v *View) CountHeld(s Source) int {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
@@ -46,7 +47,7 @@
 	return n
 }
 
-// IsHeld reports whether a change of a resource waits.
+// IsHeld reports whether a change of a resource is held.
 func (v *View) IsHeld(k Kind, name string) bool {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
@@ -54,8 +55,8 @@
 	return ok
 }
 
-// PossiblyLost returns the resources of a source that the store may have lost since it came back from
-// a copy, as they are in force.
+// PossiblyLost returns the current version of the resources of a source that the store may have
+// lost when it was restored from a backup.
 func (v *View) PossiblyLost(s Source) []Change {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
@@ -68,8 +69,8 @@
 	return l
 }
 
-// hold has a change wait; the lock is held. Of one era it waits from when the first one came;
-// each further copy from which the store comes back is one that may be old.
+// hold delays a change. The caller holds the lock. The period starts with the first held change of
+// a resource, and again with each later era, since each restore may bring back stale data.
 func (v *View) hold(k string, e *entry, d time.Duration) {
 	h, held := v.held[k]
 	if held && h.Revision >= e.Revision {
@@ -83,7 +84,18 @@
 	v.held[k] = h
 }
 
-// releaseHeld takes in the changes that have waited long enough.
+// outgoing returns the change of a resource as it is reported to other boxes: the held one, if
+// any. The caller holds the lock.
+func (v *View) outgoing(k string, e *entry) Change {
+	if h, ok := v.held[k]; ok {
+		return h.Change
+	}
+	c := e.Change
+	c.Tentative = !e.tentativeUntil.IsZero() && v.now().Before(e.tentativeUntil)
+	return c
+}
+
+// releaseHeld applies the held changes that are due.
 func (v *View) releaseHeld() {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -100,18 +112,8 @@
 	}
 }
 
-// outgoing returns the change of a resource as it is passed on: the one that waits, where there
-// is one; the lock is held.
-func (v *View) outgoing(k string, e *entry) Change {
-	if h, ok := v.held[k]; ok {
-		return h.Change
-	}
-	c := e.Change
-	c.Tentative = !e.tentativeUntil.IsZero() && v.now().Before(e.tentativeUntil)
-	return c
-}
-
-// holdPeriod returns for how long a change waits that is to replace old: 0 where it does not.
+// holdPeriod returns for how long a change that would replace old is held, or 0 if it is applied
+// at once.
 func holdPeriod(old, e *entry) time.Duration {
 	if !e.Tentative || revision.Era(old.Revision) >= revision.Era(e.Revision) || !mayBeStale(old, e) {
 		return 0
@@ -127,8 +129,8 @@
 	return returnHoldPeriod
 }
 
-// mayBeStale reports whether a change may be of before old. A lower version under a later era is
-// either of the copy, or was given out again.
+// mayBeStale reports whether a change may be older than old. A lower version under a later era
+// either comes from the backup, or is a version number assigned a second time.
 func mayBeStale(old, e *entry) bool {
 	if e.Deleted {
 		return !old.Deleted
@@ -139,7 +141,8 @@
 	return e.source != SourceUpstreams || !provesNewer(old, e)
 }
 
-// provesNewer reports whether an upstream's entry tells what cannot be of before another one.
+// provesNewer reports whether the content of an upstream's entry proves that it is newer than the
+// old one.
 func provesNewer(old, e *entry) bool {
 	x, err := Decode[UpstreamSpec](e.Resource)
 	if err != nil {
--- a/internal/resource/tentative_test.go
+++ b/internal/resource/tentative_test.go
@@ -9,37 +9,37 @@
 	"github.com/linetiller/linetiller/internal/revision"
 )
 
-// upstreamChange returns a change of the entry of upstream u.
+// upstreamChange returns a change of the entry of the upstream "u".
 func upstreamChange(spec string, r int64, tentative bool) Change {
 	return Change{Resource: &Resource{Kind: KindUpstream, Metadata: Metadata{Name: "u"}, Spec: json.RawMessage(spec)}, Revision: r, Tentative: tentative}
 }
 
-// restoredSnapshot returns what a read of the list of upstreams brings right after the store came back
-// from a copy.
+// restoredSnapshot returns a snapshot of the list of upstreams as read just after the store was
+// restored from a backup.
 func restoredSnapshot(version int64, changes ...Change) *Batch {
 	return &Batch{Changes: changes, Revision: revision.Of(1, version), Source: SourceUpstreams, Tentative: true, Snapshot: true}
 }
 
-// TestWhatTheCopyTellsWaits gives a view entries of upstreams, and then what the store tells
-// from a copy of before: what would take one back waits, what goes forward does not, and what
-// is written under the later era is taken in at once.
+// TestWhatTheCopyTellsWaits merges entries of an upstream and then a snapshot of a restored store.
+// A change that would revert the entry must be held; one that is provably newer must be applied at
+// once. A peer that catches up from the view must see the same.
 func TestWhatTheCopyTellsWaits(t *testing.T) {
 	const ready, leaving = `{"born":5,"models":["m"]}`, `{"born":5,"leaving":true}`
 	for _, x := range []struct {
 		name   string
-		before []Change // at era 0
-		copied []Change // tentative, at era 1
-		now    string   // the entry's spec at once; "" is none
-		later  string   // the same once all has waited long enough
-		wait   time.Duration
+		before []Change      // at era 0
+		copied []Change      // tentative, at era 1
+		now    string        // the entry's spec right after the merge; empty if there is none
+		later  string        // the same after the hold period
+		wait   time.Duration // the hold period; 0 if the change is applied at once
 	}{
 		{"an older entry", []Change{upstreamChange(leaving, 9, false)}, []Change{upstreamChange(ready, revision.Of(1, 4), true)}, leaving, ready, returnHoldPeriod},
 		{"a newer entry", []Change{upstreamChange(leaving, 3, false)}, []Change{upstreamChange(ready, revision.Of(1, 4), true)}, ready, ready, 0},
-		{"an older entry of one that leaves", []Change{upstreamChange(ready, 9, false)}, []Change{upstreamChange(leaving, revision.Of(1, 4), true)}, leaving, leaving, 0},
-		{"an entry of a later start", []Change{upstreamChange(leaving, 9, false)}, []Change{upstreamChange(`{"born":6}`, revision.Of(1, 4), true)}, `{"born":6}`, `{"born":6}`, 0},
-		{"one that had gone", []Change{upstreamChange(ready, 8, false), {Deleted: true, Resource: &Resource{Kind: KindUpstream, Metadata: Metadata{Name: "u"}}, Revision: 9}}, []Change{upstreamChange(ready, revision.Of(1, 4), true)}, "", ready, returnHoldPeriod},
-		{"one that is lacking", []Change{upstreamChange(ready, 9, false)}, nil, ready, "", LapseGracePeriod},
-		{"the entry as it stands", []Change{upstreamChange(ready, 4, false)}, []Change{upstreamChange(ready, revision.Of(1, 4), true)}, ready, ready, 0},
+		{"an older entry that announces leaving", []Change{upstreamChange(ready, 9, false)}, []Change{upstreamChange(leaving, revision.Of(1, 4), true)}, leaving, leaving, 0},
+		{"an entry of a restarted process", []Change{upstreamChange(leaving, 9, false)}, []Change{upstreamChange(`{"born":6}`, revision.Of(1, 4), true)}, `{"born":6}`, `{"born":6}`, 0},
+		{"an entry that had been removed", []Change{upstreamChange(ready, 8, false), {Deleted: true, Resource: &Resource{Kind: KindUpstream, Metadata: Metadata{Name: "u"}}, Revision: 9}}, []Change{upstreamChange(ready, revision.Of(1, 4), true)}, "", ready, returnHoldPeriod},
+		{"a missing entry", []Change{upstreamChange(ready, 9, false)}, nil, ready, "", LapseGracePeriod},
+		{"an unchanged entry", []Change{upstreamChange(ready, 4, false)}, []Change{upstreamChange(ready, revision.Of(1, 4), true)}, ready, ready, 0},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -64,24 +64,24 @@
 					peer.Merge(&b)
 				}
 				check("at once", v, x.now)
-				check("at once, at a box that was told", peer, x.now)
+				check("at once, at the peer", peer, x.now)
 				if x.wait > 0 {
 					time.Sleep(x.wait - time.Millisecond)
-					check("a moment before its time", v, x.now)
+					check("just before the hold period ends", v, x.now)
 				}
 				time.Sleep(time.Second)
 				check("later", v, x.later)
-				check("later, at a box that was told", peer, x.later)
+				check("later, at the peer", peer, x.later)
 				if got := v.CountHeld(SourceUpstreams); got != 0 {
-					t.Errorf("changes that wait later: got %d, want none", got)
+					t.Errorf("held changes later: got %d, want none", got)
 				}
 			})
 		})
 	}
 }
 
-// TestWhatIsWrittenAgainIsTakenAtOnce has an upstream write its entry under the later era
-// while the one of the copy waits: it is taken in, and the other one is dropped.
+// TestWhatIsWrittenAgainIsTakenAtOnce has an upstream write its entry under the new era while the
+// one from the backup is held. The new entry must be applied at once and the held one dropped.
 func TestWhatIsWrittenAgainIsTakenAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := NewView()
@@ -89,7 +89,7 @@
 		v.Merge(&Batch{Changes: []Change{c}, Revision: 9, Source: SourceUpstreams})
 		v.Merge(restoredSnapshot(6, upstreamChange(`{"models":["old"]}`, revision.Of(1, 4), true)))
 		if !v.IsHeld(KindUpstream, "u") {
-			t.Error("the entry of the copy: got taken in, want it to wait")
+			t.Error("the entry from the backup: got it applied, want it held")
 		}
 		again := revision.Of(1, 7)
 		v.Merge(&Batch{Changes: []Change{upstreamChange(`{"models":["again"]}`, again, false)}, Revision: again, Source: SourceUpstreams})
@@ -100,28 +100,28 @@
 			}
 		}
 		if v.IsHeld(KindUpstream, "u") {
-			t.Error("the entry of the copy: got it waiting still, want it dropped")
+			t.Error("the entry from the backup: got it still held, want it dropped")
 		}
 	})
 }
 
-// TestWhatWaitsGoesByTheNewestWord has changes wait, and then a whole batch tell otherwise: what
-// it names as it stands stays, and what it does not name does not come back.
+// TestWhatWaitsGoesByTheNewestWord merges a snapshot that contradicts a held change. A resource
+// that the snapshot names unchanged must stay, and one that it does not name must not return.
 func TestWhatWaitsGoesByTheNewestWord(t *testing.T) {
 	const ready = `{"born":5,"models":["m"]}`
 	removed := Change{Deleted: true, Resource: &Resource{Kind: KindUpstream, Metadata: Metadata{Name: "u"}}, Revision: 9}
 	for _, x := range []struct {
 		name   string
 		before []Change
-		first  *Batch // has a change wait
+		first  *Batch // causes a change to be held
 		second *Batch
-		want   bool // the upstream is there later
+		want   bool // whether the upstream exists in the end
 	}{
-		{"lacking, then there as it stands", []Change{upstreamChange(ready, 9, false)}, restoredSnapshot(6), restoredSnapshot(8, upstreamChange(ready, revision.Of(1, 7), true)), true},
-		{"lacking, then there by an older row", []Change{upstreamChange(ready, 9, false)}, restoredSnapshot(6), restoredSnapshot(8, upstreamChange(ready, revision.Of(1, 5), true)), true},
-		{"there again, then lacking", []Change{upstreamChange(ready, 8, false), removed}, restoredSnapshot(6, upstreamChange(ready, revision.Of(1, 4), true)), restoredSnapshot(8), false},
+		{"missing, then present unchanged", []Change{upstreamChange(ready, 9, false)}, restoredSnapshot(6), restoredSnapshot(8, upstreamChange(ready, revision.Of(1, 7), true)), true},
+		{"missing, then present by an older row", []Change{upstreamChange(ready, 9, false)}, restoredSnapshot(6), restoredSnapshot(8, upstreamChange(ready, revision.Of(1, 5), true)), true},
+		{"present again, then missing", []Change{upstreamChange(ready, 8, false), removed}, restoredSnapshot(6, upstreamChange(ready, revision.Of(1, 4), true)), restoredSnapshot(8), false},
 		{
-			"gone, and lapsed at another box",
+			"removed, and lapsed at another box",
 			[]Change{upstreamChange(ready, 8, false), removed},
 			restoredSnapshot(6),
 			&Batch{Changes: []Change{upstreamChange(`{"born":5,"lapsed":true}`, revision.Of(1, 7), false)}, Revision: revision.Of(1, 7), FromView: true, Source: SourceUpstreams}, false,
@@ -138,15 +138,15 @@
 				v.Merge(x.second)
 				time.Sleep(2 * returnHoldPeriod)
 				if got := v.Get(KindUpstream, "u") != nil; got != x.want {
-					t.Errorf("got there %v, want %v", got, x.want)
+					t.Errorf("got upstream present %v, want %v", got, x.want)
 				}
 			})
 		})
 	}
 }
 
-// TestEachCopyIsWaitedFor has the store come back from a copy a second time while a change of
-// the first one waits: the time begins anew.
+// TestEachCopyIsWaitedFor has the store restored a second time while a change of the first restore
+// is held. The hold period must start again.
 func TestEachCopyIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := NewView()
@@ -164,8 +164,8 @@
 	})
 }
 
-// TestBoxBehindBringsNothingBack has a view read a whole table that holds nothing, and then hear
-// from a box that is behind that read of what was there before.
+// TestBoxBehindBringsNothingBack merges an empty snapshot, and then older data of a box that is
+// behind it. The removed upstream must not return.
 func TestBoxBehindBringsNothingBack(t *testing.T) {
 	behind, v := NewView(), NewView()
 	behind.Merge(&Batch{Changes: []Change{upstreamChange("{}", 3, false)}, Revision: 3, Source: SourceUpstreams})
@@ -174,16 +174,16 @@
 		v.Merge(&b)
 	}
 	if have := v.Revisions(); have.Behind(behind.Revisions()) {
-		t.Errorf("having heard it: got behind a box at 3, at %v, so that it is asked again and again", have)
+		t.Errorf("after the merge: got %v, behind a box at 3, so that it would be asked again and again", have)
 	}
 	if v.Get(KindUpstream, "u") != nil {
-		t.Error("got an upstream that had gone, want none")
+		t.Error("got an upstream that had been removed, want none")
 	}
 }
 
-// TestWholeReadTellsOthersWhatItNeverKnew has a view read a whole table in which an upstream is no
-// longer, that it never knew, and hear of a later change: a box that knows the upstream and is
-// behind that read hears from it that the upstream has gone.
+// TestWholeReadTellsOthersWhatItNeverKnew checks that a peer learns of the removal of an upstream
+// from a view that never knew the upstream: the view read a snapshot without it and then a later
+// change.
 func TestWholeReadTellsOthersWhatItNeverKnew(t *testing.T) {
 	peer, v := NewView(), NewView()
 	peer.Merge(&Batch{Changes: []Change{upstreamChange("{}", 11, false)}, Revision: 11, Source: SourceUpstreams})
@@ -194,6 +194,6 @@
 		peer.Merge(&b)
 	}
 	if peer.Get(KindUpstream, "u") != nil {
-		t.Errorf("at %v: got an upstream that had gone, want none", peer.Revisions())
+		t.Errorf("at %v: got an upstream that had been removed, want none", peer.Revisions())
 	}
 }
--- a/internal/resource/upstream.go
+++ b/internal/resource/upstream.go
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// Upstream is an upstream with its decoded spec, completed from its service.
+// Upstream is an upstream with its decoded spec, completed with the defaults of its service.
 type Upstream struct {
-	ColdUntil       time.Time // until when it is cold, as far as its entry told
-	EvacuatedAt     time.Time // when this box learned that its hall is evacuated; zero where it is not
-	LapsedAt        time.Time // when this box learned that its entry had gone; zero where it stands
+	ColdUntil       time.Time // end of its cold-start period, according to its entry
+	EvacuatedAt     time.Time // when this box learned that its hall is evacuated; zero if it is not
+	LapsedAt        time.Time // when this box learned that its entry has lapsed; zero if it has not
 	Name            string
-	Service         *Service // nil where its service is not declared
+	Service         *Service // nil if its service is not declared
 	Spec            UpstreamSpec
-	ReportedLeaving bool // it said itself that it is leaving; see View.NoteLeaving
+	ReportedLeaving bool // it announced itself that it is leaving; see View.NoteLeaving
 }
 
 // UpstreamSpec declares an engine or a plain service.
 type UpstreamSpec struct {
 	Address     string       `json:"address"`                    // http://IP:port
-	Born        int64        `json:"born,omitempty"`             // when its process started, in Unix milliseconds; 0 where it is not told. It tells one start under a name from the next
-	ChecksFence bool         `json:"checksFence,omitempty"`      // it refuses orders with an old fence
-	Cold        Milliseconds `json:"coldMilliseconds,omitempty"` // how much longer it is cold, from when the entry was written
-	Hall        string       `json:"hall"`                       // the data hall it stands in
+	Born        int64        `json:"born,omitempty"`             // start time of its process in Unix milliseconds, 0 if unknown; distinguishes successive processes of one name
+	ChecksFence bool         `json:"checksFence,omitempty"`      // it rejects orders with an outdated fencing token
+	Cold        Milliseconds `json:"coldMilliseconds,omitempty"` // rest of the cold-start period when the entry was written
+	Hall        string       `json:"hall"`                       // the data hall in which it runs
 	KVTokens    int          `json:"kvTokens,omitempty"`         // engine: memory for prompts and outputs, in tokens
-	Lapsed      bool         `json:"lapsed,omitempty"`           // its entry went while the platform's store was away; it may be back
+	Lapsed      bool         `json:"lapsed,omitempty"`           // its entry was removed while the store was unavailable; it may return
 	Leaving     bool         `json:"leaving,omitempty"`          // it gets no new work
-	MaxBatch    int          `json:"maxBatch,omitempty"`         // engine: generations at once within the inter-token target
-	Models      []string     `json:"models,omitempty"`           // engine: the models it runs
-	Repeatable  []string     `json:"repeatable,omitempty"`       // service: methods that may be repeated
-	Service     string       `json:"service,omitempty"`          // service: the name in /services/NAME/
+	MaxBatch    int          `json:"maxBatch,omitempty"`         // engine: concurrent generations within the inter-token latency target
+	Models      []string     `json:"models,omitempty"`           // engine: the models that it serves
+	Repeatable  []string     `json:"repeatable,omitempty"`       // service: methods that may be retried
+	Service     string       `json:"service,omitempty"`          // service: the NAME in the path /services/NAME/
 	Type        UpstreamType `json:"type"`
 }
 
-// UpstreamType tells a model engine from a plain service.
+// UpstreamType distinguishes model engines from other services.
 type UpstreamType string
 
 // The types of upstreams.
@@ -44,12 +44,12 @@
 	UpstreamService UpstreamType = "service"
 )
 
-// LapseGracePeriod is how long an upstream whose entry went while the store was away
-// is still used: entries of those that live are back within about two seconds.
+// LapseGracePeriod is how long an upstream stays in use after its entry disappeared during an
+// outage of the store. Live upstreams write their entries again within about two seconds.
 const LapseGracePeriod = 1800 * time.Millisecond
 
-// MarkLapsed returns a copy of an upstream's resource whose entry has gone while the
-// platform's store was away.
+// MarkLapsed returns a copy of an upstream's resource, marked as lapsed at a revision: its entry
+// disappeared during an outage of the store.
 func MarkLapsed(r *Resource, revision int64) (*Resource, error) {
 	s, err := Decode[UpstreamSpec](r)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return &c, nil
 }
 
-// isLapsed reports whether a resource is an upstream whose entry has gone; see Lapsed.
+// isLapsed reports whether a resource is a lapsed upstream; see MarkLapsed.
 func isLapsed(r *Resource) bool {
 	if r.Kind != KindUpstream {
 		return false
@@ -75,7 +75,12 @@
 	return err == nil && s.Lapsed
 }
 
-// Engine returns the description of the upstream's engines, or nil.
+// AcceptsWork reports whether the upstream may be given new work.
+func (u *Upstream) AcceptsWork(now time.Time) bool {
+	return !u.Evacuated() && u.KeepsWork(now)
+}
+
+// Engine returns the engine settings of the upstream's service, or nil.
 func (u *Upstream) Engine() *EngineSpec {
 	if u.Service == nil {
 		return nil
@@ -89,13 +94,14 @@
 	return a
 }
 
-// Cold reports whether the upstream is known to be cold: it bears few requests.
+// Cold reports whether the upstream is in its cold-start period, in which it can handle only few
+// requests.
 func (u *Upstream) Cold(now time.Time) bool {
 	return now.Before(u.ColdUntil)
 }
 
-// ColdPerSecond returns how many requests a second the upstream bears while it is cold; 0
-// is no bound.
+// ColdPerSecond returns how many requests per second the upstream can handle during its cold-start
+// period; 0 means no limit.
 func (u *Upstream) ColdPerSecond() float64 {
 	if u.Service == nil {
 		return 0
@@ -108,17 +114,12 @@
 	return !u.EvacuatedAt.IsZero()
 }
 
-// IsLeaving reports whether the upstream is leaving, by its entry or by its own word.
+// IsLeaving reports whether the upstream is leaving, by its entry or by its own announcement.
 func (u *Upstream) IsLeaving() bool {
 	return u.Spec.Leaving || u.ReportedLeaving
 }
 
-// AcceptsWork reports whether the upstream may be given new work.
-func (u *Upstream) AcceptsWork(now time.Time) bool {
-	return !u.Evacuated() && u.KeepsWork(now)
-}
-
-// KeepsWork reports whether what runs at the upstream may go on there.
+// KeepsWork reports whether running work may continue at the upstream.
 func (u *Upstream) KeepsWork(now time.Time) bool {
 	if u.IsLeaving() {
 		return false
--- a/internal/resource/view.go
+++ b/internal/resource/view.go
@@ -10,40 +10,40 @@
 	"time"
 )
 
-// entry is the newest change of a resource.
+// entry is the newest known change of a resource.
 type entry struct {
 	Change
 	source Source
-	// tentativeUntil is until when the change is passed on as one that the store may have told
-	// from a copy; zero for others.
+	// tentativeUntil is the time until which the change is reported to other boxes as tentative,
+	// since the store may have read it from a backup; zero if the change was not tentative.
 	tentativeUntil time.Time
 }
 
-// View is what one box knows of the resources.
+// View is one box's copy of all resources.
 //
-// The revision of each source only rises. It is safe for concurrent use; readers
-// get values that are never changed afterwards. View's lock is the innermost of
-// a box: no other lock is taken while it is held.
+// The revision of each source only increases. A View is safe for concurrent use, and the values
+// that it returns are never modified afterwards. Its mutex is the innermost lock of a box: no
+// other lock may be taken while it is held.
 type View struct {
 	mutex      sync.RWMutex          // guards the fields below
-	changed    chan struct{}         // closed at the next change
-	floors     Revisions             // of each source: older changes are accounted for
-	held       map[string]heldChange // by kind and name: changes that wait, since the store may have told them from a copy
+	changed    chan struct{}         // closed on the next change
+	floors     Revisions             // by source: changes up to this revision were part of a complete batch that was merged
+	held       map[string]heldChange // by kind and name: changes delayed because they may come from a backup of the store
 	index      index
 	gaps       map[Source][]revisionGap
 	tombstones []string // keys of removed resources, oldest first
 	now        func() time.Time
-	resources  map[string]entry // by kind and name; removals stay as marks
+	resources  map[string]entry // by kind and name; a removed resource stays as a tombstone
 	revisions  Revisions
-	// tentativeUntil is, of each source, until when what is gone from it is passed on as
-	// tentative.
+	// tentativeUntil is, by source, the time until which the absence of resources is reported to
+	// other boxes as tentative.
 	tentativeUntil map[Source]time.Time
 	version        uint64
 }
 
-// maxTombstones bounds the removals that are remembered. An older change of a
-// resource whose mark was dropped could bring it back; such a change would have
-// to be older than the last maxTombstones removals.
+// maxTombstones bounds the removals that are remembered. A late change of a resource whose
+// tombstone was dropped could bring the resource back, but only if it is older than the last
+// maxTombstones removals.
 const maxTombstones = 4096
 
 // NewView returns an empty view.
@@ -55,19 +55,19 @@
 	}
 }
 
-// Apply takes in changes that operators declared; see Take.
+// Apply merges changes that operators declared, up to revision r; see Merge.
 func (v *View) Apply(changes []Change, r int64) bool {
 	return v.Merge(&Batch{Changes: changes, Revision: r, Source: SourceResources})
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed on the next change.
 func (v *View) Changed() <-chan struct{} {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
 	return v.changed
 }
 
-// Get returns the resource of that kind and name, or nil.
+// Get returns the resource of the given kind and name, or nil.
 func (v *View) Get(k Kind, name string) *Resource {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
@@ -78,7 +78,7 @@
 	return c.Resource
 }
 
-// List returns the resources of a kind in order of name; an empty kind means all.
+// List returns the resources of a kind, or of all kinds if it is empty, sorted by kind and name.
 func (v *View) List(k Kind) []*Resource {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
@@ -94,9 +94,46 @@
 	return l
 }
 
-// Missing returns what a box with these revisions lacks of every source: what has
-// changed since, or the whole source where the box knows things that this view may
-// never have known, and so cannot name as removed.
+// Merge merges the changes of one source and advances the source to the batch's revision. It
+// reports whether anything changed.
+//
+// Changes that are not newer than the known revision of their resource are ignored, and an older
+// batch does not move the source's revision back. A resource that a snapshot repeats unchanged
+// keeps the revision of its last change. A tentative change that may restore stale data from a
+// backup of the store is delayed; see holdPeriod.
+func (v *View) Merge(b *Batch) bool {
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
+	complete := b.Snapshot || b.FromView
+	if complete && b.Revision < max(v.revisions[b.Source], v.floors[b.Source]) {
+		v.recordGap(b.Source, b.Revision)
+		v.revisions[b.Source] = max(v.revisions[b.Source], b.Revision)
+		return false // the view is already newer, from a snapshot if not from a change
+	}
+	if b.Tentative {
+		v.tentativeUntil[b.Source] = v.now().Add(tentativePeriod)
+	}
+	changed, named := v.setAll(b, complete)
+	r := b.Revision
+	if b.Snapshot && !v.removeOthers(b, named) && !b.FromView && !b.Tentative {
+		r = b.NewestRevision() // nothing was removed, so other boxes need not fetch this revision
+	} else {
+		changed = changed || b.Snapshot
+	}
+	changed = changed || r > v.revisions[b.Source]
+	if complete {
+		v.recordGap(b.Source, b.Revision)
+	}
+	v.revisions[b.Source] = max(v.revisions[b.Source], r)
+	if changed {
+		v.notifyChanged()
+	}
+	return changed
+}
+
+// Missing returns, for every source, the changes after the given revisions of another box. It
+// returns the whole source as a snapshot if the other box may hold resources that this view never
+// saw, and whose removal it therefore could not name.
 func (v *View) Missing(have Revisions) []Batch {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
@@ -116,12 +153,12 @@
 	return l
 }
 
-// NoteLeaving takes in that an upstream that was born at a time told itself that it is
-// leaving. It reports whether that is news of an upstream which is listed.
+// NoteLeaving records that an upstream, whose process started at born (Unix milliseconds),
+// announced that it is leaving. It reports whether this is new information on a listed upstream.
 //
-// An upstream that leaves does not stay: nothing that its entry says afterwards changes that,
-// since an entry may have been written before and come later, until one tells of a later
-// start under its name, or an operator who had declared it leaving takes that back.
+// An announcement is final for that process. A later write of its list entry does not revoke it,
+// because entries can arrive out of order. It is revoked only by an entry with a later start time
+// under the same name, or by an operator who had declared the upstream leaving and withdraws that.
 func (v *View) NoteLeaving(name string, born int64) bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -141,22 +178,22 @@
 	return true
 }
 
-// Revision returns the revision in force of what operators declared.
+// Revision returns the current revision of the resources that operators declared.
 func (v *View) Revision() int64 {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
 	return v.revisions[SourceResources]
 }
 
-// Revisions returns the revisions of all sources.
+// Revisions returns the current revisions of all sources.
 func (v *View) Revisions() Revisions {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
 	return maps.Clone(v.revisions)
 }
 
-// Since returns the newest change of every declared resource changed after r, in
-// order of revision, removals included, with the revision in force.
+// Since returns the newest change, including removals, of every declared resource changed after
+// revision r, ordered by revision, and the current revision.
 func (v *View) Since(r int64) ([]Change, int64) {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
@@ -164,58 +201,21 @@
 	return v.since(SourceResources, r, inForce), v.revisions[SourceResources]
 }
 
-// SourceOf returns the source of a resource that the view holds.
+// SourceOf returns the source of a resource of the view.
 func (v *View) SourceOf(r *Resource) Source {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
 	return v.resources[key(r.Kind, r.Metadata.Name)].source
 }
 
-// Merge takes in changes of one source and then stands at their revision.
-//
-// A change at or below the revision in force of its own resource is passed
-// over, and a revision below the current one leaves that as it is, so that
-// neither ever falls. A resource that a whole batch tells again as it stands keeps the
-// revision of its last change. A tentative change that would go back to what may be of a copy
-// of the store waits; see holdPeriod. Take reports whether anything was taken in.
-func (v *View) Merge(b *Batch) bool {
-	v.mutex.Lock()
-	defer v.mutex.Unlock()
-	complete := b.Snapshot || b.FromView
-	if complete && b.Revision < max(v.revisions[b.Source], v.floors[b.Source]) {
-		v.recordGap(b.Source, b.Revision)
-		v.revisions[b.Source] = max(v.revisions[b.Source], b.Revision)
-		return false // the view is ahead of it, by a whole read if not by a change
-	}
-	if b.Tentative {
-		v.tentativeUntil[b.Source] = v.now().Add(tentativePeriod)
-	}
-	changed, named := v.setAll(b, complete)
-	r := b.Revision
-	if b.Snapshot && !v.removeOthers(b, named) && !b.FromView && !b.Tentative {
-		r = b.NewestRevision() // others lack nothing, and need not ask for it
-	} else {
-		changed = changed || b.Snapshot
-	}
-	changed = changed || r > v.revisions[b.Source]
-	if complete {
-		v.recordGap(b.Source, b.Revision)
-	}
-	v.revisions[b.Source] = max(v.revisions[b.Source], r)
-	if changed {
-		v.notifyChanged()
-	}
-	return changed
-}
-
-// Version rises with every change of the view.
+// Version returns a number that increases with every change of the view.
 func (v *View) Version() uint64 {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
 	return v.version
 }
 
-// dropTombstones forgets the oldest removals beyond maxTombstones.
+// dropTombstones removes the oldest tombstones beyond maxTombstones.
 func (v *View) dropTombstones() {
 	for len(v.tombstones) > maxTombstones {
 		if e, ok := v.resources[v.tombstones[0]]; ok && e.Deleted {
@@ -225,7 +225,8 @@
 	}
 }
 
-// live returns all resources of a source that stand.
+// live returns the resources of a source that are not deleted, as they are reported to other
+// boxes.
 func (v *View) live(s Source) []Change {
 	var l []Change
 	for k, e := range v.resources {
@@ -239,7 +240,39 @@
 	return l
 }
 
-// removeOthers removes what a whole batch does not name.
+// matches reports whether the view holds the resource with the source and spec of e, not deleted.
+func (v *View) matches(k string, e *entry) bool {
+	old, ok := v.resources[k]
+	return ok && !old.Deleted && !e.Deleted && old.source == e.source && bytes.Equal(old.Resource.Spec, e.Resource.Spec)
+}
+
+// notifyChanged rebuilds the derived indices and wakes the waiters of Changed. The caller holds
+// the lock.
+func (v *View) notifyChanged() {
+	v.index.rebuild()
+	v.version++
+	close(v.changed)
+	v.changed = make(chan struct{})
+}
+
+// reconcile reports whether a change of a snapshot differs from what the view holds and has to be
+// stored. If it differs although its revision is already known, or a held change has to be
+// replaced by the unchanged resource, the change gets the revision of the snapshot.
+func (v *View) reconcile(k string, e *entry, b *Batch) bool {
+	h, held := v.held[k]
+	unchanged := v.matches(k, e)
+	if unchanged && (!held || h.Revision >= b.Revision) {
+		return false
+	}
+	if unchanged || e.Revision <= v.revisions[b.Source] {
+		e.Revision, e.Redated = b.Revision, true // the content changed without a revision newer than the known one
+		e.Tentative = e.Tentative || b.Tentative
+	}
+	return true
+}
+
+// removeOthers marks the resources of the source that a snapshot does not name as deleted. It
+// reports whether anything changed.
 func (v *View) removeOthers(b *Batch, named map[string]bool) bool {
 	changed := false
 	for k, e := range v.resources {
@@ -247,7 +280,7 @@
 			continue
 		}
 		if h, held := v.held[k]; e.Deleted && (!held || h.Revision >= b.Revision) {
-			continue // else others hear that what waits is not there, either
+			continue // a held change older than the snapshot must be replaced, so that other boxes learn of its absence, too
 		}
 		e.Deleted, e.Revision, e.Tentative = true, b.Revision, b.Tentative
 		changed = v.set(k, e) || changed
@@ -255,12 +288,13 @@
 	return changed
 }
 
-// replaces reports whether a change takes the place of the one before now, or has it wait.
+// replaces reports whether a change replaces the current one now. A change that has to wait is
+// held.
 func (v *View) replaces(k string, old, e *entry) bool {
 	if old.Revision >= e.Revision {
 		return false
 	}
-	e.Deleted = e.Deleted || (old.Deleted && isLapsed(e.Resource)) // what has lapsed at another box does not come back here
+	e.Deleted = e.Deleted || (old.Deleted && isLapsed(e.Resource)) // a lapsed entry of another box must not bring back an upstream that is gone here
 	if d := holdPeriod(old, e); d > 0 {
 		v.hold(k, e, d)
 		return false
@@ -268,7 +302,7 @@
 	return true
 }
 
-// set takes in one change, unless the view has a newer one.
+// set stores a change unless the view has a newer one, and reports whether it did.
 func (v *View) set(k string, e entry) bool {
 	old, ok := v.resources[k]
 	if ok && !v.replaces(k, &old, &e) {
@@ -288,15 +322,15 @@
 	return true
 }
 
-// setAll takes in the changes of a batch. It returns whether any was news, and the
-// keys of the resources that the batch names.
+// setAll stores the changes of a batch. It returns whether any was new, and the keys of the
+// resources that the batch names.
 func (v *View) setAll(b *Batch, complete bool) (changed bool, named map[string]bool) {
 	named = make(map[string]bool, len(b.Changes))
 	for _, c := range b.Changes {
 		k := key(c.Resource.Kind, c.Resource.Metadata.Name)
 		named[k] = true
 		if c.Revision <= v.floors[b.Source] && !complete {
-			continue // it is accounted for
+			continue // covered by an earlier complete batch
 		}
 		e := entry{Change: c, source: b.Source}
 		if b.Snapshot && !v.reconcile(k, &e, b) {
@@ -307,32 +341,8 @@
 	return changed, named
 }
 
-// reconcile reports whether a whole batch tells something anew with one of its changes, which is
-// then dated by the batch where its own revision is one that the view knows.
-func (v *View) reconcile(k string, e *entry, b *Batch) bool {
-	h, held := v.held[k]
-	unchanged := v.matches(k, e)
-	if unchanged && (!held || h.Revision >= b.Revision) {
-		return false
-	}
-	if unchanged || e.Revision <= v.revisions[b.Source] {
-		e.Revision, e.Redated = b.Revision, true // it was otherwise at the revision known here, and has changed since
-		e.Tentative = e.Tentative || b.Tentative
-	}
-	return true
-}
-
-// notifyChanged makes the indices those of the resources as they stand and tells of the
-// change; the lock is held.
-func (v *View) notifyChanged() {
-	v.index.rebuild()
-	v.version++
-	close(v.changed)
-	v.changed = make(chan struct{})
-}
-
-// since returns the newest change of each resource of a source changed after r, as change
-// returns it, in order of revision.
+// since returns the newest change of each resource of a source changed after revision r, ordered
+// by revision. The change of an entry is what the given function makes of it.
 func (v *View) since(s Source, r int64, change func(k string, e *entry) Change) []Change {
 	var l []Change
 	for k, e := range v.resources {
@@ -349,12 +359,6 @@
 	return l
 }
 
-// matches reports whether a resource stands as e says.
-func (v *View) matches(k string, e *entry) bool {
-	old, ok := v.resources[k]
-	return ok && !old.Deleted && !e.Deleted && old.source == e.source && bytes.Equal(old.Resource.Spec, e.Resource.Spec)
-}
-
 func key(k Kind, name string) string {
 	return string(k) + "/" + name
 }
--- a/internal/resource/workspace.go
+++ b/internal/resource/workspace.go
@@ -3,19 +3,19 @@
 // Workspace is a workspace with its decoded spec.
 type Workspace struct {
 	Name        string
-	Priority    int  // the value of its Priority
-	HasPriority bool // it has a Priority
+	Priority    int  // value of its Priority
+	HasPriority bool // its Priority is declared
 	Spec        WorkspaceSpec
 }
 
 // WorkspaceSpec declares a workspace.
 type WorkspaceSpec struct {
-	// KeyHashes are hex SHA-256 hashes of the bearer keys that open it.
+	// KeyHashes are the hex SHA-256 hashes of the bearer keys that grant access.
 	KeyHashes []string `json:"keyHashes"`
-	// MaxQueued bounds the requests of it that wait at one box.
+	// MaxQueued limits how many of its requests wait at one box.
 	MaxQueued int `json:"maxQueued,omitempty"`
-	// Priority names the Priority used where a request names none.
+	// Priority names the Priority of requests that name none.
 	Priority string `json:"priority,omitempty"`
-	// Weight is its share of a crowded upstream relative to the others.
+	// Weight is its share of an overloaded upstream relative to other workspaces.
 	Weight float64 `json:"weight,omitempty"`
 }
