--- a/ask.go
+++ b/ask.go
@@ -29,7 +29,7 @@
 			return err
 		}
 		if r.State == box.StateLeaving {
-			b.members.Left(owner)
+			b.members.MarkLeaving(owner)
 		}
 		if err := answer(r); err != nil || (r.Answer != nil && r.Answer.Verdict != policy.VerdictQueue) {
 			return err
--- a/assemble.go
+++ b/assemble.go
@@ -52,8 +52,8 @@
 	b.assembleFollower(store)
 	b.keys.Era = b.follower.Era
 	b.limits = newLimits()
-	b.limits.limiter.Ask = b.askPermit
-	b.rests = health.NewRests(b.view)
+	b.limits.limiter.RequestPermits = b.askPermit
+	b.rests = health.NewBackoffs(b.view)
 
 	b.owners = ownership.New(b.view, b.members, lengths, b.metrics, b.log,
 		ownership.WithCold(ownership.Cold(s.Cold)), ownership.WithMaxQueued(s.Limits.Queued), ownership.WithReportEvery(s.Timeouts.Report.Duration))
@@ -122,14 +122,14 @@
 }
 
 func (b *Box) assembleOrders() {
-	k := lease.NewKeeper(b.settings.Box + "/" + crand.Text())
+	k := lease.NewManager(b.settings.Box + "/" + crand.Text())
 	k.Commit = b.store.Commit
 	k.Era = b.follower.Era
 	k.Get = b.store.Get
-	k.Name = crand.Text
+	k.NewWriteID = crand.Text
 	b.orders = order.New(b.view, k, b.metrics, b.log, b.settings.Limits.WeightLoads)
-	b.orders.Give = b.engines.Order
-	b.orders.Mine = b.owners.Mine
+	b.orders.SendOrder = b.engines.Order
+	b.orders.Owns = b.owners.Mine
 	b.orders.ReadLoad = b.engines.Load
 }
 
--- a/heartbeat.go
+++ b/heartbeat.go
@@ -25,7 +25,7 @@
 		return
 	}
 	event.ClockJumped.Log(b.log, "late", late.String())
-	b.members.Reconsider(time.Now())
+	b.members.ClearFailures(time.Now())
 	ctx, cancel := context.WithTimeout(ctx, refreshPeriod)
 	defer cancel()
 	if b.follower.Renew(ctx) != nil {
@@ -36,7 +36,7 @@
 
 // heard marks a peer as alive and fetches what it is ahead by.
 func (b *Box) heard(ctx context.Context, q *box.Request) {
-	if b.members.Heard(q.From, time.Now()) {
+	if b.members.RecordContact(q.From, time.Now()) {
 		event.PeerBack.Log(b.log, "box", q.From.Name)
 	}
 	b.limits.heard(q.From.Name)
@@ -58,14 +58,14 @@
 	q := box.Request{ViewAge: b.follower.Age(), Kind: box.KindHeartbeat, LimitsDigest: b.relay.Limits().Digest(began), Loads: b.owners.Loads(), CrashesDigest: b.relay.Quarantine().Digest(began)}
 	r, err := b.links.CallOnce(ctx, m.Address, b.request(q))
 	if err != nil {
-		if b.members.Failed(m.Name, began, time.Now()) {
+		if b.members.RecordFailure(m.Name, began, time.Now()) {
 			event.PeerLost.Log(b.log, "box", m.Name, "error", err.Error())
 		}
 		return
 	}
 	m.State = r.State
 	b.learnAll(r.Loads)
-	if b.members.Heard(m, time.Now()) {
+	if b.members.RecordContact(m, time.Now()) {
 		event.PeerBack.Log(b.log, "box", m.Name)
 	}
 	if b.follower.CatchUp(ctx, m.Address, r.Revisions) == nil { // or the next heartbeat tries again
--- a/internal/box/clock.go
+++ b/internal/box/clock.go
@@ -33,8 +33,8 @@
 		shift(&q.Served[i].At, by)
 	}
 	if q.Permit != nil {
-		shift(&q.Permit.Limit.At, by)
-		shift(&q.Permit.WaitTill, by)
+		shift(&q.Permit.Limit.ReportedAt, by)
+		shift(&q.Permit.WaitUntil, by)
 	}
 	if q.Progress != nil {
 		q.Progress.shift(by)
@@ -83,7 +83,7 @@
 
 func shiftLimits(l []ratelimit.Limit, by time.Duration) {
 	for i := range l {
-		shift(&l[i].At, by)
+		shift(&l[i].ReportedAt, by)
 	}
 }
 
--- a/internal/box/silent_test.go
+++ b/internal/box/silent_test.go
@@ -96,7 +96,7 @@
 		kept        = 4
 		longTimeout = time.Minute // never reached if a reply arrives
 	)
-	concurrentPermit := &Request{Kind: KindPermit, Permit: &ratelimit.Ask{Want: 1}} // not repeatable, so never sent twice
+	concurrentPermit := &Request{Kind: KindPermit, Permit: &ratelimit.PermitRequest{Want: 1}} // not repeatable, so never sent twice
 	for _, x := range []struct {
 		q     *Request
 		first time.Duration // timeout of the first call
@@ -104,7 +104,7 @@
 	}{
 		{&Request{Kind: KindHeartbeat}, longTimeout, true},
 		{&Request{Kind: KindWatchChanges, Wait: time.Millisecond}, longTimeout, true},
-		{&Request{Kind: KindPermit, Permit: &ratelimit.Ask{}}, 3 * resendAfter, false},
+		{&Request{Kind: KindPermit, Permit: &ratelimit.PermitRequest{}}, 3 * resendAfter, false},
 	} {
 		t.Run(string(x.q.Kind), func(t *testing.T) {
 			var all sync.WaitGroup
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -8,13 +8,13 @@
 // TestTriesAreBoundedInEveryWindow takes all the tries that there are, each 10 ms, and counts
 // those in every window against what the requests in it allow.
 func TestTriesAreBoundedInEveryWindow(t *testing.T) {
-	const ratio, extra, boxes, window, every = 0.2, 40, 4, 10 * time.Second, 10 * time.Millisecond
+	const ratio, extra, boxes, window, step = 0.2, 40, 4, 10 * time.Second, 10 * time.Millisecond
 	b, start := New(ratio, extra, window, func() int { return boxes }), time.Unix(1000, 0)
-	var tries, requests []int // by step
+	var retries, requests []int // by step
 	for i := range 4000 {
-		now, n := start.Add(time.Duration(i)*every), 0
+		now, n := start.Add(time.Duration(i)*step), 0
 		if i%4 == 0 && (i < 1500 || i > 3000) { // callers pause for a window and a half
-			b.Request("s", now)
+			b.CountRequest("s", now)
 			n = 1
 		}
 		requests = append(requests, n)
@@ -22,21 +22,21 @@
 		for b.Take("s", now) {
 			taken++
 		}
-		tries = append(tries, taken)
+		retries = append(retries, taken)
 	}
-	steps := int(window / every)
-	for from := 0; from+steps <= len(tries); from++ {
-		sum, asked := 0, 0
+	steps := int(window / step)
+	for from := 0; from+steps <= len(retries); from++ {
+		retryCount, requestCount := 0, 0
 		for i := from; i < from+steps; i++ {
-			sum += tries[i]
-			asked += requests[i]
+			retryCount += retries[i]
+			requestCount += requests[i]
 		}
 		// What is judged counts the requests of the window before, too, where they are more.
 		for i := max(0, from-steps); i < from; i++ {
-			asked += requests[i]
+			requestCount += requests[i]
 		}
-		if most := ratio*float64(asked) + extra/boxes; float64(sum) > most {
-			t.Fatalf("window from step %d: got %d tries, want at most %v", from, sum, most)
+		if maxRetries := ratio*float64(requestCount) + extra/boxes; float64(retryCount) > maxRetries {
+			t.Fatalf("window from step %d: got %d tries, want at most %v", from, retryCount, maxRetries)
 		}
 	}
 	if !b.Take("another", start) {
@@ -49,12 +49,12 @@
 func TestSpentTriesCount(t *testing.T) {
 	b, now := New(0, 10, 10*time.Second, func() int { return 1 }), time.Unix(1000, 0)
 	for range 7 {
-		b.Spend("s", now)
+		b.CountRetry("s", now)
 	}
 	if b.Take("s", now) {
 		t.Error("after seven of the seven that are used: got one more, want none")
 	}
-	b.Set(0, 10, 5*time.Second)
+	b.Configure(0, 10, 5*time.Second)
 	if !b.Take("s", now) {
 		t.Error("in a new window: got none, want one")
 	}
--- a/internal/configuration/follower_test.go
+++ b/internal/configuration/follower_test.go
@@ -193,7 +193,7 @@
 		for j := range 300 {
 			l = append(l, box.Member{Hall: "a", Name: fmt.Sprint(j), State: box.StateServing})
 		}
-		m.List(l, testNow)
+		m.ApplyList(l, testNow)
 		if NewFollower(resource.NewView(), m, nil).rank() != rankNone {
 			readers++
 		}
@@ -216,7 +216,7 @@
 	halls := make(map[string]bool)
 	for _, self := range l {
 		m := member.NewTable(self)
-		m.List(l, testNow)
+		m.ApplyList(l, testNow)
 		f := NewFollower(resource.NewView(), m, nil)
 		d := f.duty()
 		ranks[d.rank]++
--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -77,7 +77,7 @@
 	held    int
 	limit   int
 	meter   *meter.Meter
-	rests   *health.Rests
+	rests   *health.Backoffs
 	retries *policy.Retries
 	silence time.Duration
 	tracker *placement.Tracker
@@ -112,7 +112,7 @@
 		Fresh:  func(context.Context) {},
 		cancel: cancel, ctx: ctx,
 		engines: e, keys: k, limit: 10_000, log: l, meter: meter.New(m), metrics: m,
-		rests: health.NewRests(v), retries: policy.NewRetries(), silence: 10 * time.Second, tracker: t, view: v,
+		rests: health.NewBackoffs(v), retries: policy.NewRetries(), silence: 10 * time.Second, tracker: t, view: v,
 	}
 	for _, o := range options {
 		o(d)
@@ -141,7 +141,7 @@
 
 // WithRests shares the times for which upstreams want nothing from this box with others that
 // send to them.
-func WithRests(r *health.Rests) Option {
+func WithRests(r *health.Backoffs) Option {
 	return func(d *Deliverer) { d.rests = r }
 }
 
@@ -295,7 +295,7 @@
 		release(d.waits, w)
 	}()
 	l, now := d.view.UpstreamsOfModel(q.Work.Model), time.Now()
-	if err := d.rests.Refusal(l, fail.Place{Peer: "upstreams", Step: "choose"}, now); err != nil {
+	if err := d.rests.AllBackingOffError(l, fail.Place{Peer: "upstreams", Step: "choose"}, now); err != nil {
 		return nil, err
 	}
 	return d.Place(ctx, &q.Work, d.rests.Avoid(l, avoid, now))
--- a/internal/delivery/session.go
+++ b/internal/delivery/session.go
@@ -301,7 +301,7 @@
 		event.UpstreamFailed.Log(s.deliverer.log, "upstream", f.upstream.Name, "reason", fail.Reason(err))
 		return nil
 	}
-	s.deliverer.rests.Served(f.upstream.Name)
+	s.deliverer.rests.RecordSuccess(f.upstream.Name)
 	f.stream = x
 	return nil
 }
@@ -310,9 +310,9 @@
 // found fault with the request, or could not be reached, it did neither.
 func (s *session) noteRefusal(u *resource.Upstream, err error) {
 	if t := fail.RetryAt(err); !t.IsZero() {
-		s.deliverer.rests.Asked(u, t)
+		s.deliverer.rests.RecordBackoff(u, t)
 	} else if fail.Reason(err) == upstream.ReasonLeaving {
-		s.deliverer.rests.Refused(u.Name, time.Now())
+		s.deliverer.rests.RecordRefusal(u.Name, time.Now())
 	}
 }
 
--- a/internal/health/cold_test.go
+++ b/internal/health/cold_test.go
@@ -12,19 +12,19 @@
 // until one is warm.
 func TestColdUpstreamGetsItsShare(t *testing.T) {
 	h, now := New("a"), time.Now()
-	h.ColdMost = func(*resource.Upstream) int { return 2 }
+	h.ColdRateLimit = func(*resource.Upstream) int { return 2 }
 	warmAt := now.Add(2500 * time.Millisecond)
 	l := []*resource.Upstream{
 		{Name: "s1", ColdUntil: warmAt, Spec: resource.UpstreamSpec{Hall: "a"}},
 		{Name: "s2", ColdUntil: warmAt, Spec: resource.UpstreamSpec{Hall: "b"}},
 	}
 	sent := make(map[string]int)
-	crowd := func(calls int) (refused int) {
+	sendBurst := func(calls int) (refused int) {
 		for range calls {
-			u, back := h.Choose(l, nil, now)
+			u, retryAt := h.Choose(l, nil, now)
 			if u == nil {
-				if !back.Equal(warmAt) {
-					t.Errorf("a call that was refused: got back at %v, want %v", back, warmAt)
+				if !retryAt.Equal(warmAt) {
+					t.Errorf("a call that was refused: got back at %v, want %v", retryAt, warmAt)
 				}
 				refused++
 				continue
@@ -34,22 +34,22 @@
 		}
 		return refused
 	}
-	if got, want := crowd(100), 96; got != want {
+	if got, want := sendBurst(100), 96; got != want {
 		t.Errorf("refused in the first second: got %d, want %d", got, want)
 	}
 	now = now.Add(1100 * time.Millisecond)
-	if got, want := crowd(100), 96; got != want {
+	if got, want := sendBurst(100), 96; got != want {
 		t.Errorf("refused in the second second: got %d, want %d", got, want)
 	}
 	l[1].ColdUntil = time.Time{}
-	if got := crowd(100); got != 0 {
+	if got := sendBurst(100); got != 0 {
 		t.Errorf("refused with one warm: got %d, want 0", got)
 	}
 	if got, want := sent["s1"], 4; got != want {
 		t.Errorf("sent to the one that is cold still: got %d, want %d", got, want)
 	}
 	now = warmAt
-	crowd(100)
+	sendBurst(100)
 	if sent["s1"] <= 4 {
 		t.Error("nothing is sent to the one that is warm again")
 	}
--- a/internal/health/rests_test.go
+++ b/internal/health/rests_test.go
@@ -9,12 +9,12 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// upstreams lists that many upstreams in a view, born at a time.
-func upstreams(v *resource.View, n int, revision, born int64) []*resource.Upstream {
+// addUpstreams lists that many upstreams in a view, born at a time.
+func addUpstreams(v *resource.View, n int, revision, startedAt int64) []*resource.Upstream {
 	var changes []resource.Change
 	for i := range n {
 		m := resource.Metadata{Name: fmt.Sprintf("u-%04d", i)}
-		spec := fmt.Sprintf(`{"hall":"a","service":"desk","type":"service","born":%d}`, born)
+		spec := fmt.Sprintf(`{"hall":"a","service":"desk","type":"service","born":%d}`, startedAt)
 		changes = append(changes, resource.Change{Revision: revision, Resource: &resource.Resource{Kind: resource.KindUpstream, Metadata: m, Spec: []byte(spec)}})
 	}
 	v.Apply(changes, revision)
@@ -27,50 +27,50 @@
 func TestRests(t *testing.T) {
 	now := time.Now()
 	v := resource.NewView()
-	l := upstreams(v, 2, 1, 5)
+	l := addUpstreams(v, 2, 1, 5)
 	a, b := l[0], l[1]
 	at := now.Add
-	r := NewRests(v)
+	r := NewBackoffs(v)
 	check := func(when string, d time.Duration, avoided int, refusedFor time.Duration) {
 		t.Helper()
 		if got := len(r.Avoid(l, nil, at(d))); got != avoided {
 			t.Errorf("%s: avoided: got %d, want %d", when, got, avoided)
 		}
-		err := r.Refusal(l, fail.Place{}, at(d))
+		err := r.AllBackingOffError(l, fail.Place{}, at(d))
 		if got := fail.RetryAt(err); (err != nil) != (refusedFor > 0) || (err != nil && !got.Equal(at(d+refusedFor))) {
 			t.Errorf("%s: got %v until %v, want a refusal for %v", when, err, got, refusedFor)
 		}
 	}
 	check("none rests", 0, 0, 0)
-	r.Asked(a, at(3*time.Second))
+	r.RecordBackoff(a, at(3*time.Second))
 	check("one rests", time.Second, 1, 0)
-	r.Asked(a, at(2*time.Second))
+	r.RecordBackoff(a, at(2*time.Second))
 	check("it asked for less later", 2500*time.Millisecond, 1, 0)
-	r.Asked(b, at(5*time.Second))
+	r.RecordBackoff(b, at(5*time.Second))
 	check("both rest", 2*time.Second, 2, time.Second)
 	check("the first has rested", 3*time.Second, 1, 0)
 	check("both have rested", 5*time.Second, 0, 0)
 
-	r.Asked(a, at(9*time.Second))
+	r.RecordBackoff(a, at(9*time.Second))
 	for i, want := range []bool{true, false} {
-		if got := r.Spend(a.Name, at(6*time.Second)); got != want {
+		if got := r.TakeProbe(a.Name, at(6*time.Second)); got != want {
 			t.Errorf("send %d to one that rests: got %v, want %v", i, got, want)
 		}
 	}
-	l = upstreams(v, 2, 2, 6)
+	l = addUpstreams(v, 2, 2, 6)
 	check("it has started again", 6*time.Second, 0, 0)
-	r.Refused(a.Name, at(6*time.Second))
+	r.RecordRefusal(a.Name, at(6*time.Second))
 	check("one has refused", 6100*time.Millisecond, 1, 0)
-	r.Refused(b.Name, at(6*time.Second))
+	r.RecordRefusal(b.Name, at(6*time.Second))
 	check("both have refused", 6100*time.Millisecond, 0, 0)
-	r.Served(b.Name)
+	r.RecordSuccess(b.Name)
 	check("the other one has served", 6100*time.Millisecond, 1, 0)
-	check("a moment later", 6*time.Second+awayFirst, 0, 0)
-	r.Refused(a.Name, at(6*time.Second+awayFirst))
-	check("it has refused again", 6*time.Second+2*awayFirst, 1, 0)
-	check("twice as long after that", 6*time.Second+3*awayFirst, 0, 0)
+	check("a moment later", 6*time.Second+minRefusalBackoff, 0, 0)
+	r.RecordRefusal(a.Name, at(6*time.Second+minRefusalBackoff))
+	check("it has refused again", 6*time.Second+2*minRefusalBackoff, 1, 0)
+	check("twice as long after that", 6*time.Second+3*minRefusalBackoff, 0, 0)
 	check("long after", time.Minute, 0, 0)
-	if got := len(r.rests) + len(r.refusals); got != 0 {
+	if got := len(r.backoffs) + len(r.refusals); got != 0 {
 		t.Errorf("kept in the end: got %d, want nothing", got)
 	}
 }
@@ -78,18 +78,18 @@
 // BenchmarkRests measures what each request pays, of 1,000 upstreams: while none rests, and
 // while three do and one has refused.
 func BenchmarkRests(b *testing.B) {
-	for _, resting := range []int{0, 3} {
-		b.Run(fmt.Sprint(resting), func(b *testing.B) {
+	for _, throttled := range []int{0, 3} {
+		b.Run(fmt.Sprint(throttled), func(b *testing.B) {
 			now := time.Now()
 			v := resource.NewView()
-			l := upstreams(v, 1000, 1, 5)
-			r := NewRests(v)
-			for i := range resting {
-				r.Asked(l[i], now.Add(time.Hour))
-				r.Refused(l[resting].Name, now)
+			l := addUpstreams(v, 1000, 1, 5)
+			r := NewBackoffs(v)
+			for i := range throttled {
+				r.RecordBackoff(l[i], now.Add(time.Hour))
+				r.RecordRefusal(l[throttled].Name, now)
 			}
 			for b.Loop() {
-				_ = r.Refusal(l, fail.Place{}, now)
+				_ = r.AllBackingOffError(l, fail.Place{}, now)
 				_ = r.Avoid(l, nil, now)
 			}
 		})
--- a/internal/health/tracker_test.go
+++ b/internal/health/tracker_test.go
@@ -13,30 +13,30 @@
 func TestUpstreamOutOfReachGetsOneRequestNowAndThen(t *testing.T) {
 	h, now := New("a"), time.Now()
 	l := []*resource.Upstream{{Name: "s1", Spec: resource.UpstreamSpec{Hall: "a"}}, {Name: "s2", Spec: resource.UpstreamSpec{Hall: "b"}}}
-	choose := func(when string, some bool) *resource.Upstream {
+	choose := func(when string, want bool) *resource.Upstream {
 		t.Helper()
-		u, back := h.Choose(l, nil, now)
-		if (u != nil) != some || (u == nil && back.IsZero()) || (u == nil && back.Sub(now) > awayPeriod) {
-			t.Errorf("%s: got %v, back at %v; want one: %v", when, u, back.Sub(now), some)
+		u, retryAt := h.Choose(l, nil, now)
+		if (u != nil) != want || (u == nil && retryAt.IsZero()) || (u == nil && retryAt.Sub(now) > unreachablePeriod) {
+			t.Errorf("%s: got %v, back at %v; want one: %v", when, u, retryAt.Sub(now), want)
 		}
 		return u
 	}
-	for range goneMisses - 1 {
-		h.Away("s1", now)
-		h.Away("s2", now)
+	for range unreachableThreshold - 1 {
+		h.RecordUnreachable("s1", now)
+		h.RecordUnreachable("s2", now)
 	}
 	choose("after a miss or two", true)
-	h.Away("s1", now)
+	h.RecordUnreachable("s1", now)
 	if u := choose("one is out of reach", true); u != nil && u.Name != "s2" {
 		t.Errorf("got %s, want s2", u.Name)
 	}
-	h.Away("s2", now)
+	h.RecordUnreachable("s2", now)
 	choose("both are", false)
-	now = now.Add(awayPeriod)
+	now = now.Add(unreachablePeriod)
 	choose("a moment later", true)
 	choose("again", true)
 	choose("while both are being tried", false)
-	h.Answered("s1", false, nil, now)
+	h.RecordAnswer("s1", false, nil, now)
 	for range 3 {
 		if u := choose("one has answered", true); u != nil && u.Name != "s1" {
 			t.Errorf("got %s, want s1", u.Name)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -23,22 +23,22 @@
 	Deadline time.Time `json:"deadline"` // after which another box may take it
 	Epoch    int64     `json:"epoch"`    // rises with each holder
 	Holder   string    `json:"holder"`   // the box's name and a name of its run
-	Write    string    `json:"write"`    // names the write, so that a lost answer can be settled
+	WriteID  string    `json:"write"`    // names the write, so that a lost answer can be settled
 }
 
 // Lease is a lease that this box holds, or held.
 type Lease struct {
 	Epoch int64 // the fence of orders given under it
 
-	current  func() (era int64, since time.Time) // see Keeper.Era
-	deadline time.Time
-	era      int64
-	key      string
-	revision int64
+	currentEra func() (era int64, since time.Time) // see Keeper.Era
+	deadline   time.Time
+	era        int64
+	key        string
+	revision   int64
 }
 
-// Keeper takes and renews leases. It is safe for concurrent use.
-type Keeper struct {
+// Manager takes and renews leases. It is safe for concurrent use.
+type Manager struct {
 	// Commit applies a transaction; a seam.
 	Commit func(ctx context.Context, t *table.Transaction) (*table.Result, error)
 	// Era returns the era of the store as this box knows it, and when it learned that the
@@ -46,35 +46,35 @@
 	Era func() (era int64, since time.Time)
 	// Get reads a row; a seam.
 	Get func(ctx context.Context, key string) (*table.Row, error)
-	// Name names a write; a seam.
-	Name func() string
+	// NewWriteID names a write; a seam.
+	NewWriteID func() string
 
 	holder string
 }
 
 const (
-	// Period is how long a lease lasts.
-	Period = 15 * time.Second
-	// Margin is how long before its end a holder stops to act on it, which covers
+	// TTL is how long a lease lasts.
+	TTL = 15 * time.Second
+	// SafetyMargin is how long before its end a holder stops to act on it, which covers
 	// the drift of clocks and the way of an order.
-	Margin = 5 * time.Second
+	SafetyMargin = 5 * time.Second
 
-	prefix = "lease/"
+	keyPrefix = "lease/"
 )
 
-// NewKeeper returns a keeper for the holder of that name.
-func NewKeeper(holder string) *Keeper {
-	return &Keeper{Era: func() (int64, time.Time) { return 0, time.Time{} }, holder: holder}
+// NewManager returns a keeper for the holder of that name.
+func NewManager(holder string) *Manager {
+	return &Manager{Era: func() (int64, time.Time) { return 0, time.Time{} }, holder: holder}
 }
 
-// Take takes the lease on a thing, or returns nil where it is held, or may be: by another
+// Acquire takes the lease on a thing, or returns nil where it is held, or may be: by another
 // box, or by this one, which then waits for its end, too.
-func (k *Keeper) Take(ctx context.Context, thing string) (*Lease, error) {
-	era, since := k.Era()
-	if !since.IsZero() && time.Since(since) < Period {
+func (k *Manager) Acquire(ctx context.Context, name string) (*Lease, error) {
+	era, eraSince := k.Era()
+	if !eraSince.IsZero() && time.Since(eraSince) < TTL {
 		return nil, nil
 	}
-	key := prefix + thing
+	key := keyPrefix + name
 	row, err := k.Get(ctx, key)
 	if err != nil {
 		return nil, err
@@ -94,11 +94,11 @@
 	return k.write(ctx, key, condition, era, r)
 }
 
-// Extend makes a lease last longer, where l is one that has not ended, and takes
+// Renew makes a lease last longer, where l is one that has not ended, and takes
 // it otherwise. It returns nil where another box has it.
-func (k *Keeper) Extend(ctx context.Context, thing string, l *Lease) (*Lease, error) {
-	if l == nil || !l.stands(time.Now()) {
-		return k.Take(ctx, thing)
+func (k *Manager) Renew(ctx context.Context, name string, l *Lease) (*Lease, error) {
+	if l == nil || !l.held(time.Now()) {
+		return k.Acquire(ctx, name)
 	}
 	return k.write(ctx, l.key, l.revision, l.era, Record{Epoch: l.Epoch})
 }
@@ -106,12 +106,12 @@
 // Valid reports whether an order may still be given under the lease. The clock
 // is read anew, so that a holder that was paused finds its lease at an end.
 func (l *Lease) Valid(now time.Time) bool {
-	return l.stands(now.Add(Margin))
+	return l.held(now.Add(SafetyMargin))
 }
 
-// stands reports whether the lease has not ended, by the store as this box knows it.
-func (l *Lease) stands(now time.Time) bool {
-	era, _ := l.current()
+// held reports whether the lease has not ended, by the store as this box knows it.
+func (l *Lease) held(now time.Time) bool {
+	era, _ := l.currentEra()
 	return now.Before(l.deadline) && era == l.era
 }
 
@@ -119,38 +119,38 @@
 // write, so that the holder never believes longer than the row says. Where the answer
 // is lost, the row is read back, and the write's name tells. Where the store's era proves to be another,
 // the lease is not held: the store forgot who may hold it.
-func (k *Keeper) write(ctx context.Context, key string, condition, era int64, r Record) (*Lease, error) {
-	r.Deadline = time.Now().Add(Period)
-	r.Holder, r.Write = k.holder, k.Name()
+func (k *Manager) write(ctx context.Context, key string, condition, era int64, r Record) (*Lease, error) {
+	r.Deadline = time.Now().Add(TTL)
+	r.Holder, r.WriteID = k.holder, k.NewWriteID()
 	b, err := json.Marshal(r)
 	if err != nil {
 		return nil, err
 	}
-	l := &Lease{Epoch: r.Epoch, current: k.Era, deadline: r.Deadline, era: era, key: key}
-	v, err := k.Commit(ctx, &table.Transaction{
+	l := &Lease{Epoch: r.Epoch, currentEra: k.Era, deadline: r.Deadline, era: era, key: key}
+	result, err := k.Commit(ctx, &table.Transaction{
 		Conditions: []table.Condition{{Key: key, Revision: condition}},
 		Writes:     []table.Write{{Key: key, Value: b}},
 	})
 	if err != nil {
-		return k.settle(ctx, l, r.Write, err)
+		return k.confirmWrite(ctx, l, r.WriteID, err)
 	}
-	if !v.Committed || revision.Era(v.Revision) != era {
+	if !result.Committed || revision.Era(result.Revision) != era {
 		return nil, nil
 	}
-	l.revision = v.Revision
+	l.revision = result.Revision
 	return l, nil
 }
 
-// settle finds out whether a write whose answer was lost took effect. A write
+// confirmWrite finds out whether a write whose answer was lost took effect. A write
 // that may still arrive later cannot be acted upon, so it counts as not made;
 // its holder takes the lease again, with a higher epoch.
-func (k *Keeper) settle(ctx context.Context, l *Lease, write string, cause error) (*Lease, error) {
+func (k *Manager) confirmWrite(ctx context.Context, l *Lease, writeID string, cause error) (*Lease, error) {
 	row, err := k.Get(ctx, l.key)
 	if err != nil || row == nil {
 		return nil, cause
 	}
 	var r Record
-	if json.Unmarshal(row.Value, &r) != nil || r.Write != write || revision.Era(row.Revision) != l.era {
+	if json.Unmarshal(row.Value, &r) != nil || r.WriteID != writeID || revision.Era(row.Revision) != l.era {
 		return nil, cause
 	}
 	l.revision = row.Revision
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -14,28 +14,28 @@
 
 // holder is a box that takes leases.
 type holder struct {
-	*Keeper
-	era   int64 // that it knows of
-	since time.Time
+	*Manager
+	era      int64 // that it knows of
+	eraSince time.Time
 }
 
 // newHolder returns a holder with a client of the store of its own.
 func newHolder(l *link.Link, name string) *holder {
 	s := platform.NewStore("http://store", platform.WithStoreTransport(l)).Table()
-	h := &holder{Keeper: NewKeeper(name)}
+	h := &holder{Manager: NewManager(name)}
 	n := 0
 	h.Commit, h.Get = s.Commit, s.Get
-	h.Name = func() string {
+	h.NewWriteID = func() string {
 		n++
 		return fmt.Sprint(name, n)
 	}
-	h.Era = func() (int64, time.Time) { return h.era, h.since }
+	h.Era = func() (int64, time.Time) { return h.era, h.eraSince }
 	return h
 }
 
-// hear has the box hear of an era of the store.
-func (h *holder) hear(era int64) {
-	h.era, h.since = era, time.Now()
+// learnEra has the box hear of an era of the store.
+func (h *holder) learnEra(era int64) {
+	h.era, h.eraSince = era, time.Now()
 }
 
 // withHolders runs f with two boxes that take leases, in virtual time.
@@ -48,10 +48,10 @@
 	})
 }
 
-// take takes a lease on the one thing of a test.
-func (h *holder) take(ctx context.Context, t *testing.T) *Lease {
+// acquire takes a lease on the one thing of a test.
+func (h *holder) acquire(ctx context.Context, t *testing.T) *Lease {
 	t.Helper()
-	l, err := h.Take(ctx, "thing")
+	l, err := h.Acquire(ctx, "thing")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,15 +61,15 @@
 // TestLeaseIsTakenOverOnceItHasEnded checks the order of holders and of their fences.
 func TestLeaseIsTakenOverOnceItHasEnded(t *testing.T) {
 	withHolders(t, func(ctx context.Context, t *testing.T, _ *fakeplatform.Platform, a, b *holder) {
-		first := a.take(ctx, t)
+		first := a.acquire(ctx, t)
 		if first == nil || !first.Valid(time.Now()) {
 			t.Fatalf("the first: got %+v, want a lease that holds", first)
 		}
-		if l := b.take(ctx, t); l != nil {
+		if l := b.acquire(ctx, t); l != nil {
 			t.Errorf("while it holds: got %+v, want none", l)
 		}
-		time.Sleep(Period)
-		second := b.take(ctx, t)
+		time.Sleep(TTL)
+		second := b.acquire(ctx, t)
 		if second == nil || second.Epoch <= first.Epoch || first.Valid(time.Now()) {
 			t.Errorf("once it has ended: got %+v after %+v, want one with a higher fence, and the first at an end", second, first)
 		}
@@ -88,31 +88,31 @@
 		t.Run(x.name, func(t *testing.T) {
 			withHolders(t, func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, b *holder) {
 				if x.before {
-					b.take(ctx, t)
-					time.Sleep(Period)
+					b.acquire(ctx, t)
+					time.Sleep(TTL)
 				}
 				p.Copy()
-				l := a.take(ctx, t)
+				l := a.acquire(ctx, t)
 				if l == nil {
 					t.Fatal("got no lease before the store is restored")
 				}
 				p.Restore()
-				b.hear(1)
+				b.learnEra(1)
 				if !l.Valid(time.Now()) {
 					t.Error("a holder that has not heard: got no lease, want the one that it took")
 				}
-				if got := b.take(ctx, t); got != nil {
+				if got := b.acquire(ctx, t); got != nil {
 					t.Errorf("at once: another box got %+v, want none while the first may be believed", got)
 				}
-				a.hear(1)
+				a.learnEra(1)
 				if l.Valid(time.Now()) {
 					t.Error("a holder that has heard: got a lease that holds, want it ended")
 				}
-				if got, err := a.Extend(ctx, "thing", l); got != nil || err != nil {
+				if got, err := a.Renew(ctx, "thing", l); got != nil || err != nil {
 					t.Errorf("a holder that has heard extends it: got %+v %v, want none", got, err)
 				}
-				time.Sleep(Period)
-				second := b.take(ctx, t)
+				time.Sleep(TTL)
+				second := b.acquire(ctx, t)
 				if second == nil || second.Epoch <= l.Epoch {
 					t.Errorf("later: got %+v after %+v, want one with a higher fence", second, l)
 				}
@@ -127,9 +127,9 @@
 func TestLeaseIsNotTakenInAnEraUnheardOf(t *testing.T) {
 	withHolders(t, func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, b *holder) {
 		p.Copy()
-		a.take(ctx, t)
+		a.acquire(ctx, t)
 		p.Restore()
-		if l := b.take(ctx, t); l != nil {
+		if l := b.acquire(ctx, t); l != nil {
 			t.Errorf("got %+v, want none", l)
 		}
 	})
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -14,34 +14,34 @@
 
 // Table holds the boxes. It is safe for concurrent use; its lock is a leaf.
 type Table struct {
-	mutex        sync.Mutex
-	alive        map[string][]string // what Alive answers, by hall; emptied when it may change
-	boxes        map[string]*entry
-	reconsidered time.Time // when failures were last forgotten
-	self         box.Member
-	version      uint64 // rises whenever what Alive answers may have changed
-	watch        chan struct{}
+	mutex             sync.Mutex
+	alive             map[string][]string // what Alive answers, by hall; emptied when it may change
+	boxes             map[string]*entry
+	failuresClearedAt time.Time // when failures were last forgotten
+	self              box.Member
+	version           uint64 // rises whenever what Alive answers may have changed
+	changed           chan struct{}
 }
 
 type entry struct {
-	failedAt time.Time // of the last call that failed, zero after one that went well
-	heardAt  time.Time
-	lostAt   time.Time // since when no call has gone well, zero after one that did
-	listed   bool
-	member   box.Member
+	failedAt         time.Time // of the last call that failed, zero after one that went well
+	heardAt          time.Time
+	unreachableSince time.Time // since when no call has gone well, zero after one that did
+	listed           bool
+	member           box.Member
 }
 
 const (
-	// evidenceLife is how long a box that the list does not name is kept after
+	// unlistedTTL is how long a box that the list does not name is kept after
 	// it was last heard.
-	evidenceLife = 15 * time.Second
-	// failureLife is how long a failed call counts against a box that is still
+	unlistedTTL = 15 * time.Second
+	// failureTTL is how long a failed call counts against a box that is still
 	// listed; the next call that fails renews it.
-	failureLife = 30 * time.Second
+	failureTTL = 30 * time.Second
 	// goneAfter is how long a box that nobody reaches stays listed.
 	goneAfter = 2 * time.Minute
-	// hallLinks is how many boxes of a hall send heartbeats to the other halls.
-	hallLinks = 2
+	// crossHallSenders is how many boxes of a hall send heartbeats to the other halls.
+	crossHallSenders = 2
 	// heartbeatNeighbours is how many boxes of its hall each box sends heartbeats to.
 	heartbeatNeighbours = 4
 	// retryFailedAfter is when a box that failed is tried again. One that starts anew
@@ -51,7 +51,7 @@
 
 // NewTable returns a table that knows only the box itself.
 func NewTable(self box.Member) *Table {
-	return &Table{alive: make(map[string][]string), boxes: make(map[string]*entry), self: self, watch: make(chan struct{})}
+	return &Table{alive: make(map[string][]string), boxes: make(map[string]*entry), self: self, changed: make(chan struct{})}
 }
 
 // Address returns the address of a box, or "".
@@ -75,7 +75,7 @@
 	defer t.mutex.Unlock()
 	l, ok := t.alive[hall]
 	if !ok {
-		l = t.listAlive(hall)
+		l = t.computeAlive(hall)
 		t.alive[hall] = l
 	}
 	return l
@@ -85,7 +85,7 @@
 func (t *Table) Changed() <-chan struct{} {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.watch
+	return t.changed
 }
 
 // Count returns how many boxes are known, this one included.
@@ -101,37 +101,37 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for n, e := range t.boxes {
-		if !e.listed && now.Sub(e.heardAt) > evidenceLife {
+		if !e.listed && now.Sub(e.heardAt) > unlistedTTL {
 			delete(t.boxes, n)
-			t.bump()
+			t.notifyChange()
 			continue
 		}
-		if !e.failedAt.IsZero() && now.Sub(e.failedAt) > failureLife {
+		if !e.failedAt.IsZero() && now.Sub(e.failedAt) > failureTTL {
 			e.failedAt = time.Time{}
-			t.bump()
+			t.notifyChange()
 		}
 	}
 }
 
-// Failed says that a call to a box failed that began at a time. It reports whether
+// RecordFailure says that a call to a box failed that began at a time. It reports whether
 // the box was believed to serve until now. What was heard or reconsidered since the
 // call began goes before it.
-func (t *Table) Failed(name string, began, now time.Time) bool {
+func (t *Table) RecordFailure(name string, startedAt, now time.Time) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	e := t.boxes[name]
-	if e == nil || e.heardAt.After(began) || t.reconsidered.After(began) {
+	if e == nil || e.heardAt.After(startedAt) || t.failuresClearedAt.After(startedAt) {
 		return false
 	}
-	was := e.failedAt.IsZero()
+	wasServing := e.failedAt.IsZero()
 	e.failedAt = now
-	if e.lostAt.IsZero() {
-		e.lostAt = now
+	if e.unreachableSince.IsZero() {
+		e.unreachableSince = now
 	}
-	if was {
-		t.bump()
+	if wasServing {
+		t.notifyChange()
 	}
-	return was
+	return wasServing
 }
 
 // Gone returns the names of boxes that are listed and have not been reached for
@@ -141,7 +141,7 @@
 	defer t.mutex.Unlock()
 	var l []string
 	for n, e := range t.boxes {
-		if e.listed && !e.lostAt.IsZero() && now.Sub(e.lostAt) > goneAfter {
+		if e.listed && !e.unreachableSince.IsZero() && now.Sub(e.unreachableSince) > goneAfter {
 			l = append(l, n)
 		}
 	}
@@ -159,8 +159,8 @@
 	return slices.Sorted(maps.Keys(m))
 }
 
-// Heard says that a box was heard. It reports whether it was believed gone.
-func (t *Table) Heard(m box.Member, now time.Time) bool {
+// RecordContact says that a box was heard. It reports whether it was believed gone.
+func (t *Table) RecordContact(m box.Member, now time.Time) bool {
 	if m.Name == t.self.Name || m.Name == "" {
 		return false
 	}
@@ -170,39 +170,39 @@
 	if e == nil {
 		e = new(entry)
 		t.boxes[m.Name] = e
-		t.bump()
+		t.notifyChange()
 	}
-	back := !e.failedAt.IsZero()
-	if back || e.member != m {
-		t.bump()
+	recovered := !e.failedAt.IsZero()
+	if recovered || e.member != m {
+		t.notifyChange()
 	}
-	e.failedAt, e.lostAt = time.Time{}, time.Time{}
+	e.failedAt, e.unreachableSince = time.Time{}, time.Time{}
 	e.heardAt = now
 	e.member = m
-	return back
+	return recovered
 }
 
-// Leave makes the box itself one that leaves.
-func (t *Table) Leave() {
+// SetLeaving makes the box itself one that leaves.
+func (t *Table) SetLeaving() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.self.State = box.StateLeaving
-	t.bump()
+	t.notifyChange()
 }
 
-// Left says that a box told that it is leaving.
-func (t *Table) Left(name string) {
+// MarkLeaving says that a box told that it is leaving.
+func (t *Table) MarkLeaving(name string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if e := t.boxes[name]; e != nil && e.member.State != box.StateLeaving {
 		e.member.State = box.StateLeaving
-		t.bump()
+		t.notifyChange()
 	}
 }
 
-// List takes in the platform's list. It lags: a box that was heard or that
+// ApplyList takes in the platform's list. It lags: a box that was heard or that
 // failed more recently is believed by that evidence.
-func (t *Table) List(l []box.Member, now time.Time) {
+func (t *Table) ApplyList(l []box.Member, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	seen := make(map[string]bool, len(l))
@@ -211,7 +211,7 @@
 			continue
 		}
 		seen[m.Name] = true
-		t.listOne(m, now)
+		t.applyListed(m, now)
 	}
 	for n, e := range t.boxes {
 		e.listed = seen[n]
@@ -243,11 +243,11 @@
 		}
 	}
 	var l []box.Member
-	links := t.links(halls[t.self.Hall])
+	perOtherHall := t.neighboursPerOtherHall(halls[t.self.Hall])
 	for _, h := range slices.Sorted(maps.Keys(halls)) {
 		n := heartbeatNeighbours
 		if h != t.self.Hall {
-			n = links
+			n = perOtherHall
 		}
 		r := policy.Rank(t.self.Name, halls[h])
 		for _, x := range r[:min(n, len(r))] {
@@ -257,16 +257,16 @@
 	return l
 }
 
-// Reconsider forgets all failures: the box itself was paused, and it was not
+// ClearFailures forgets all failures: the box itself was paused, and it was not
 // the others that did not answer.
-func (t *Table) Reconsider(now time.Time) {
+func (t *Table) ClearFailures(now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.reconsidered = now
+	t.failuresClearedAt = now
 	for _, e := range t.boxes {
 		if !e.failedAt.IsZero() {
 			e.failedAt = time.Time{}
-			t.bump()
+			t.notifyChange()
 		}
 	}
 }
@@ -292,25 +292,25 @@
 	return t.version
 }
 
-func (t *Table) bump() {
+func (t *Table) notifyChange() {
 	t.version++
 	clear(t.alive)
-	close(t.watch)
-	t.watch = make(chan struct{})
+	close(t.changed)
+	t.changed = make(chan struct{})
 }
 
-// links returns to how many boxes of each other hall this box sends heartbeats,
+// neighboursPerOtherHall returns to how many boxes of each other hall this box sends heartbeats,
 // 1 or 0, where others are the boxes of its hall beside it.
-func (t *Table) links(others []string) int {
-	l := policy.Rank("link", append(slices.Clone(others), t.self.Name))
-	if slices.Contains(l[:min(hallLinks, len(l))], t.self.Name) {
+func (t *Table) neighboursPerOtherHall(hallBoxes []string) int {
+	l := policy.Rank("link", append(slices.Clone(hallBoxes), t.self.Name))
+	if slices.Contains(l[:min(crossHallSenders, len(l))], t.self.Name) {
 		return 1
 	}
 	return 0
 }
 
-// listAlive makes the list that Alive returns; the lock is held.
-func (t *Table) listAlive(hall string) []string {
+// computeAlive makes the list that Alive returns; the lock is held.
+func (t *Table) computeAlive(hall string) []string {
 	var l []string
 	if (hall == "" || hall == t.self.Hall) && t.self.State != box.StateLeaving {
 		l = append(l, t.self.Name)
@@ -324,21 +324,21 @@
 	return l
 }
 
-func (t *Table) listOne(m box.Member, now time.Time) {
+func (t *Table) applyListed(m box.Member, now time.Time) {
 	e := t.boxes[m.Name]
 	if e == nil {
 		t.boxes[m.Name] = &entry{listed: true, member: m}
-		t.bump()
+		t.notifyChange()
 		return
 	}
-	fresh := now.Sub(e.heardAt) < evidenceLife
+	recent := now.Sub(e.heardAt) < unlistedTTL
 	if m.State == box.StateLeaving && e.member.State != box.StateLeaving {
 		e.member.State = m.State
-		t.bump()
+		t.notifyChange()
 	}
-	if !fresh && e.member != m {
+	if !recent && e.member != m {
 		e.member = m
-		t.bump()
+		t.notifyChange()
 	}
 }
 
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -18,7 +18,7 @@
 
 func newTable() *Table {
 	t := NewTable(member("self", "a", box.StateServing))
-	t.List([]box.Member{member("b1", "a", box.StateServing), member("b2", "a", box.StateServing), member("c1", "c", box.StateServing)}, now)
+	t.ApplyList([]box.Member{member("b1", "a", box.StateServing), member("b2", "a", box.StateServing), member("c1", "c", box.StateServing)}, now)
 	return t
 }
 
@@ -40,11 +40,11 @@
 // neither a failure nor a sign of life.
 func TestEvidenceGoesBeforeTheList(t *testing.T) {
 	b := newTable()
-	b.Failed("b1", now, now)
-	b.List([]box.Member{member("b1", "a", box.StateServing), member("b2", "a", box.StateServing)}, now.Add(time.Second))
+	b.RecordFailure("b1", now, now)
+	b.ApplyList([]box.Member{member("b1", "a", box.StateServing), member("b2", "a", box.StateServing)}, now.Add(time.Second))
 	checkAlive(t, b, "a", "b2", "self")
-	b.Heard(member("b3", "a", box.StateServing), now)
-	b.List(nil, now.Add(time.Second))
+	b.RecordContact(member("b3", "a", box.StateServing), now)
+	b.ApplyList(nil, now.Add(time.Second))
 	b.Expire(now.Add(2 * time.Second))
 	checkAlive(t, b, "a", "b3", "self")
 	b.Expire(now.Add(time.Minute))
@@ -53,7 +53,7 @@
 
 func TestFailedBoxIsTriedAgain(t *testing.T) {
 	b := newTable()
-	if !b.Failed("b1", now, now) || b.Failed("b1", now, now) {
+	if !b.RecordFailure("b1", now, now) || b.RecordFailure("b1", now, now) {
 		t.Error("a failure must be new once only")
 	}
 	for _, m := range b.Neighbours(now.Add(time.Second)) {
@@ -68,7 +68,7 @@
 	if !found {
 		t.Error("a box that failed is never tried again")
 	}
-	if !b.Heard(member("b1", "a", box.StateServing), now.Add(6*time.Second)) {
+	if !b.RecordContact(member("b1", "a", box.StateServing), now.Add(6*time.Second)) {
 		t.Error("a box that is back must be told as such")
 	}
 	checkAlive(t, b, "a", "b1", "b2", "self")
@@ -78,8 +78,8 @@
 // count for ever against a box that this one sends no heartbeats to.
 func TestFailedBoxThatIsNoNeighbourIsTriedAgain(t *testing.T) {
 	b := newTable()
-	b.Failed("b1", now, now)
-	b.Expire(now.Add(failureLife + time.Second))
+	b.RecordFailure("b1", now, now)
+	b.Expire(now.Add(failureTTL + time.Second))
 	checkAlive(t, b, "a", "b1", "b2", "self")
 }
 
@@ -88,9 +88,9 @@
 		name string
 		tell func(b *Table)
 	}{
-		{"list", func(b *Table) { b.List([]box.Member{member("b1", "a", box.StateLeaving)}, now) }},
-		{"itself", func(b *Table) { b.Heard(member("b1", "a", box.StateLeaving), now) }},
-		{"reply", func(b *Table) { b.Left("b1") }},
+		{"list", func(b *Table) { b.ApplyList([]box.Member{member("b1", "a", box.StateLeaving)}, now) }},
+		{"itself", func(b *Table) { b.RecordContact(member("b1", "a", box.StateLeaving), now) }},
+		{"reply", func(b *Table) { b.MarkLeaving("b1") }},
 	} {
 		b := newTable()
 		x.tell(b)
@@ -99,7 +99,7 @@
 		}
 	}
 	b := newTable()
-	b.Leave()
+	b.SetLeaving()
 	checkAlive(t, b, "a", "b1", "b2")
 }
 
@@ -107,7 +107,7 @@
 // for, and that news still reaches every box of a hall in a few steps.
 func TestHeartbeatsStayFew(t *testing.T) {
 	const boxes = 300
-	links := 0
+	crossHall := 0
 	neighbours := make(map[string][]string)
 	var l []box.Member
 	for h := range 11 {
@@ -117,10 +117,10 @@
 	}
 	for _, self := range l[:boxes] {
 		b := NewTable(self)
-		b.List(l, now)
+		b.ApplyList(l, now)
 		n := b.Neighbours(now)
 		if len(n) == heartbeatNeighbours+10 {
-			links++
+			crossHall++
 		} else if got, want := len(n), heartbeatNeighbours; got != want {
 			t.Fatalf("neighbours: got %d, want %d", got, want)
 		}
@@ -128,7 +128,7 @@
 			neighbours[self.Name] = append(neighbours[self.Name], m.Name)
 		}
 	}
-	if got, want := links, hallLinks; got != want {
+	if got, want := crossHall, crossHallSenders; got != want {
 		t.Errorf("boxes that send to other halls: got %d, want %d", got, want)
 	}
 	reached := map[string]bool{"0-0": true}
@@ -157,11 +157,11 @@
 func TestChangedTellsOfEveryChange(t *testing.T) {
 	b := newTable()
 	for _, f := range []func(){
-		func() { b.Failed("b1", now, now) },
-		func() { b.Heard(member("b1", "a", box.StateServing), now) },
-		func() { b.Heard(member("new", "a", box.StateServing), now) },
-		func() { b.Left("b2") },
-		func() { b.Leave() },
+		func() { b.RecordFailure("b1", now, now) },
+		func() { b.RecordContact(member("b1", "a", box.StateServing), now) },
+		func() { b.RecordContact(member("new", "a", box.StateServing), now) },
+		func() { b.MarkLeaving("b2") },
+		func() { b.SetLeaving() },
 	} {
 		c, v := b.Changed(), b.Version()
 		f()
@@ -179,17 +179,17 @@
 // TestLateFailuresCountForNothing checks that a call which began before a box was
 // heard again, or before this box found that it had been paused itself, tells nothing.
 func TestLateFailuresCountForNothing(t *testing.T) {
-	b, began := newTable(), time.Unix(1000, 0)
+	b, startedAt := newTable(), time.Unix(1000, 0)
 	m := box.Member{Hall: "a", Name: "b1", State: box.StateServing}
-	b.Heard(m, began.Add(time.Second))
-	if b.Failed("b1", began, began.Add(2*time.Second)) {
+	b.RecordContact(m, startedAt.Add(time.Second))
+	if b.RecordFailure("b1", startedAt, startedAt.Add(2*time.Second)) {
 		t.Error("a call that began before the box was heard: got a failure, want none")
 	}
-	b.Reconsider(began.Add(4 * time.Second))
-	if b.Failed("b1", began.Add(3*time.Second), began.Add(5*time.Second)) {
+	b.ClearFailures(startedAt.Add(4 * time.Second))
+	if b.RecordFailure("b1", startedAt.Add(3*time.Second), startedAt.Add(5*time.Second)) {
 		t.Error("a call that began before the pause was noticed: got a failure, want none")
 	}
-	if !b.Failed("b1", began.Add(5*time.Second), began.Add(6*time.Second)) {
+	if !b.RecordFailure("b1", startedAt.Add(5*time.Second), startedAt.Add(6*time.Second)) {
 		t.Error("a call that began afterwards: got no failure, want one")
 	}
 }
--- a/internal/order/reconciler.go
+++ b/internal/order/reconciler.go
@@ -28,73 +28,73 @@
 // Reconciler gives orders for the upstreams that fall to this box. It is safe
 // for concurrent use.
 type Reconciler struct {
-	// Give gives an engine an order; a seam.
-	Give func(ctx context.Context, address string, o *upstream.Order) error
-	// Mine reports whether an upstream falls to this box; a seam.
-	Mine func(u *resource.Upstream) bool
+	// SendOrder gives an engine an order; a seam.
+	SendOrder func(ctx context.Context, address string, o *upstream.Order) error
+	// Owns reports whether an upstream falls to this box; a seam.
+	Owns func(u *resource.Upstream) bool
 	// ReadLoad reads an engine's report; a seam.
 	ReadLoad func(ctx context.Context, address string) (*upstream.Load, error)
 
-	keeper  *lease.Keeper
-	leases  map[string]*lease.Lease // by upstream
-	log     *slog.Logger
-	metrics *metric.Set
-	mutex   sync.Mutex // guards leases
-	permits int
-	view    *resource.View
+	manager     *lease.Manager
+	leases      map[string]*lease.Lease // by upstream
+	log         *slog.Logger
+	metrics     *metric.Set
+	mutex       sync.Mutex // guards leases
+	loadPermits int
+	view        *resource.View
 }
 
 const (
-	orderPeriod = 10 * time.Second // for one engine to be brought a step further
-	runEvery    = 3 * time.Second
+	stepTimeout = 10 * time.Second // for one engine to be brought a step further
+	runInterval = 3 * time.Second
 	workers     = 4
 )
 
 // New returns a reconciler that lets boxes load from the weight store only while
 // they hold one of so many permits.
-func New(v *resource.View, k *lease.Keeper, m *metric.Set, l *slog.Logger, permits int) *Reconciler {
-	return &Reconciler{keeper: k, leases: make(map[string]*lease.Lease), log: l, metrics: m, permits: permits, view: v}
+func New(v *resource.View, k *lease.Manager, m *metric.Set, l *slog.Logger, permits int) *Reconciler {
+	return &Reconciler{manager: k, leases: make(map[string]*lease.Lease), log: l, metrics: m, loadPermits: permits, view: v}
 }
 
 // Run gives orders until the context ends.
 func (r *Reconciler) Run(ctx context.Context) {
-	periodic.Run(ctx, runEvery, r.all)
+	periodic.Run(ctx, runInterval, r.reconcileAll)
 }
 
 // Step brings one engine one order further. It reports whether an order was given.
 func (r *Reconciler) Step(ctx context.Context, u *resource.Upstream) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, orderPeriod)
+	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	l, err := r.ReadLoad(ctx, u.Spec.Address)
 	if err != nil {
 		return false, err
 	}
-	o := r.next(u, l)
+	o := r.nextOrder(u, l)
 	if o == nil {
 		return false, nil
 	}
-	h, err := r.hold(ctx, u.Name)
+	h, err := r.acquireLease(ctx, u.Name)
 	if err != nil || h == nil {
 		return false, err
 	}
 	if o.Kind == upstream.OrderLoad {
-		p, err := r.permit(ctx)
+		p, err := r.acquireLoadPermit(ctx)
 		if err != nil || p == nil {
 			return false, err
 		}
 	}
-	return r.give(ctx, u, h, o)
+	return r.send(ctx, u, h, o)
 }
 
-func (r *Reconciler) all(ctx context.Context) {
-	mine := r.view.Upstreams(func(u *resource.Upstream) bool { return u.Spec.Type == resource.UpstreamEngine && r.Mine(u) })
+func (r *Reconciler) reconcileAll(ctx context.Context) {
+	mine := r.view.Upstreams(func(u *resource.Upstream) bool { return u.Spec.Type == resource.UpstreamEngine && r.Owns(u) })
 	work := make(chan *resource.Upstream)
 	var g sync.WaitGroup
 	for range workers {
 		g.Go(func() {
 			for u := range work {
 				if _, err := r.Step(ctx, u); err != nil {
-					r.count(err, u)
+					r.recordFailure(err, u)
 				}
 			}
 		})
@@ -106,22 +106,22 @@
 	g.Wait()
 }
 
-func (r *Reconciler) count(err error, u *resource.Upstream) {
+func (r *Reconciler) recordFailure(err error, u *resource.Upstream) {
 	r.metrics.Count(metric.Orders, "result", fail.Reason(err))
 	event.OrderFailed.Log(r.log, "upstream", u.Name, "reason", fail.Reason(err), "error", err.Error())
 }
 
-// give gives an order under a lease and reads back what came of it. The lease is
+// send gives an order under a lease and reads back what came of it. The lease is
 // checked at the last moment: its holder may have been paused since it took it.
-func (r *Reconciler) give(ctx context.Context, u *resource.Upstream, h *lease.Lease, o *upstream.Order) (bool, error) {
+func (r *Reconciler) send(ctx context.Context, u *resource.Upstream, h *lease.Lease, o *upstream.Order) (bool, error) {
 	if !h.Valid(time.Now()) {
-		r.forget(u.Name)
+		r.dropLease(u.Name)
 		return false, nil
 	}
 	o.Fence = h.Epoch
-	if err := r.Give(ctx, u.Spec.Address, o); err != nil {
+	if err := r.SendOrder(ctx, u.Spec.Address, o); err != nil {
 		if errorx.IsOfType(err, fail.Conflict) {
-			r.forget(u.Name)
+			r.dropLease(u.Name)
 		}
 		return false, err
 	}
@@ -136,27 +136,27 @@
 	if err != nil {
 		return true, err
 	}
-	if n := r.next(u, l); n != nil && *n == (upstream.Order{Kind: o.Kind, Model: o.Model, Role: o.Role, Version: o.Version}) {
+	if n := r.nextOrder(u, l); n != nil && *n == (upstream.Order{Kind: o.Kind, Model: o.Model, Role: o.Role, Version: o.Version}) {
 		return true, fail.New(fail.Conflict, fail.Place{Peer: "upstream " + u.Name, Step: "read back order"}, "order_undone", "the order did not last")
 	}
 	return true, nil
 }
 
-func (r *Reconciler) forget(name string) {
+func (r *Reconciler) dropLease(name string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	delete(r.leases, name)
 }
 
-// hold returns a valid lease on an upstream, or nil where another box has it.
-func (r *Reconciler) hold(ctx context.Context, name string) (*lease.Lease, error) {
+// acquireLease returns a valid lease on an upstream, or nil where another box has it.
+func (r *Reconciler) acquireLease(ctx context.Context, name string) (*lease.Lease, error) {
 	r.mutex.Lock()
 	l := r.leases[name]
 	r.mutex.Unlock()
 	if l != nil && l.Valid(time.Now()) {
 		return l, nil
 	}
-	l, err := r.keeper.Extend(ctx, "upstream/"+name, l)
+	l, err := r.manager.Renew(ctx, "upstream/"+name, l)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	delete(r.leases, name)
@@ -166,8 +166,8 @@
 	return l, err
 }
 
-// next returns the order that brings an engine nearer to what is declared, or nil.
-func (r *Reconciler) next(u *resource.Upstream, l *upstream.Load) *upstream.Order {
+// nextOrder returns the order that brings an engine nearer to what is declared, or nil.
+func (r *Reconciler) nextOrder(u *resource.Upstream, l *upstream.Load) *upstream.Order {
 	if u.Spec.Leaving && !l.Leaving {
 		return &upstream.Order{Kind: upstream.OrderRole, Role: upstream.RoleLeaving}
 	}
@@ -175,7 +175,7 @@
 		return &upstream.Order{Kind: upstream.OrderRole, Role: upstream.RoleServing}
 	}
 	for _, m := range u.Spec.Models {
-		if v := r.versionOf(m); v != "" && l.Loaded[m] != v {
+		if v := r.defaultVersion(m); v != "" && l.Loaded[m] != v {
 			return &upstream.Order{Kind: upstream.OrderLoad, Model: m, Version: v}
 		}
 	}
@@ -192,12 +192,12 @@
 	return nil
 }
 
-// permit returns one of the leases to load from the weight store, or nil where
+// acquireLoadPermit returns one of the leases to load from the weight store, or nil where
 // all are taken. A permit is not given back: it ends by itself, which keeps
 // loads apart in time as well.
-func (r *Reconciler) permit(ctx context.Context) (*lease.Lease, error) {
-	for i := range r.permits {
-		l, err := r.keeper.Take(ctx, fmt.Sprintf("weights/%d", i))
+func (r *Reconciler) acquireLoadPermit(ctx context.Context) (*lease.Lease, error) {
+	for i := range r.loadPermits {
+		l, err := r.manager.Acquire(ctx, fmt.Sprintf("weights/%d", i))
 		if l != nil || err != nil {
 			return l, err
 		}
@@ -206,7 +206,7 @@
 	return nil, nil
 }
 
-func (r *Reconciler) versionOf(model string) string {
+func (r *Reconciler) defaultVersion(model string) string {
 	x := r.view.Get(resource.KindModel, model)
 	if x == nil {
 		return ""
--- a/internal/order/reconciler_test.go
+++ b/internal/order/reconciler_test.go
@@ -23,8 +23,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// rig is two boxes that may give orders to two engines.
-type rig struct {
+// fixture is two boxes that may give orders to two engines.
+type fixture struct {
 	boxes    []*Reconciler
 	engines  []*engine.Server
 	link     *link.Link
@@ -32,26 +32,26 @@
 	view     *resource.View
 }
 
-func withRig(t *testing.T, permits int, f func(t *testing.T, r *rig)) {
+func withFixture(t *testing.T, permits int, f func(t *testing.T, r *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		r := &rig{link: link.New(), platform: fakeplatform.New(), view: resource.NewView()}
+		r := &fixture{link: link.New(), platform: fakeplatform.New(), view: resource.NewView()}
 		r.link.Join("platform", r.platform)
-		r.declare(1, resource.KindModel, "m", `{"maxTokens":10,"default":"v1"}`)
+		r.apply(1, resource.KindModel, "m", `{"maxTokens":10,"default":"v1"}`)
 		for i, n := range []string{"u1", "u2"} {
 			e := engine.NewServer(engine.DefaultSettings(), 0)
 			r.engines = append(r.engines, e)
 			r.link.Join(n, e)
-			r.declare(int64(i+2), resource.KindUpstream, n, `{"address":"http://`+n+`","hall":"a","kvTokens":1,"maxBatch":1,"models":["m"],"type":"engine","checksFence":true}`)
+			r.apply(int64(i+2), resource.KindUpstream, n, `{"address":"http://`+n+`","hall":"a","kvTokens":1,"maxBatch":1,"models":["m"],"type":"engine","checksFence":true}`)
 		}
-		calls := upstream.NewEngines(2*time.Second, upstream.WithTransport(r.link))
+		engines := upstream.NewEngines(2*time.Second, upstream.WithTransport(r.link))
 		store := platform.NewStore("http://platform", platform.WithStoreTransport(r.link))
 		for _, n := range []string{"box-1", "box-2"} {
-			k := lease.NewKeeper(n)
-			k.Commit, k.Get, k.Name = store.Commit, store.Get, rand.Text
+			k := lease.NewManager(n)
+			k.Commit, k.Get, k.NewWriteID = store.Commit, store.Get, rand.Text
 			b := New(r.view, k, metric.NewSet(), slog.New(slog.DiscardHandler), permits)
-			b.Give, b.ReadLoad = calls.Order, calls.Load
-			b.Mine = func(*resource.Upstream) bool { return true }
+			b.SendOrder, b.ReadLoad = engines.Order, engines.Load
+			b.Owns = func(*resource.Upstream) bool { return true }
 			r.boxes = append(r.boxes, b)
 		}
 		f(t, r)
@@ -62,13 +62,13 @@
 	})
 }
 
-func (r *rig) declare(revision int64, k resource.Kind, name, spec string) {
+func (r *fixture) apply(revision int64, k resource.Kind, name, spec string) {
 	r.view.Apply([]resource.Change{{Revision: revision, Resource: &resource.Resource{
 		Kind: k, Metadata: resource.Metadata{Name: name}, Spec: []byte(spec),
 	}}}, revision)
 }
 
-func (r *rig) loaded(t *testing.T) string {
+func (r *fixture) loaded(t *testing.T) string {
 	t.Helper()
 	l, err := r.boxes[0].ReadLoad(t.Context(), "http://u1")
 	if err != nil {
@@ -78,19 +78,19 @@
 }
 
 func TestOneBoxGivesOrders(t *testing.T) {
-	withRig(t, 2, func(t *testing.T, r *rig) {
+	withFixture(t, 2, func(t *testing.T, r *fixture) {
 		u := r.view.Upstream("u1")
 		if ok, err := r.boxes[0].Step(t.Context(), u); !ok || err != nil {
 			t.Fatalf("holder: got %v %v, want an order", ok, err)
 		}
-		r.declare(4, resource.KindModel, "m", `{"maxTokens":10,"default":"v2"}`)
+		r.apply(4, resource.KindModel, "m", `{"maxTokens":10,"default":"v2"}`)
 		if ok, err := r.boxes[1].Step(t.Context(), u); ok || err != nil {
 			t.Errorf("other box: got %v %v, want no order", ok, err)
 		}
 		if got, want := r.loaded(t), "v1"; got != want {
 			t.Errorf("loaded: got %s, want %s", got, want)
 		}
-		time.Sleep(lease.Period + time.Second)
+		time.Sleep(lease.TTL + time.Second)
 		if ok, err := r.boxes[1].Step(t.Context(), u); !ok || err != nil {
 			t.Errorf("other box once the lease has ended: got %v %v, want an order", ok, err)
 		}
@@ -103,14 +103,14 @@
 // TestPausedHolderGivesNoOrder pauses the holder past its lease, at the last
 // moment before its order.
 func TestPausedHolderGivesNoOrder(t *testing.T) {
-	withRig(t, 2, func(t *testing.T, r *rig) {
+	withFixture(t, 2, func(t *testing.T, r *fixture) {
 		u := r.view.Upstream("u1")
-		h, err := r.boxes[0].hold(t.Context(), "u1")
+		h, err := r.boxes[0].acquireLease(t.Context(), "u1")
 		if err != nil || h == nil {
 			t.Fatal(h, err)
 		}
-		time.Sleep(lease.Period - lease.Margin) // the pause
-		if ok, err := r.boxes[0].give(t.Context(), u, h, &upstream.Order{Kind: upstream.OrderLoad, Model: "m", Version: "old"}); ok || err != nil {
+		time.Sleep(lease.TTL - lease.SafetyMargin) // the pause
+		if ok, err := r.boxes[0].send(t.Context(), u, h, &upstream.Order{Kind: upstream.OrderLoad, Model: "m", Version: "old"}); ok || err != nil {
 			t.Errorf("got %v %v, want no order", ok, err)
 		}
 		if got := r.loaded(t); got != "" {
@@ -122,14 +122,14 @@
 // TestFenceStopsALateOrder lets an order of an old holder arrive after one of a
 // new holder.
 func TestFenceStopsALateOrder(t *testing.T) {
-	withRig(t, 2, func(t *testing.T, r *rig) {
+	withFixture(t, 2, func(t *testing.T, r *fixture) {
 		u := r.view.Upstream("u1")
-		old, _ := r.boxes[0].hold(t.Context(), "u1")
-		time.Sleep(lease.Period + time.Second)
+		old, _ := r.boxes[0].acquireLease(t.Context(), "u1")
+		time.Sleep(lease.TTL + time.Second)
 		if ok, err := r.boxes[1].Step(t.Context(), u); !ok || err != nil {
 			t.Fatal(ok, err)
 		}
-		err := r.boxes[0].Give(t.Context(), u.Spec.Address, &upstream.Order{Fence: old.Epoch, Kind: upstream.OrderLoad, Model: "m", Version: "old"})
+		err := r.boxes[0].SendOrder(t.Context(), u.Spec.Address, &upstream.Order{Fence: old.Epoch, Kind: upstream.OrderLoad, Model: "m", Version: "old"})
 		if fail.Reason(err) != "upstream_conflict" {
 			t.Errorf("late order: got %v, want a conflict", err)
 		}
@@ -142,17 +142,17 @@
 // TestLateOrderWithoutFenceIsUndone shows what remains possible at an upstream
 // that does not check fences, and that the holder mends it at its next step.
 func TestLateOrderWithoutFenceIsUndone(t *testing.T) {
-	withRig(t, 2, func(t *testing.T, r *rig) {
+	withFixture(t, 2, func(t *testing.T, r *fixture) {
 		r.engines[0].SetFaults(engine.Faults{IgnoreFence: true})
 		u := r.view.Upstream("u1")
 		if ok, err := r.boxes[0].Step(t.Context(), u); !ok || err != nil {
 			t.Fatal(ok, err)
 		}
-		_ = r.boxes[1].Give(t.Context(), u.Spec.Address, &upstream.Order{Fence: 0, Kind: upstream.OrderLoad, Model: "m", Version: "old"})
+		_ = r.boxes[1].SendOrder(t.Context(), u.Spec.Address, &upstream.Order{Fence: 0, Kind: upstream.OrderLoad, Model: "m", Version: "old"})
 		if got, want := r.loaded(t), "old"; got != want {
 			t.Fatalf("loaded by the late order: got %s, want %s", got, want)
 		}
-		time.Sleep(lease.Period + time.Second)
+		time.Sleep(lease.TTL + time.Second)
 		if ok, err := r.boxes[0].Step(t.Context(), u); !ok || err != nil {
 			t.Errorf("got %v %v, want an order", ok, err)
 		}
@@ -164,14 +164,14 @@
 
 // TestWeightStoreIsNotCrowded lets two boxes load at once with one permit.
 func TestWeightStoreIsNotCrowded(t *testing.T) {
-	withRig(t, 1, func(t *testing.T, r *rig) {
+	withFixture(t, 1, func(t *testing.T, r *fixture) {
 		if ok, err := r.boxes[0].Step(t.Context(), r.view.Upstream("u1")); !ok || err != nil {
 			t.Fatal(ok, err)
 		}
 		if ok, err := r.boxes[1].Step(t.Context(), r.view.Upstream("u2")); ok || err != nil {
 			t.Errorf("while the permit is taken: got %v %v, want no order", ok, err)
 		}
-		time.Sleep(lease.Period + time.Second)
+		time.Sleep(lease.TTL + time.Second)
 		if ok, err := r.boxes[1].Step(t.Context(), r.view.Upstream("u2")); !ok || err != nil {
 			t.Errorf("once it has ended: got %v %v, want an order", ok, err)
 		}
@@ -179,18 +179,18 @@
 }
 
 func TestLeaseAnswersLost(t *testing.T) {
-	withRig(t, 1, func(t *testing.T, r *rig) {
+	withFixture(t, 1, func(t *testing.T, r *fixture) {
 		r.platform.SetFaults(fakeplatform.Faults{LoseAnswers: 1})
-		h, err := r.boxes[0].hold(t.Context(), "u1")
+		h, err := r.boxes[0].acquireLease(t.Context(), "u1")
 		if err != nil || h == nil {
 			t.Fatalf("got %v %v, want the lease that the lost answer gave", h, err)
 		}
-		if o, err := r.boxes[1].hold(t.Context(), "u1"); o != nil || err != nil {
+		if o, err := r.boxes[1].acquireLease(t.Context(), "u1"); o != nil || err != nil {
 			t.Errorf("other box: got %v %v, want no lease", o, err)
 		}
 		r.platform.SetFaults(fakeplatform.Faults{Down: true})
-		time.Sleep(lease.Period)
-		if o, err := r.boxes[0].hold(t.Context(), "u1"); o != nil || err == nil {
+		time.Sleep(lease.TTL)
+		if o, err := r.boxes[0].acquireLease(t.Context(), "u1"); o != nil || err == nil {
 			t.Errorf("platform down: got %v %v, want an error", o, err)
 		}
 		if ok, err := r.boxes[0].Step(t.Context(), r.view.Upstream("u1")); ok || err == nil {
@@ -200,15 +200,15 @@
 }
 
 func TestRolesAndUnloads(t *testing.T) {
-	withRig(t, 2, func(t *testing.T, r *rig) {
+	withFixture(t, 2, func(t *testing.T, r *fixture) {
 		b := r.boxes[0]
-		_ = b.Give(t.Context(), "http://u1", &upstream.Order{Kind: upstream.OrderLoad, Model: "old", Version: "v0"})
+		_ = b.SendOrder(t.Context(), "http://u1", &upstream.Order{Kind: upstream.OrderLoad, Model: "old", Version: "v0"})
 		for range 2 {
 			if ok, err := b.Step(t.Context(), r.view.Upstream("u1")); !ok || err != nil {
 				t.Fatal(ok, err)
 			}
 		}
-		r.declare(9, resource.KindUpstream, "u1", `{"address":"http://u1","hall":"a","kvTokens":1,"maxBatch":1,"models":["m"],"type":"engine","leaving":true}`)
+		r.apply(9, resource.KindUpstream, "u1", `{"address":"http://u1","hall":"a","kvTokens":1,"maxBatch":1,"models":["m"],"type":"engine","leaving":true}`)
 		if ok, err := b.Step(t.Context(), r.view.Upstream("u1")); !ok || err != nil {
 			t.Fatal(ok, err)
 		}
--- a/internal/ownership/assign_test.go
+++ b/internal/ownership/assign_test.go
@@ -21,7 +21,7 @@
 	for i := range 300 {
 		l = append(l, box.Member{Hall: fmt.Sprint("h", i%3), Name: fmt.Sprint("box-", i), State: box.StateServing})
 	}
-	m.List(l, time.Now())
+	m.ApplyList(l, time.Now())
 	v := resource.NewView()
 	var c []resource.Change
 	for i := range 3000 {
--- a/internal/placement/candidates_test.go
+++ b/internal/placement/candidates_test.go
@@ -18,7 +18,7 @@
 	for i := range boxes {
 		l = append(l, box.Member{Hall: fmt.Sprint("h", i%3), Name: fmt.Sprint("box-", i), State: box.StateServing})
 	}
-	m.List(l, time.Now())
+	m.ApplyList(l, time.Now())
 	v := resource.NewView()
 	for i := range n {
 		putEngine(v, i, int64(i+1), "")
@@ -62,7 +62,7 @@
 		t.Errorf("its entry has lapsed for long: got %v, want it not among them", got)
 	}
 	began := time.Now()
-	m.Failed("box-2", began, began.Add(time.Second))
+	m.RecordFailure("box-2", began, began.Add(time.Second))
 	if got := names(c.of(w, now)); got["engine-2"] || got["engine-5"] {
 		t.Errorf("no box is left in h2: got %v, want none of its engines", got)
 	}
--- a/internal/placement/reserved.go
+++ b/internal/placement/reserved.go
@@ -93,7 +93,7 @@
 		default:
 		}
 		if ctx.Err() == nil && owner != p.members.Self().Name {
-			p.members.Failed(owner, began, time.Now())
+			p.members.RecordFailure(owner, began, time.Now())
 		}
 		if err == nil {
 			err = fail.New(fail.Unavailable, place, "owner_lost", "the owner hung up")
--- a/internal/ratelimit/change.go
+++ b/internal/ratelimit/change.go
@@ -7,8 +7,8 @@
 	Known  bool // there is a Before
 }
 
-// Announced reports whether other boxes have to hear of the change: whether the upstream has a
+// NeedsAnnouncement reports whether other boxes have to hear of the change: whether the upstream has a
 // limit at all has changed.
-func (c *Change) Announced() bool {
-	return !c.Known || c.Before.Lifted != c.After.Lifted || c.Before.Born != c.After.Born
+func (c *Change) NeedsAnnouncement() bool {
+	return !c.Known || c.Before.Lifted != c.After.Lifted || c.Before.StartedAt != c.After.StartedAt
 }
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -10,68 +10,68 @@
 // cold, only with a permit. It is safe for concurrent use; of its own lock and that of its limits neither is
 // taken under the other.
 type Limiter struct {
-	// Ask asks the box that allocates the permits of an upstream for some; a seam.
-	Ask func(ctx context.Context, q *Ask) (*Grant, error)
+	// RequestPermits asks the box that allocates the permits of an upstream for some; a seam.
+	RequestPermits func(ctx context.Context, q *PermitRequest) (*Grant, error)
 
 	limits *Limits
 	mutex  sync.Mutex
-	states map[string]*state
+	states map[string]*permitState
 }
 
 // Option sets one thing of a take of a permit.
-type Option func(*Ask)
-
-// state is what this box has been told about permits for one start of an upstream.
-type state struct {
-	born         int64
-	permits      int       // not used yet
-	refusedUntil time.Time // there are none before
-	takes        int       // permits wanted since takesSince
-	takesBefore  int       // in the permitLife before that
-	takesSince   time.Time
-	until        time.Time // the permits may be used
+type Option func(*PermitRequest)
+
+// permitState is what this box has been told about permits for one start of an upstream.
+type permitState struct {
+	startedAt     int64
+	permits       int       // not used yet
+	refusedUntil  time.Time // there are none before
+	windowTakes   int       // permits wanted since windowStart
+	previousTakes int       // in the permitTTL before that
+	windowStart   time.Time
+	permitsUntil  time.Time // the permits may be used
 }
 
 const (
-	// failedPeriod is how long no permit is asked for where no box answered an ask.
-	failedPeriod = 100 * time.Millisecond
-	// refusedLeast is how long none is asked for at the least where there was none.
-	refusedLeast = 5 * time.Millisecond
+	// errorBackoff is how long no permit is asked for where no box answered an ask.
+	errorBackoff = 100 * time.Millisecond
+	// minBackoff is how long none is asked for at the least where there was none.
+	minBackoff = 5 * time.Millisecond
 )
 
 // NewLimiter returns a limiter by the limits in s.
 func NewLimiter(s *Limits) *Limiter {
-	return &Limiter{limits: s, states: make(map[string]*state)}
+	return &Limiter{limits: s, states: make(map[string]*permitState)}
 }
 
 // Urgent says that the request is lost without a permit.
 func Urgent() Option {
-	return func(q *Ask) { q.Urgent = true }
+	return func(q *PermitRequest) { q.Urgent = true }
 }
 
-// WaitTill says that a permit for a time up to t is of use, too. Take then waits for that time.
-func WaitTill(t time.Time) Option {
-	return func(q *Ask) { q.WaitTill = t }
+// WaitUntil says that a permit for a time up to t is of use, too. Take then waits for that time.
+func WaitUntil(t time.Time) Option {
+	return func(q *PermitRequest) { q.WaitUntil = t }
 }
 
 // Limits returns the limits.
 func (m *Limiter) Limits() *Limits { return m.limits }
 
-// Limited reports whether an upstream needs permits.
-func (m *Limiter) Limited(u Upstream, now time.Time) bool {
-	return u.Cold > 0 || m.limits.Of(u.Name, u.Born, now) != nil
+// NeedsPermit reports whether an upstream needs permits.
+func (m *Limiter) NeedsPermit(u Upstream, now time.Time) bool {
+	return u.ColdRate > 0 || m.limits.Get(u.Name, u.StartedAt, now) != nil
 }
 
 // RefusedUntil returns until when there is no permit for an upstream, as far as this box was told;
 // zero where there may be one or none is needed.
 func (m *Limiter) RefusedUntil(u Upstream, now time.Time) time.Time {
-	if !m.Limited(u, now) {
+	if !m.NeedsPermit(u, now) {
 		return time.Time{}
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	x := m.states[u.Name]
-	if x == nil || x.born != u.Born || x.has(now) || !now.Before(x.refusedUntil) {
+	if x == nil || x.startedAt != u.StartedAt || x.hasPermit(now) || !now.Before(x.refusedUntil) {
 		return time.Time{}
 	}
 	return x.refusedUntil
@@ -81,11 +81,11 @@
 // none is needed.
 func (m *Limiter) Take(ctx context.Context, u Upstream, options ...Option) bool {
 	now := time.Now()
-	l := m.limits.Of(u.Name, u.Born, now)
-	if l == nil && u.Cold <= 0 {
+	l := m.limits.Get(u.Name, u.StartedAt, now)
+	if l == nil && u.ColdRate <= 0 {
 		return true
 	}
-	q := &Ask{Cold: u.Cold, Limit: Limit{Born: u.Born, Upstream: u.Name}}
+	q := &PermitRequest{ColdRate: u.ColdRate, Limit: Limit{StartedAt: u.StartedAt, Upstream: u.Name}}
 	if l != nil {
 		q.Limit = *l
 	}
@@ -96,43 +96,43 @@
 	if taken, q.Want = m.takeHeld(u, now); taken {
 		return true
 	}
-	g, err := m.Ask(ctx, q)
+	g, err := m.RequestPermits(ctx, q)
 	if err != nil {
-		g = &Grant{RetryAt: time.Now().Add(failedPeriod)}
+		g = &Grant{RetryAt: time.Now().Add(errorBackoff)}
 	}
-	m.note(u, g)
+	m.recordGrant(u, g)
 	if g.Count == 0 {
 		return false
 	}
-	return await(ctx, g.From)
+	return waitUntil(ctx, g.From)
 }
 
-// Forget drops what is old.
-func (m *Limiter) Forget(now time.Time) {
+// EvictIdle drops what is old.
+func (m *Limiter) EvictIdle(now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for n, x := range m.states {
-		if now.Sub(x.takesSince) > bucketLife && now.After(x.refusedUntil) {
+		if now.Sub(x.windowStart) > idleTTL && now.After(x.refusedUntil) {
 			delete(m.states, n)
 		}
 	}
 }
 
-// note records the answer to an ask, of which the asking request uses one permit.
-func (m *Limiter) note(u Upstream, g *Grant) {
+// recordGrant records the answer to an ask, of which the asking request uses one permit.
+func (m *Limiter) recordGrant(u Upstream, g *Grant) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	x := m.at(u)
+	x := m.stateOf(u)
 	if g.Count == 0 {
 		x.refusedUntil = g.RetryAt
-		if least := time.Now().Add(refusedLeast); x.refusedUntil.Before(least) {
-			x.refusedUntil = least
+		if earliest := time.Now().Add(minBackoff); x.refusedUntil.Before(earliest) {
+			x.refusedUntil = earliest
 		}
 		return
 	}
 	x.refusedUntil = time.Time{}
 	if g.Count > 1 {
-		x.permits, x.until = g.Count-1, g.Until
+		x.permits, x.permitsUntil = g.Count-1, g.Until
 	}
 }
 
@@ -141,38 +141,38 @@
 func (m *Limiter) takeHeld(u Upstream, now time.Time) (taken bool, want int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	x := m.at(u)
-	if since := now.Sub(x.takesSince); since >= permitLife {
-		x.takesBefore, x.takes, x.takesSince = x.takes, 0, now
-		if since >= 2*permitLife {
-			x.takesBefore = 0
+	x := m.stateOf(u)
+	if since := now.Sub(x.windowStart); since >= permitTTL {
+		x.previousTakes, x.windowTakes, x.windowStart = x.windowTakes, 0, now
+		if since >= 2*permitTTL {
+			x.previousTakes = 0
 		}
 	}
-	x.takes++
-	if !x.has(now) {
-		return false, max(1, x.takesBefore)
+	x.windowTakes++
+	if !x.hasPermit(now) {
+		return false, max(1, x.previousTakes)
 	}
 	x.permits--
 	return true, 0
 }
 
-// at returns the state of one start of an upstream; the lock is held.
-func (m *Limiter) at(u Upstream) *state {
+// stateOf returns the state of one start of an upstream; the lock is held.
+func (m *Limiter) stateOf(u Upstream) *permitState {
 	x := m.states[u.Name]
-	if x == nil || x.born != u.Born {
-		x = &state{born: u.Born}
+	if x == nil || x.startedAt != u.StartedAt {
+		x = &permitState{startedAt: u.StartedAt}
 		m.states[u.Name] = x
 	}
 	return x
 }
 
-// has reports whether a permit is held.
-func (x *state) has(now time.Time) bool {
-	return x.permits > 0 && now.Before(x.until)
+// hasPermit reports whether a permit is held.
+func (x *permitState) hasPermit(now time.Time) bool {
+	return x.permits > 0 && now.Before(x.permitsUntil)
 }
 
-// await waits until a time, and reports whether it came before ctx ended.
-func await(ctx context.Context, until time.Time) bool {
+// waitUntil waits until a time, and reports whether it came before ctx ended.
+func waitUntil(ctx context.Context, until time.Time) bool {
 	d := time.Until(until)
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/ratelimit/limits.go
+++ b/internal/ratelimit/limits.go
@@ -32,7 +32,7 @@
 func (s *Limits) All(now time.Time) []Limit {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.forget(now)
+	s.evictExpired(now)
 	l := make([]Limit, 0, len(s.limits))
 	for _, x := range s.limits {
 		l = append(l, x)
@@ -49,12 +49,12 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.forget(now)
+	s.evictExpired(now)
 	var sum uint64
 	for _, x := range s.limits {
 		h := xxhash.New()
 		_, _ = h.WriteString(x.Upstream)
-		b := binary.LittleEndian.AppendUint64(nil, uint64(x.Born))
+		b := binary.LittleEndian.AppendUint64(nil, uint64(x.StartedAt))
 		if x.Lifted {
 			b = append(b, 1)
 		}
@@ -67,46 +67,46 @@
 // Empty reports whether no limit is known.
 func (s *Limits) Empty() bool { return s.count.Load() == 0 }
 
-// Invalid records that one start of an upstream named what is no limit, and reports whether it is
+// MarkInvalid records that one start of an upstream named what is no limit, and reports whether it is
 // the first time.
-func (s *Limits) Invalid(upstream string, born int64) bool {
+func (s *Limits) MarkInvalid(upstream string, startedAt int64) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if b, ok := s.invalid[upstream]; ok && b == born {
+	if b, ok := s.invalid[upstream]; ok && b == startedAt {
 		return false
 	}
 	if len(s.invalid) >= maxInvalid {
 		clear(s.invalid)
 	}
-	s.invalid[upstream] = born
+	s.invalid[upstream] = startedAt
 	return true
 }
 
 // Lift records that an answer of one start of an upstream named no limit. It returns nil where that
 // changes nothing.
-func (s *Limits) Lift(upstream string, born int64, now time.Time) *Change {
+func (s *Limits) Lift(upstream string, startedAt int64, now time.Time) *Change {
 	if s.Empty() {
 		return nil
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	x, ok := s.limits[upstream]
-	if !ok || x.Lifted || x.Born != born {
+	if !ok || x.Lifted || x.StartedAt != startedAt {
 		return nil
 	}
-	x.At, x.Lifted = now, true
+	x.ReportedAt, x.Lifted = now, true
 	return s.record(x, now)
 }
 
-// Of returns the limit in force of one start of an upstream, or nil.
-func (s *Limits) Of(upstream string, born int64, now time.Time) *Limit {
+// Get returns the limit in force of one start of an upstream, or nil.
+func (s *Limits) Get(upstream string, startedAt int64, now time.Time) *Limit {
 	if s.Empty() {
 		return nil
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	x, ok := s.limits[upstream]
-	if !ok || x.Born != born || !x.holds(now) {
+	if !ok || x.StartedAt != startedAt || !x.inForce(now) {
 		return nil
 	}
 	l := x // so that nothing is allocated where there is no limit
@@ -117,7 +117,7 @@
 func (s *Limits) Record(l Limit, now time.Time) *Change {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	l.At = now.Add(l.At.Sub(now)) // a time of another box does not follow steps of the time of day otherwise
+	l.ReportedAt = now.Add(l.ReportedAt.Sub(now)) // a time of another box does not follow steps of the time of day otherwise
 	return s.record(l, now)
 }
 
@@ -127,17 +127,17 @@
 	defer s.mutex.Unlock()
 	n := 0
 	for _, x := range s.limits {
-		if x.holds(now) {
+		if x.inForce(now) {
 			n++
 		}
 	}
 	return n
 }
 
-// forget drops what is old; the lock is held.
-func (s *Limits) forget(now time.Time) {
+// evictExpired drops what is old; the lock is held.
+func (s *Limits) evictExpired(now time.Time) {
 	for n, x := range s.limits {
-		if x.old(now) {
+		if x.expired(now) {
 			delete(s.limits, n)
 		}
 	}
@@ -147,7 +147,7 @@
 // record is Record; the lock is held.
 func (s *Limits) record(l Limit, now time.Time) *Change {
 	known, ok := s.limits[l.Upstream]
-	if l.old(now) || (ok && !l.supersedes(&known)) {
+	if l.expired(now) || (ok && !l.supersedes(&known)) {
 		return nil
 	}
 	s.limits[l.Upstream] = l
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -99,7 +99,7 @@
 	for asked := 0; ; asked++ {
 		now := time.Now()
 		l := e.upstreams()
-		if err := x.rests.Refusal(l, e.servicePlace(), now); err != nil {
+		if err := x.rests.AllBackingOffError(l, e.servicePlace(), now); err != nil {
 			return nil, err
 		}
 		avoid, waitTill, err := e.avoidLimited(l, x.rests.Avoid(l, e.avoid, now), asked, now)
--- a/internal/relay/deliver.go
+++ b/internal/relay/deliver.go
@@ -33,7 +33,7 @@
 		return false, e.passOn(a, b)
 	}
 	if err != nil {
-		e.relay.health.Answered(e.upstream.Name, true, nil, time.Now())
+		e.relay.health.RecordAnswer(e.upstream.Name, true, nil, time.Now())
 		if ctx.Err() == nil {
 			e.noteCrash(e.upstream, 0)
 		}
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -77,7 +77,7 @@
 	if e.service == nil {
 		return fail.WithRetryAt(fail.New(fail.NotRun, clientPlace("route"), "service_unknown", "service %q is not declared", n), time.Now().Add(startPeriod))
 	}
-	x.budget.Request(n, time.Now())
+	x.budget.CountRequest(n, time.Now())
 	return nil
 }
 
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -40,7 +40,7 @@
 	case c == nil:
 	case c.After.Lifted:
 		event.LimitLifted.Log(x.log, "upstream", c.After.Upstream, "per_second", c.After.PerSecond, "from", from)
-	case c.Announced() || c.After.PerSecond != c.Before.PerSecond:
+	case c.NeedsAnnouncement() || c.After.PerSecond != c.Before.PerSecond:
 		event.LimitNamed.Log(x.log, "upstream", c.After.Upstream, "per_second", c.After.PerSecond, "before", c.Before.PerSecond, "from", from)
 	}
 	return c
@@ -55,12 +55,12 @@
 	switch {
 	case a.LimitError != nil:
 		x.metrics.Count(metric.UpstreamWords, "word", wordLimitInvalid)
-		if limits.Invalid(u.Name, u.Spec.Born) {
+		if limits.MarkInvalid(u.Name, u.Spec.Born) {
 			event.LimitInvalid.Log(x.log, "upstream", u.Name, "error", a.LimitError.Error())
 		}
 	case a.Limit != nil:
 		x.metrics.Count(metric.UpstreamWords, "word", wordLimit)
-		x.announceLimit(x.NoteLimit(ratelimit.Limit{At: now, Born: u.Spec.Born, PerSecond: *a.Limit, Upstream: u.Name}, fromAnswer))
+		x.announceLimit(x.NoteLimit(ratelimit.Limit{ReportedAt: now, StartedAt: u.Spec.Born, PerSecond: *a.Limit, Upstream: u.Name}, fromAnswer))
 	case a.Signed || (a.NotRun && a.Status != http.StatusMisdirectedRequest):
 		x.announceLimit(x.logLimit(limits.Lift(u.Name, u.Spec.Born, now), fromAnswer))
 	}
@@ -82,7 +82,7 @@
 	for _, u := range l {
 		switch {
 		case avoid[u.Name] || !u.AcceptsWork(now):
-		case x.limiter.Limited(x.limitedUpstream(u, now), now):
+		case x.limiter.NeedsPermit(x.limitedUpstream(u, now), now):
 			all[u.Name] = true
 		default:
 			free = true
@@ -141,7 +141,7 @@
 func (e *exchange) permitted(ctx context.Context, u *resource.Upstream, waitTill time.Time) bool {
 	x, now := e.relay, time.Now()
 	v := x.limitedUpstream(u, now)
-	if !x.limiter.Limited(v, now) {
+	if !x.limiter.NeedsPermit(v, now) {
 		return true
 	}
 	till := waitTill
@@ -150,14 +150,14 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, till.Add(permitSlack))
 	defer cancel()
-	return x.countPermit(x.limiter.Take(ctx, v, ratelimit.WaitTill(waitTill)))
+	return x.countPermit(x.limiter.Take(ctx, v, ratelimit.WaitUntil(waitTill)))
 }
 
 // permittedToResume does so for a run that was stopped for a move, and is lost without a permit.
 func (e *exchange) permittedToResume(ctx context.Context, u *resource.Upstream) bool {
 	x, now := e.relay, time.Now()
 	v := x.limitedUpstream(u, now)
-	if !x.limiter.Limited(v, now) {
+	if !x.limiter.NeedsPermit(v, now) {
 		return true
 	}
 	return x.countPermit(x.limiter.Take(ctx, v, ratelimit.Urgent()))
@@ -176,9 +176,9 @@
 // limitedUpstream returns what the permits for an upstream depend on. What a cold engine gets is up to
 // its owner.
 func (x *Relay) limitedUpstream(u *resource.Upstream, now time.Time) ratelimit.Upstream {
-	v := ratelimit.Upstream{Born: u.Spec.Born, Name: u.Name}
+	v := ratelimit.Upstream{StartedAt: u.Spec.Born, Name: u.Name}
 	if u.Engine() == nil && u.Cold(now) {
-		v.Cold = x.coldBears(u)
+		v.ColdRate = x.coldBears(u)
 	}
 	return v
 }
@@ -216,9 +216,9 @@
 }
 
 // localPermits returns an Ask of a limiter for a box that sends alone.
-func localPermits() func(context.Context, *ratelimit.Ask) (*ratelimit.Grant, error) {
+func localPermits() func(context.Context, *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
 	a := ratelimit.NewAllocator()
-	return func(_ context.Context, q *ratelimit.Ask) (*ratelimit.Grant, error) {
+	return func(_ context.Context, q *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
 		g := a.Allocate(q, 1, 1, time.Now())
 		return &g, nil
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -71,7 +71,7 @@
 	metrics        *metric.Set
 	pace           pace
 	placeWait      *metrics.Histogram
-	rests          *health.Rests
+	rests          *health.Backoffs
 	served         *policy.Served
 	stopBackground context.CancelFunc
 	tracker        *placement.Tracker
@@ -123,9 +123,9 @@
 		background: background, stopBackground: stopBackground,
 		budget: budget.New(0.2, 0, 10*time.Second, func() int { return 1 }),
 		cancel: cancel, ctx: ctx, frequent: policy.NewFrequent(), quarantine: policy.NewQuarantine(), health: health.New(hall), lengths: l, limiter: ratelimit.NewLimiter(ratelimit.NewLimits()), log: log, meter: meter.New(m), metrics: m,
-		placeWait: m.Histogram(metric.PlaceWait), rests: health.NewRests(v), served: policy.NewServed(), streams: make(map[*stream]bool), tracker: t, view: v,
+		placeWait: m.Histogram(metric.PlaceWait), rests: health.NewBackoffs(v), served: policy.NewServed(), streams: make(map[*stream]bool), tracker: t, view: v,
 	}
-	x.limiter.Ask = localPermits()
+	x.limiter.RequestPermits = localPermits()
 	for _, o := range options {
 		o(x)
 	}
@@ -138,7 +138,7 @@
 // WithCold bounds how many requests a second a plain upstream gets while that is cold: bears from all
 // boxes, by permits, and most from this one. Bears returns 0 where there is no bound.
 func WithCold(bears func(u *resource.Upstream) float64, most func(u *resource.Upstream) int) Option {
-	return func(x *Relay) { x.coldBears, x.health.ColdMost = bears, most }
+	return func(x *Relay) { x.coldBears, x.health.ColdRateLimit = bears, most }
 }
 
 // WithBudget bounds the tries beyond the first of each request: in any window,
@@ -155,7 +155,7 @@
 
 // WithRests shares the times for which upstreams want nothing from this box with others that
 // send to them.
-func WithRests(r *health.Rests) Option {
+func WithRests(r *health.Backoffs) Option {
 	return func(x *Relay) { x.rests = r }
 }
 
@@ -253,8 +253,8 @@
 			return
 		case <-c:
 		case now := <-t.C:
-			x.health.Forget(now)
-			x.limiter.Forget(now)
+			x.health.EvictIdle(now)
+			x.limiter.EvictIdle(now)
 		}
 	}
 }
@@ -276,7 +276,7 @@
 
 // SetBudget changes the bound on tries beyond the first.
 func (x *Relay) SetBudget(ratio float64, extra float64, window time.Duration) {
-	x.budget.Set(ratio, extra, window)
+	x.budget.Configure(ratio, extra, window)
 }
 
 // Served returns what this box remembers of requests that ran to their ends.
--- a/internal/relay/resume.go
+++ b/internal/relay/resume.go
@@ -38,7 +38,7 @@
 	if v != nil && v.Evacuated() && time.Since(v.EvacuatedAt) > handOverPeriod {
 		return nil, fail.New(fail.NotRun, place, string(policy.ReasonEvacuated), "data hall %q is evacuated", v.Spec.Hall)
 	}
-	if !e.relay.rests.Spend(u.Name, time.Now()) {
+	if !e.relay.rests.TakeProbe(u.Name, time.Now()) {
 		return nil, fail.New(fail.NotRun, place, string(policy.ReasonResting), "the upstream wants rest")
 	}
 	if !e.permittedToResume(ctx, u) {
@@ -95,7 +95,7 @@
 func (s *stream) open(ctx context.Context, m *move) (*Answer, error) {
 	e := s.exchange
 	r := &Resume{Handle: m.copy.Handle, Source: m.from.HostPort()}
-	e.relay.budget.Spend(e.service.Name, time.Now())
+	e.relay.budget.CountRetry(e.service.Name, time.Now())
 	var a *Answer
 	var err error
 	var u *resource.Upstream
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -48,24 +48,24 @@
 	x.observeLimit(u, a)
 	if a.Rest > 0 {
 		x.metrics.Count(metric.UpstreamWords, "word", wordRest)
-		x.rests.Asked(u, now.Add(a.Rest))
+		x.rests.RecordBackoff(u, now.Add(a.Rest))
 	}
 	if a.NotRun {
 		// One that rejects all is never busy: where it asks for no back-off, its rejections count as
 		// failures, or it would be sent the most.
 		turnsAway := promises(a.Status) && a.Rest == 0 // and doesn't find fault with the request
-		x.health.Answered(u.Name, turnsAway, a.Load, now)
+		x.health.RecordAnswer(u.Name, turnsAway, a.Load, now)
 		if turnsAway && u.Engine() != nil {
-			x.rests.Refused(u.Name, now) // its owner holds it for empty
+			x.rests.RecordRefusal(u.Name, now) // its owner holds it for empty
 		}
 		event.UpstreamRefused.Log(x.log, "request", e.request.ID, "upstream", u.Name, "status", a.Status, "rest_ms", a.Rest.Milliseconds())
 		return fail.WithRetryAt(fail.New(fail.NotRun, p, "upstream_refused", "status %d, not run", a.Status), e.refusedUntil(now))
 	}
 	e.ran++
 	e.mayRun = true
-	x.rests.Served(u.Name)
+	x.rests.RecordSuccess(u.Name)
 	spoilt := a.OtherEcho || (a.Status < http.StatusBadRequest && !a.Signed)
-	x.health.Answered(u.Name, spoilt || a.Status >= http.StatusInternalServerError, a.Load, now)
+	x.health.RecordAnswer(u.Name, spoilt || a.Status >= http.StatusInternalServerError, a.Load, now)
 	if spoilt {
 		event.UpstreamMismatch.Log(x.log, "request", e.request.ID, "upstream", u.Name, "status", a.Status)
 		return fail.New(fail.Unknown, p, "answer_crossed", "the answer is not that of the request")
@@ -106,7 +106,7 @@
 // another one may take it, and else once the first has rested.
 func (e *exchange) refusedUntil(now time.Time) time.Time {
 	t := now.Add(refusedPeriod)
-	if at := fail.RetryAt(e.relay.rests.Refusal(e.upstreams(), e.servicePlace(), now)); at.After(t) {
+	if at := fail.RetryAt(e.relay.rests.AllBackingOffError(e.upstreams(), e.servicePlace(), now)); at.After(t) {
 		return at
 	}
 	return t
@@ -126,7 +126,7 @@
 	now := time.Now()
 	if errorx.IsOfType(err, fail.NotRun) {
 		e.avoid[u.Name] = true
-		x.health.Away(u.Name, now)
+		x.health.RecordUnreachable(u.Name, now)
 		event.UpstreamFailed.Log(x.log, "request", e.request.ID, "upstream", u.Name, "reason", fail.Reason(err))
 		return nil, true, err
 	}
@@ -135,7 +135,7 @@
 		e.mayRun = true
 		e.ran++
 		if e.client.Err() == nil { // or it tells nothing of the upstream
-			x.health.Answered(u.Name, true, nil, now)
+			x.health.RecordAnswer(u.Name, true, nil, now)
 		}
 		if ctx.Err() == nil {
 			e.noteCrash(u, 0)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -54,7 +54,7 @@
 	Do func(r *http.Request) (*http.Response, error)
 	// Rests are the times for which upstreams want nothing from this box, shared with others
 	// that send to them.
-	Rests *health.Rests
+	Rests *health.Backoffs
 
 	keys    *requestkey.Keys
 	metrics *metric.Set
@@ -75,7 +75,7 @@
 
 // NewRouter returns a router over the services in v.
 func NewRouter(v *resource.View, k *requestkey.Keys, m *metric.Set) *Router {
-	return &Router{active: make(map[string]int), keys: k, metrics: m, Rests: health.NewRests(v), retries: policy.NewRetries(), view: v}
+	return &Router{active: make(map[string]int), keys: k, metrics: m, Rests: health.NewBackoffs(v), retries: policy.NewRetries(), view: v}
 }
 
 // Call carries c to its answer.
@@ -174,7 +174,7 @@
 
 // refusal refuses a call for which no upstream is left, none of which was tried.
 func (r *Router) refusal(c *Call, u []*resource.Upstream) error {
-	if err := r.Rests.Refusal(u, r.place(c), time.Now()); err != nil {
+	if err := r.Rests.AllBackingOffError(u, r.place(c), time.Now()); err != nil {
 		return err
 	}
 	return fail.WithRetryAt(fail.New(fail.NotRun, r.place(c), string(policy.ReasonResting), "the upstreams of %q want rest", c.Service), time.Now())
@@ -211,7 +211,7 @@
 		return nil, fail.Wrap(fail.Unknown, p, "upstream_lost", err)
 	}
 	if rest := upstream.RestOf(w.StatusCode, w.Header); rest > 0 {
-		r.Rests.Asked(u, time.Now().Add(rest))
+		r.Rests.RecordBackoff(u, time.Now().Add(rest))
 	}
 	return &Answer{Body: b, ContentType: w.Header.Get("Content-Type"), Status: w.StatusCode}, nil
 }
--- a/join.go
+++ b/join.go
@@ -39,7 +39,7 @@
 			continue
 		}
 		for _, m := range r.Members {
-			b.members.Heard(m, time.Now())
+			b.members.RecordContact(m, time.Now())
 		}
 		_ = b.follower.CatchUp(ctx, a, r.Revisions)
 	}
@@ -75,7 +75,7 @@
 	for _, x := range b.view.Boxes() {
 		l = append(l, box.Member{Address: x.Spec.Address, Hall: x.Spec.Hall, Name: x.Name, State: box.StateServing})
 	}
-	b.members.List(l, time.Now())
+	b.members.ApplyList(l, time.Now())
 }
 
 // listenForNews waits until the neighbours have told something of every source, and
--- a/limit_test.go
+++ b/limit_test.go
@@ -301,7 +301,7 @@
 		r.startRouter("box-b3")
 		time.Sleep(3 * time.Second)
 		for _, n := range limited {
-			if l := r.boxes["box-b3"].relay.Limits().Of(n, 0, time.Now()); l == nil || l.PerSecond != 0.2 {
+			if l := r.boxes["box-b3"].relay.Limits().Get(n, 0, time.Now()); l == nil || l.PerSecond != 0.2 {
 				t.Errorf("%s: got %v, want 0.2 a second", n, l)
 			}
 		}
--- a/limits.go
+++ b/limits.go
@@ -79,23 +79,23 @@
 }
 
 // allocate allocates permits for a box, as the one that should or not.
-func (b *Box) allocate(from string, q *ratelimit.Ask, first bool) *ratelimit.Grant {
+func (b *Box) allocate(from string, q *ratelimit.PermitRequest, first bool) *ratelimit.Grant {
 	now := time.Now()
-	if !q.Limit.At.IsZero() {
+	if !q.Limit.ReportedAt.IsZero() {
 		b.relay.NoteLimit(q.Limit, from)
 	}
-	l := b.limits.limiter.Limits().Of(q.Limit.Upstream, q.Limit.Born, now)
+	l := b.limits.limiter.Limits().Get(q.Limit.Upstream, q.Limit.StartedAt, now)
 	switch {
 	case l != nil:
 		q.Limit = *l
-	case q.Cold <= 0: // lifted meanwhile
+	case q.ColdRate <= 0: // lifted meanwhile
 		return &ratelimit.Grant{Count: 1, From: now, Until: now}
 	default:
-		q.Limit.At = time.Time{}
+		q.Limit.ReportedAt = time.Time{}
 	}
 	share := 1.0
 	if !first {
-		share = ratelimit.DeputyShare
+		share = ratelimit.FallbackShare
 	}
 	g := b.limits.allocator.Allocate(q, share, b.members.Count(), now)
 	return &g
@@ -104,7 +104,7 @@
 // announceLimit tells the other boxes that an upstream has a limit, or has none any more. Of a limit
 // that has only changed, the box hears that allocates its permits.
 func (b *Box) announceLimit(c *ratelimit.Change) {
-	if !c.Announced() {
+	if !c.NeedsAnnouncement() {
 		if d := c.After.PerSecond - c.Before.PerSecond; d > rateChange*c.Before.PerSecond || -d > rateChange*c.Before.PerSecond {
 			b.notifyAllocator(c.After)
 		}
@@ -138,15 +138,15 @@
 }
 
 // answerPermit allocates permits for another box, or passes its ask on to the box that does.
-func (b *Box) answerPermit(ctx context.Context, from string, q *ratelimit.Ask) *ratelimit.Grant {
+func (b *Box) answerPermit(ctx context.Context, from string, q *ratelimit.PermitRequest) *ratelimit.Grant {
 	o, first := b.allocatorOf(q.Limit.Upstream, time.Now())
 	switch {
 	case o == b.settings.Box:
 		return b.allocate(from, q, first)
-	case q.Final:
+	case q.NoForward:
 		return b.allocate(from, q, false)
 	}
-	q.Final = true
+	q.NoForward = true
 	if g := b.callPermit(ctx, o, q, forwardPeriod); g != nil {
 		return g
 	}
@@ -155,13 +155,13 @@
 
 // askPermit asks the box that allocates the permits of an upstream for some, and, where it does not
 // answer, the next ones.
-func (b *Box) askPermit(ctx context.Context, q *ratelimit.Ask) (*ratelimit.Grant, error) {
+func (b *Box) askPermit(ctx context.Context, q *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
 	for range permitBoxes {
 		o, first := b.allocatorOf(q.Limit.Upstream, time.Now())
 		if o == b.settings.Box {
 			return b.allocate(o, q, first), nil
 		}
-		q.Final = !first
+		q.NoForward = !first
 		if g := b.callPermit(ctx, o, q, permitPeriod); g != nil {
 			return g, nil
 		}
@@ -174,7 +174,7 @@
 
 // callPermit asks a box for permits. It returns nil where that does not answer in time, which is then
 // passed over for a while.
-func (b *Box) callPermit(ctx context.Context, name string, q *ratelimit.Ask, limit time.Duration) *ratelimit.Grant {
+func (b *Box) callPermit(ctx context.Context, name string, q *ratelimit.PermitRequest, limit time.Duration) *ratelimit.Grant {
 	call, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	began := time.Now()
@@ -185,7 +185,7 @@
 		return r.Grant
 	}
 	refused := call.Err() == nil && fail.Reason(err) == box.ReasonUnreachable
-	if refused && b.members.Failed(name, began, now) {
+	if refused && b.members.RecordFailure(name, began, now) {
 		event.PeerLost.Log(b.log, "box", name, "error", err.Error())
 	}
 	if ctx.Err() == nil || now.Sub(began) >= forwardPeriod { // or its caller has gone
--- a/linetiller.go
+++ b/linetiller.go
@@ -60,7 +60,7 @@
 	owners           *ownership.Owners
 	relay            *relay.Relay
 	reserved         *placement.Reserved
-	rests            *health.Rests
+	rests            *health.Backoffs
 	routed           *platform.Engines // the upstreams of declared routes
 	keeper           *keeper
 	store            *table.Store
--- a/stopping.go
+++ b/stopping.go
@@ -50,7 +50,7 @@
 		return
 	}
 	event.BoxLeaving.Log(b.log, "held", b.Held())
-	b.members.Leave()
+	b.members.SetLeaving()
 	close(b.left)
 }
 
