--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,5 +1,4 @@
-// Package budget bounds the tries beyond the first of each request. It does no I/O and
-// reads no clock.
+// Package budget limits the retries of requests. It does no I/O and reads no clock.
 package budget
 
 import (
@@ -7,58 +6,50 @@
 	"time"
 )
 
-// Budget bounds the tries beyond the first of each request, for each service,
-// in any window. It is one box's share of what all boxes may spend: a share of
-// its own requests, and its part of the fixed extra.
+// Budget limits the retries for each service in any window of time. It holds one box's share of the
+// retries that all boxes may make: a ratio of the box's own requests, plus an equal part of a fixed
+// number of extra retries. It is safe for concurrent use.
 type Budget struct {
-	boxes   func() int                // that share the extra
-	extra   float64                   // tries in any window, of all boxes
-	mutex   sync.Mutex                // guards all but boxes
-	ratio   float64                   // of tries to requests
+	boxes   func() int                // number of boxes that share extra
+	extra   float64                   // extra retries per window, of all boxes together
+	mutex   sync.Mutex                // guards all fields but boxes
+	ratio   float64                   // retries per request
 	windows map[string]*slidingWindow // by service
-	start   time.Time                 // from which slices are counted
+	start   time.Time                 // start of slot 0
 	window  time.Duration
 }
 
-// slidingWindow counts one service's requests and tries in slices of a window.
+// slidingWindow counts one service's requests and retries, in a ring of time slots.
 type slidingWindow struct {
 	requests [slotCount]int
-	newest   int64 // the number of the newest slice
+	newest   int64 // number of the newest slot
 	retries  [slotCount]int
 }
 
 const (
-	// usableShare is the share of what is allowed that is used: windows by which
-	// tries are judged do not begin with ours, and boxes may be more than this one
-	// knows.
+	// usableShare is the share of the allowed retries that is used. The rest is a margin: the
+	// limit may be checked over windows that start at other times than these slots, and there may
+	// be more boxes than this one knows of.
 	usableShare = 0.7
-	// slotCount is how many slices a window slides by.
+	// slotCount is the number of slots of a window.
 	slotCount = 10
 )
 
-// New returns a budget of a ratio of the requests and some extra tries in any window, which
-// so many boxes share.
+// New returns a budget that allows, in any window, ratio retries per request plus this box's part of
+// the extra retries. The function boxes returns how many boxes share these.
 func New(ratio float64, extra float64, window time.Duration, boxes func() int) *Budget {
 	return &Budget{boxes: boxes, extra: extra, ratio: ratio, windows: make(map[string]*slidingWindow), window: window}
 }
 
-// windowOf returns a service's span, slid to now; the lock is held.
-func (b *Budget) windowOf(service string, now time.Time) *slidingWindow {
-	if b.start.IsZero() {
-		b.start = now
-	}
-	slot := int64(max(0, now.Sub(b.start)) / max(1, b.window/slotCount))
-	s := b.windows[service]
-	if s == nil {
-		s = &slidingWindow{newest: slot}
-		b.windows[service] = s
-	}
-	for n := min(slot-s.newest, slotCount); n > 0; n-- {
-		s.newest = slot - n + 1
-		s.requests[s.newest%slotCount] = 0
-		s.retries[s.newest%slotCount] = 0
+// Configure changes the limits. Past requests and retries still count, unless the window changes.
+func (b *Budget) Configure(ratio float64, extra float64, window time.Duration) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.ratio, b.extra = ratio, extra
+	if b.window != window {
+		b.window = window
+		clear(b.windows)
 	}
-	return s
 }
 
 // CountRequest counts a request for a service.
@@ -69,18 +60,7 @@
 	s.requests[s.newest%slotCount]++
 }
 
-// Configure changes what is allowed; what was counted stays, unless the window changes.
-func (b *Budget) Configure(ratio float64, extra float64, window time.Duration) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	b.ratio, b.extra = ratio, extra
-	if b.window != window {
-		b.window = window
-		clear(b.windows)
-	}
-}
-
-// CountRetry counts a try that has to be made whatever is left.
+// CountRetry counts a retry that must be made even if the budget is exhausted.
 func (b *Budget) CountRetry(service string, now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -88,7 +68,7 @@
 	s.retries[s.newest%slotCount]++
 }
 
-// Take takes one try and reports whether there was one.
+// Take takes one retry from the budget and reports whether one was left.
 func (b *Budget) Take(service string, now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -105,3 +85,22 @@
 	s.retries[s.newest%slotCount]++
 	return true
 }
+
+// windowOf returns a service's window after advancing it to now. The caller holds the lock.
+func (b *Budget) windowOf(service string, now time.Time) *slidingWindow {
+	if b.start.IsZero() {
+		b.start = now
+	}
+	slot := int64(max(0, now.Sub(b.start)) / max(1, b.window/slotCount))
+	s := b.windows[service]
+	if s == nil {
+		s = &slidingWindow{newest: slot}
+		b.windows[service] = s
+	}
+	for n := min(slot-s.newest, slotCount); n > 0; n-- {
+		s.newest = slot - n + 1
+		s.requests[s.newest%slotCount] = 0
+		s.retries[s.newest%slotCount] = 0
+	}
+	return s
+}
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestTriesAreBoundedInEveryWindow takes all the tries that there are, each 10 ms, and counts
-// those in every window against what the requests in it allow.
+// TestTriesAreBoundedInEveryWindow takes as many retries as possible every 10 ms, and compares their
+// number in every window with what the requests allow.
 func TestTriesAreBoundedInEveryWindow(t *testing.T) {
 	const ratio, extra, boxes, window, step = 0.2, 40, 4, 10 * time.Second, 10 * time.Millisecond
 	b, start := New(ratio, extra, window, func() int { return boxes }), time.Unix(1000, 0)
@@ -31,31 +31,31 @@
 			retryCount += retries[i]
 			requestCount += requests[i]
 		}
-		// What is judged counts the requests of the window before, too, where they are more.
+		// The limit also allows for the requests of the preceding window.
 		for i := max(0, from-steps); i < from; i++ {
 			requestCount += requests[i]
 		}
 		if maxRetries := ratio*float64(requestCount) + extra/boxes; float64(retryCount) > maxRetries {
-			t.Fatalf("window from step %d: got %d tries, want at most %v", from, retryCount, maxRetries)
+			t.Fatalf("window from step %d: got %d retries, want at most %v", from, retryCount, maxRetries)
 		}
 	}
 	if !b.Take("another", start) {
-		t.Error("another service: got no try, want one of its own")
+		t.Error("another service: got no retry, want one from its own budget")
 	}
 }
 
-// TestSpentTriesCount checks that tries which have to be made leave fewer to be taken, and
-// that a change of the window forgets what was counted in the old one.
+// TestSpentTriesCount checks that retries that were made regardless of the budget reduce it, and
+// that a change of the window's length discards the counts.
 func TestSpentTriesCount(t *testing.T) {
 	b, now := New(0, 10, 10*time.Second, func() int { return 1 }), time.Unix(1000, 0)
 	for range 7 {
 		b.CountRetry("s", now)
 	}
 	if b.Take("s", now) {
-		t.Error("after seven of the seven that are used: got one more, want none")
+		t.Error("after all seven usable retries: got one more, want none")
 	}
 	b.Configure(0, 10, 5*time.Second)
 	if !b.Take("s", now) {
-		t.Error("in a new window: got none, want one")
+		t.Error("after the window changed: got no retry, want one")
 	}
 }
--- a/internal/health/rests.go
+++ b/internal/health/backoffs.go
@@ -10,62 +10,82 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// Backoffs are the back-off periods that upstreams asked this box for as they rejected requests. An
-// upstream that rejects all is never busy, so that choices by load would send it more than its
-// neighbours.
+// Backoffs holds the back-off periods that upstreams requested from this box when they rejected
+// requests. Without them, choices by load would favour an upstream that rejects everything, because
+// it is never busy.
 //
-// A back-off is of one start of an upstream, and is kept until its end, whatever is answered
-// meanwhile. It is safe for concurrent use.
+// A back-off applies to one instance of an upstream and lasts until its end, whatever the upstream
+// answers meanwhile.
 //
-// After refusals without a time this box stays away by itself, for longer with each in a row,
-// while there are other upstreams.
+// If an upstream rejects requests without a back-off period, this box avoids it for a period that
+// doubles with each consecutive rejection, but only while other upstreams are available.
+//
+// Backoffs is safe for concurrent use.
 type Backoffs struct {
 	mutex    sync.Mutex
-	refusals map[string]refusalStreak
-	backoffs map[string]backoff
+	refusals map[string]refusalStreak // by upstream
+	backoffs map[string]backoff       // by upstream
 	view     *resource.View
 }
 
-// refusalStreak are those in a row of one upstream, without a time.
+// refusalStreak counts the consecutive rejections of one upstream that gave no back-off period.
 type refusalStreak struct {
 	count int
-	until time.Time // this box stays away, while there are others
+	until time.Time // avoided until then if others are available
 }
 
-// backoff is what one upstream asked for.
+// backoff is the back-off that an upstream instance requested.
 type backoff struct {
-	startedAt int64 // the start that asked
-	probed    bool  // a request has gone there all the same
+	startedAt int64 // start time of the instance, in Unix milliseconds
+	probed    bool  // whether the one request that may be sent regardless has been
 	until     time.Time
 }
 
 const (
-	// minRefusalBackoff and maxRefusalBackoff are how long this box stays away after a first refusal, and at
-	// the most; it doubles with each in a row.
+	// An upstream is avoided for minRefusalBackoff after its first rejection without a back-off
+	// period. The time doubles with each consecutive one, up to maxRefusalBackoff.
 	minRefusalBackoff = 250 * time.Millisecond
 	maxRefusalBackoff = 4 * time.Second
-	// refusalTTL is how long refusals are remembered after that, in which none was added.
+	// refusalTTL is how long a streak of rejections is kept after the upstream is no longer avoided.
 	refusalTTL = 4 * time.Second
 )
 
-// NewBackoffs returns no rests of the upstreams in v.
+// NewBackoffs returns an empty set of back-offs for the upstreams in v.
 func NewBackoffs(v *resource.View) *Backoffs {
 	return &Backoffs{refusals: make(map[string]refusalStreak), backoffs: make(map[string]backoff), view: v}
 }
 
-// RecordBackoff records that an upstream asked for back-off until a time.
-func (r *Backoffs) RecordBackoff(u *resource.Upstream, until time.Time) {
+// AllBackingOffError returns an error if every listed upstream that takes new work has requested
+// back-off, and nil otherwise or if none takes new work. Its retry time is when the first back-off
+// ends.
+func (r *Backoffs) AllBackingOffError(l []*resource.Upstream, p fail.Place, now time.Time) error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if old, ok := r.backoffs[u.Name]; ok && old.startedAt == u.Spec.Born && old.until.After(until) {
-		return
+	if r.evictExpired(now) {
+		return nil
 	}
-	r.backoffs[u.Name] = backoff{startedAt: u.Spec.Born, until: until}
+	var first time.Time
+	for _, u := range l {
+		if !u.AcceptsWork(now) {
+			continue
+		}
+		t := r.until(u.Name, now)
+		if t.IsZero() {
+			return nil
+		}
+		if first.IsZero() || t.Before(first) {
+			first = t
+		}
+	}
+	if first.IsZero() {
+		return nil
+	}
+	return fail.WithRetryAt(fail.New(fail.NotRun, p, string(policy.ReasonResting), "every upstream has requested back-off"), first)
 }
 
-// Avoid returns the upstreams to avoid of a list: those named, those that rest, and, where
-// that leaves another, those that have just refused. It returns avoid itself where there are
-// no others.
+// Avoid returns the upstreams not to choose from l: those in avoid, those that requested back-off,
+// and, if that leaves an upstream to choose, those that recently rejected a request without a
+// back-off period. It returns avoid itself if nothing is recorded.
 func (r *Backoffs) Avoid(l []*resource.Upstream, avoid map[string]bool, now time.Time) map[string]bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -93,54 +113,38 @@
 	return throttled
 }
 
-// AllBackingOffError returns the refusal of a request where each upstream of a list that takes new work
-// rests, with the time at which the first has rested, or nil.
-func (r *Backoffs) AllBackingOffError(l []*resource.Upstream, p fail.Place, now time.Time) error {
+// RecordBackoff records that an upstream requested back-off until the given time. It does not
+// shorten an earlier back-off of the same instance.
+func (r *Backoffs) RecordBackoff(u *resource.Upstream, until time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.evictExpired(now) {
-		return nil
-	}
-	var first time.Time
-	for _, u := range l {
-		if !u.AcceptsWork(now) {
-			continue
-		}
-		t := r.until(u.Name, now)
-		if t.IsZero() {
-			return nil
-		}
-		if first.IsZero() || t.Before(first) {
-			first = t
-		}
-	}
-	if first.IsZero() {
-		return nil
+	if old, ok := r.backoffs[u.Name]; ok && old.startedAt == u.Spec.Born && old.until.After(until) {
+		return
 	}
-	return fail.WithRetryAt(fail.New(fail.NotRun, p, string(policy.ReasonResting), "every upstream wants rest"), first)
+	r.backoffs[u.Name] = backoff{startedAt: u.Spec.Born, until: until}
 }
 
-// RecordRefusal records that an upstream rejected a request without asking for back-off.
+// RecordRefusal records that an upstream rejected a request without requesting back-off.
 func (r *Backoffs) RecordRefusal(name string, now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	x := r.refusals[name]
 	if now.Before(x.until) {
-		return // it was on its way
+		return // the request was sent before the previous rejection was known
 	}
 	period := min(maxRefusalBackoff, minRefusalBackoff<<min(x.count, 8))
 	r.refusals[name] = refusalStreak{count: x.count + 1, until: now.Add(period)}
 }
 
-// RecordSuccess records that an upstream ran a request.
+// RecordSuccess records that an upstream ran a request, which ends its streak of rejections.
 func (r *Backoffs) RecordSuccess(name string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	delete(r.refusals, name)
 }
 
-// TakeProbe reports whether a request may go to an upstream all the same, for which there is no
-// other way: one may in each rest.
+// TakeProbe reports whether a request that no other upstream can take may be sent to this one. During
+// a back-off one such request may be sent.
 func (r *Backoffs) TakeProbe(name string, now time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -156,14 +160,14 @@
 	return true
 }
 
-// Until returns until when an upstream asked for back-off, or zero where it is not throttled.
+// Until returns the end of an upstream's back-off, or zero if it requested none.
 func (r *Backoffs) Until(name string, now time.Time) time.Time {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.until(name, now)
 }
 
-// evictExpired drops what is over and reports whether nothing is left; the lock is held.
+// evictExpired removes expired entries and reports whether none is left. The caller holds the lock.
 func (r *Backoffs) evictExpired(now time.Time) bool {
 	for n, x := range r.backoffs {
 		if !now.Before(x.until) {
@@ -178,14 +182,14 @@
 	return len(r.backoffs) == 0 && len(r.refusals) == 0
 }
 
-// until is Until; the lock is held.
+// until implements Until. The caller holds the lock.
 func (r *Backoffs) until(name string, now time.Time) time.Time {
 	x, ok := r.backoffs[name]
 	if !ok || !now.Before(x.until) {
 		return time.Time{}
 	}
 	if u := r.view.Upstream(name); u != nil && u.Spec.Born != x.startedAt {
-		return time.Time{} // it has started anew, and knows nothing of it
+		return time.Time{} // the instance that requested the back-off is gone
 	}
 	return x.until
 }
--- a/internal/health/rests_test.go
+++ b/internal/health/backoffs_test.go
@@ -9,7 +9,7 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// addUpstreams lists that many upstreams in a view, born at a time.
+// addUpstreams adds n upstreams that started at startedAt to a view and returns them.
 func addUpstreams(v *resource.View, n int, revision, startedAt int64) []*resource.Upstream {
 	var changes []resource.Change
 	for i := range n {
@@ -21,9 +21,9 @@
 	return v.UpstreamsOfService("desk")
 }
 
-// TestRests checks which of two upstreams are avoided, and when a request is refused: a rest
-// that was asked for holds until its end and for one start of the upstream alone; refusals
-// without a time keep a box away only while there is another upstream.
+// TestRests checks which of two upstreams are avoided, and when requests are refused. A requested
+// back-off lasts until its end and applies to one instance of the upstream only. Rejections
+// without a back-off period only count while another upstream is available.
 func TestRests(t *testing.T) {
 	now := time.Now()
 	v := resource.NewView()
@@ -41,42 +41,42 @@
 			t.Errorf("%s: got %v until %v, want a refusal for %v", when, err, got, refusedFor)
 		}
 	}
-	check("none rests", 0, 0, 0)
+	check("no back-off", 0, 0, 0)
 	r.RecordBackoff(a, at(3*time.Second))
-	check("one rests", time.Second, 1, 0)
+	check("one back-off", time.Second, 1, 0)
 	r.RecordBackoff(a, at(2*time.Second))
-	check("it asked for less later", 2500*time.Millisecond, 1, 0)
+	check("a later request for a shorter back-off", 2500*time.Millisecond, 1, 0)
 	r.RecordBackoff(b, at(5*time.Second))
-	check("both rest", 2*time.Second, 2, time.Second)
-	check("the first has rested", 3*time.Second, 1, 0)
-	check("both have rested", 5*time.Second, 0, 0)
+	check("both back off", 2*time.Second, 2, time.Second)
+	check("the first back-off has ended", 3*time.Second, 1, 0)
+	check("both back-offs have ended", 5*time.Second, 0, 0)
 
 	r.RecordBackoff(a, at(9*time.Second))
 	for i, want := range []bool{true, false} {
 		if got := r.TakeProbe(a.Name, at(6*time.Second)); got != want {
-			t.Errorf("send %d to one that rests: got %v, want %v", i, got, want)
+			t.Errorf("probe %d during a back-off: got %v, want %v", i, got, want)
 		}
 	}
 	l = addUpstreams(v, 2, 2, 6)
-	check("it has started again", 6*time.Second, 0, 0)
+	check("the upstream has restarted", 6*time.Second, 0, 0)
 	r.RecordRefusal(a.Name, at(6*time.Second))
-	check("one has refused", 6100*time.Millisecond, 1, 0)
+	check("one has rejected a request", 6100*time.Millisecond, 1, 0)
 	r.RecordRefusal(b.Name, at(6*time.Second))
-	check("both have refused", 6100*time.Millisecond, 0, 0)
+	check("both have rejected a request", 6100*time.Millisecond, 0, 0)
 	r.RecordSuccess(b.Name)
-	check("the other one has served", 6100*time.Millisecond, 1, 0)
-	check("a moment later", 6*time.Second+minRefusalBackoff, 0, 0)
+	check("the other one has run a request", 6100*time.Millisecond, 1, 0)
+	check("after the first period", 6*time.Second+minRefusalBackoff, 0, 0)
 	r.RecordRefusal(a.Name, at(6*time.Second+minRefusalBackoff))
-	check("it has refused again", 6*time.Second+2*minRefusalBackoff, 1, 0)
-	check("twice as long after that", 6*time.Second+3*minRefusalBackoff, 0, 0)
-	check("long after", time.Minute, 0, 0)
+	check("a second rejection in a row", 6*time.Second+2*minRefusalBackoff, 1, 0)
+	check("after the doubled period", 6*time.Second+3*minRefusalBackoff, 0, 0)
+	check("after the streak has expired", time.Minute, 0, 0)
 	if got := len(r.backoffs) + len(r.refusals); got != 0 {
-		t.Errorf("kept in the end: got %d, want nothing", got)
+		t.Errorf("entries left: got %d, want 0", got)
 	}
 }
 
-// BenchmarkRests measures what each request pays, of 1,000 upstreams: while none rests, and
-// while three do and one has refused.
+// BenchmarkRests measures the cost per request with 1,000 upstreams: without back-offs, and with
+// three back-offs and one upstream that rejected a request.
 func BenchmarkRests(b *testing.B) {
 	for _, throttled := range []int{0, 3} {
 		b.Run(fmt.Sprint(throttled), func(b *testing.B) {
--- a/internal/health/cold_test.go
+++ b/internal/health/cold_test.go
@@ -7,9 +7,9 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// TestColdUpstreamGetsItsShare has a crowd of calls come to services of which both are cold,
-// and then one: this box may send each two a second while it is cold, and more are refused
-// until one is warm.
+// TestColdUpstreamGetsItsShare sends bursts of calls to two cold upstreams, of which one warms up
+// later. A cold upstream gets at most two requests per second from this box. The other calls are
+// refused while no upstream is warm.
 func TestColdUpstreamGetsItsShare(t *testing.T) {
 	h, now := New("a"), time.Now()
 	h.ColdRateLimit = func(*resource.Upstream) int { return 2 }
@@ -24,7 +24,7 @@
 			u, retryAt := h.Choose(l, nil, now)
 			if u == nil {
 				if !retryAt.Equal(warmAt) {
-					t.Errorf("a call that was refused: got back at %v, want %v", retryAt, warmAt)
+					t.Errorf("refused call: got retry at %v, want %v", retryAt, warmAt)
 				}
 				refused++
 				continue
@@ -43,14 +43,14 @@
 	}
 	l[1].ColdUntil = time.Time{}
 	if got := sendBurst(100); got != 0 {
-		t.Errorf("refused with one warm: got %d, want 0", got)
+		t.Errorf("refused with one warm upstream: got %d, want 0", got)
 	}
 	if got, want := sent["s1"], 4; got != want {
-		t.Errorf("sent to the one that is cold still: got %d, want %d", got, want)
+		t.Errorf("sent to the cold upstream: got %d, want %d", got, want)
 	}
 	now = warmAt
 	sendBurst(100)
 	if sent["s1"] <= 4 {
-		t.Error("nothing is sent to the one that is warm again")
+		t.Error("got no requests to the upstream once it is warm, want some")
 	}
 }
--- a/internal/health/tracker.go
+++ b/internal/health/tracker.go
@@ -1,5 +1,5 @@
-// Package health keeps what a box has seen of upstreams with its own requests, and chooses
-// among them by it. It does no I/O and reads no clock.
+// Package health tracks how upstreams respond to this box's own requests, and chooses upstreams by
+// these observations. It does no I/O and reads no clock.
 package health
 
 import (
@@ -12,18 +12,18 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// Load is what an upstream tells of its load with an answer.
+// Load is the load that an upstream reports with an answer, in requests.
 type Load struct {
 	Running int
 	Slots   int
 	Waiting int
 }
 
-// Tracker is what this box has seen of upstreams with its own requests, which goes before
-// what others say of them. It is safe for concurrent use.
+// Tracker holds what this box has observed of upstreams with its own requests. These observations
+// take precedence over what others report. It is safe for concurrent use.
 type Tracker struct {
-	// ColdRateLimit returns how many requests a second this box may send to an upstream while
-	// it is cold; a seam. By default none is bounded.
+	// ColdRateLimit returns how many requests per second this box may send to an upstream while
+	// the upstream is cold. It can be replaced before first use; the default sets no limit.
 	ColdRateLimit func(u *resource.Upstream) int
 
 	hall  string
@@ -31,85 +31,51 @@
 	stats map[string]*upstreamStats
 }
 
-// upstreamStats is what was seen of one upstream.
+// upstreamStats holds the observations of one upstream.
 type upstreamStats struct {
-	inFlight         int // requests of this box in progress
-	decayedAt        time.Time
-	unreachableUntil time.Time   // it did not answer a connection a moment ago
-	coldSends        []time.Time // of the last second, while it was cold
-	connectFailures  int         // connections in a row that it did not answer
-	failureRate      float64     // share of failures among the last answers
-	load             float64     // running and waiting requests for each slot, as last told
-	loadAt           time.Time
+	inFlight         int         // requests of this box in progress
+	decayedAt        time.Time   // when failureRate was last decayed, which every use of it does
+	unreachableUntil time.Time   // end of the penalty for the last failed connection
+	coldSends        []time.Time // requests within the last coldWindow, while the upstream was cold
+	connectFailures  int         // consecutive failed connections
+	failureRate      float64     // share of failures among recent answers, from 0 to 1
+	load             float64     // running and waiting requests per slot, as last reported
+	loadAt           time.Time   // when load was reported
 }
 
-// candidate is an upstream with the load that it counts as having.
+// candidate is an upstream and its score: the lower, the better.
 type candidate struct {
 	score    float64
 	upstream *resource.Upstream
 }
 
 const (
-	// coldPenalty is the load that a cold upstream counts for: it is slower, by how much is
-	// not told, and one that is warm and not full goes before it.
+	// Penalties add to the score, in units of load: a load of 1 means that all slots are taken.
+	// coldPenalty is for cold upstreams. They are slower by an unknown amount, and a warm upstream
+	// with free slots is preferred.
 	coldPenalty       = 0.5
-	coldWindow        = time.Second // in which requests to a cold upstream are counted
-	unreachablePeriod = time.Second // that an upstream which could not be reached is passed over
-	// unreachableThreshold is how many connections in a row an upstream does not answer before it
-	// counts as out of reach: on a link that loses packets each of ten fails by itself.
+	coldWindow        = time.Second // sliding window of the cold rate limit
+	unreachablePeriod = time.Second // how long a failed connection counts against an upstream
+	// unreachableThreshold is the number of consecutive failed connections after which an upstream
+	// counts as unreachable. On a link with packet loss one connection in ten fails although the
+	// upstream is up.
 	unreachableThreshold = 5
-	probePeriod          = 300 * time.Millisecond // that one request may try an upstream that was out of reach, before another does
-	statsTTL             = 30 * time.Second       // that evidence is kept after the last look at it
-	failureWeight        = 0.2                    // of one answer in the share of failures
-	failureHalfLife      = 3 * time.Second        // in which the share of failures halves, so that an upstream is tried again
-	failurePenalty       = 6.0                    // load that an upstream which always fails counts for
-	hallPenalty          = 0.05                   // load that the way to another hall counts for
-	loadHalfLife         = 500 * time.Millisecond // in which a load that was told is half forgotten
-	defaultSlots         = 6                      // requests in progress of this box that count as a load of 1
+	probePeriod          = 300 * time.Millisecond // time between two probes of an unreachable upstream
+	statsTTL             = 30 * time.Second       // how long unused statistics are kept
+	failureWeight        = 0.2                    // weight of the latest answer in the failure rate
+	failureHalfLife      = 3 * time.Second        // of the failure rate; the decay lets a failing upstream be tried again
+	failurePenalty       = 6.0                    // penalty at a failure rate of 1, and after a failed connection
+	hallPenalty          = 0.05                   // penalty of an upstream in another hall
+	loadHalfLife         = 500 * time.Millisecond // of the weight of a reported load
+	defaultSlots         = 6                      // requests in flight from this box that count as a load of 1
 )
 
-// New returns a tracker, for a box of a hall, that has seen nothing.
+// New returns a tracker without observations for a box in the given hall.
 func New(hall string) *Tracker {
 	return &Tracker{ColdRateLimit: func(*resource.Upstream) int { return math.MaxInt }, hall: hall, stats: make(map[string]*upstreamStats)}
 }
 
-// RecordAnswer notes an answer, or the lack of one.
-func (t *Tracker) RecordAnswer(name string, failed bool, l *Load, now time.Time) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	e := t.statsOf(name)
-	e.connectFailures, e.unreachableUntil = 0, time.Time{}
-	e.decay(now)
-	v := 0.0
-	if failed {
-		v = 1
-	}
-	e.failureRate += failureWeight * (v - e.failureRate)
-	if l != nil && l.Slots > 0 {
-		e.load, e.loadAt = float64(l.Running+l.Waiting)/float64(l.Slots), now
-	}
-}
-
-// statsOf returns the evidence of an upstream; the lock is held.
-func (t *Tracker) statsOf(name string) *upstreamStats {
-	e := t.stats[name]
-	if e == nil {
-		e = new(upstreamStats)
-		t.stats[name] = e
-	}
-	return e
-}
-
-// RecordUnreachable notes that an upstream could not be reached.
-func (t *Tracker) RecordUnreachable(name string, now time.Time) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	e := t.statsOf(name)
-	e.unreachableUntil = now.Add(unreachablePeriod)
-	e.connectFailures++
-}
-
-// Begin counts a request in progress; the result ends it.
+// Begin counts a request to the upstream as in flight until end is called.
 func (t *Tracker) Begin(name string) (end func()) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -122,11 +88,13 @@
 	}
 }
 
-// Choose returns the best of the upstreams that take new work, or nil where there is
-// none, and then when one may be within reach again; zero where none would be. Of the two
-// best one is drawn where they are close, so that boxes which know the same do not all
-// choose alike. An upstream that is out of reach gets one request now and then, to be found
-// again.
+// Choose returns the upstream with the lowest score among those that take new work and are not in
+// avoid. If there is none, it returns nil and the earliest time at which one may be available
+// again, which is zero if waiting does not help.
+//
+// If the two best scores are close, one of the two is drawn at random, so that boxes with the same
+// observations do not all choose the same upstream. An unreachable upstream is chosen now and then
+// as a probe, to detect its recovery.
 func (t *Tracker) Choose(l []*resource.Upstream, avoid map[string]bool, now time.Time) (u *resource.Upstream, retryAt time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -160,7 +128,8 @@
 	return first.upstream, time.Time{}
 }
 
-// EvictIdle drops what is old.
+// EvictIdle removes the statistics of upstreams without requests in flight that have not been used
+// for statsTTL.
 func (t *Tracker) EvictIdle(now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -171,8 +140,36 @@
 	}
 }
 
-// blockedUntil returns until when an upstream that takes new work is to get none from this
-// box, or zero: it is out of reach, or cold and has had its share; the lock is held.
+// RecordAnswer records the outcome of a request that may have reached the upstream, and the load that
+// the upstream reported with its answer; nil if there is none.
+func (t *Tracker) RecordAnswer(name string, failed bool, l *Load, now time.Time) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	e := t.statsOf(name)
+	e.connectFailures, e.unreachableUntil = 0, time.Time{}
+	e.decay(now)
+	v := 0.0
+	if failed {
+		v = 1
+	}
+	e.failureRate += failureWeight * (v - e.failureRate)
+	if l != nil && l.Slots > 0 {
+		e.load, e.loadAt = float64(l.Running+l.Waiting)/float64(l.Slots), now
+	}
+}
+
+// RecordUnreachable records a failed connection to the upstream.
+func (t *Tracker) RecordUnreachable(name string, now time.Time) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	e := t.statsOf(name)
+	e.unreachableUntil = now.Add(unreachablePeriod)
+	e.connectFailures++
+}
+
+// blockedUntil returns the time before which this box must not send requests to the upstream,
+// because the upstream is unreachable, or cold with its rate limit used up; zero if it may. The
+// caller holds the lock.
 func (t *Tracker) blockedUntil(u *resource.Upstream, now time.Time) time.Time {
 	e := t.statsOf(u.Name)
 	switch {
@@ -184,7 +181,7 @@
 	return time.Time{}
 }
 
-// score returns how much load an upstream counts as having; the lock is held.
+// score returns the upstream's load plus its penalties. The caller holds the lock.
 func (t *Tracker) score(u *resource.Upstream, now time.Time) float64 {
 	e := t.statsOf(u.Name)
 	e.decay(now)
@@ -202,17 +199,19 @@
 	return s
 }
 
-// recordChoice notes that a request goes to the upstream.
-func (e *upstreamStats) recordChoice(u *resource.Upstream, now time.Time) {
-	if e.connectFailures >= unreachableThreshold {
-		e.unreachableUntil = now.Add(probePeriod)
-	}
-	if u.Cold(now) {
-		e.coldSends = append(e.coldSends, now)
+// statsOf returns the statistics of an upstream, and creates them if needed. The caller holds the
+// lock.
+func (t *Tracker) statsOf(name string) *upstreamStats {
+	e := t.stats[name]
+	if e == nil {
+		e = new(upstreamStats)
+		t.stats[name] = e
 	}
+	return e
 }
 
-// coldLimitReached reports whether an upstream is cold and has had what this box may send it.
+// coldLimitReached reports whether the upstream is cold and this box has sent it as many requests
+// within coldWindow as the limit allows.
 func (e *upstreamStats) coldLimitReached(u *resource.Upstream, limit func(*resource.Upstream) int, now time.Time) bool {
 	if !u.Cold(now) {
 		e.coldSends = nil
@@ -222,15 +221,26 @@
 	return len(e.coldSends) >= limit(u)
 }
 
-// unreachable reports whether the upstream is out of reach.
-func (e *upstreamStats) unreachable(now time.Time) bool {
-	return e.connectFailures >= unreachableThreshold && now.Before(e.unreachableUntil)
-}
-
-// decay lets failures of long ago count less.
+// decay reduces the failure rate by the time since the last decay.
 func (e *upstreamStats) decay(now time.Time) {
 	if !e.decayedAt.IsZero() {
 		e.failureRate *= math.Exp2(-now.Sub(e.decayedAt).Seconds() / failureHalfLife.Seconds())
 	}
 	e.decayedAt = now
 }
+
+// recordChoice records that the upstream was chosen for a request. If it was unreachable, the
+// request is a probe, and no other one follows within probePeriod.
+func (e *upstreamStats) recordChoice(u *resource.Upstream, now time.Time) {
+	if e.connectFailures >= unreachableThreshold {
+		e.unreachableUntil = now.Add(probePeriod)
+	}
+	if u.Cold(now) {
+		e.coldSends = append(e.coldSends, now)
+	}
+}
+
+// unreachable reports whether the upstream is unreachable and no probe is due.
+func (e *upstreamStats) unreachable(now time.Time) bool {
+	return e.connectFailures >= unreachableThreshold && now.Before(e.unreachableUntil)
+}
--- a/internal/health/tracker_test.go
+++ b/internal/health/tracker_test.go
@@ -7,9 +7,9 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// TestUpstreamOutOfReachGetsOneRequestNowAndThen checks that upstreams which answer no
-// connections are passed over, that one miss is not enough for that, and that a request is
-// let through now and then until one of them answers.
+// TestUpstreamOutOfReachGetsOneRequestNowAndThen checks that upstreams that accept no connections
+// are not chosen, that fewer failures than the threshold do not count, and that probes are let
+// through until an upstream answers.
 func TestUpstreamOutOfReachGetsOneRequestNowAndThen(t *testing.T) {
 	h, now := New("a"), time.Now()
 	l := []*resource.Upstream{{Name: "s1", Spec: resource.UpstreamSpec{Hall: "a"}}, {Name: "s2", Spec: resource.UpstreamSpec{Hall: "b"}}}
@@ -17,7 +17,7 @@
 		t.Helper()
 		u, retryAt := h.Choose(l, nil, now)
 		if (u != nil) != want || (u == nil && retryAt.IsZero()) || (u == nil && retryAt.Sub(now) > unreachablePeriod) {
-			t.Errorf("%s: got %v, back at %v; want one: %v", when, u, retryAt.Sub(now), want)
+			t.Errorf("%s: got %v, retry in %v; want an upstream: %v", when, u, retryAt.Sub(now), want)
 		}
 		return u
 	}
@@ -25,20 +25,20 @@
 		h.RecordUnreachable("s1", now)
 		h.RecordUnreachable("s2", now)
 	}
-	choose("after a miss or two", true)
+	choose("fewer failures than the threshold", true)
 	h.RecordUnreachable("s1", now)
-	if u := choose("one is out of reach", true); u != nil && u.Name != "s2" {
+	if u := choose("one unreachable", true); u != nil && u.Name != "s2" {
 		t.Errorf("got %s, want s2", u.Name)
 	}
 	h.RecordUnreachable("s2", now)
-	choose("both are", false)
+	choose("both unreachable", false)
 	now = now.Add(unreachablePeriod)
-	choose("a moment later", true)
-	choose("again", true)
-	choose("while both are being tried", false)
+	choose("first probe", true)
+	choose("second probe", true)
+	choose("both being probed", false)
 	h.RecordAnswer("s1", false, nil, now)
 	for range 3 {
-		if u := choose("one has answered", true); u != nil && u.Name != "s1" {
+		if u := choose("after one answered", true); u != nil && u.Name != "s1" {
 			t.Errorf("got %s, want s1", u.Name)
 		}
 	}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,11 +1,12 @@
-// Package lease keeps rows in the platform's table by which one box at a time
-// holds something, with an epoch that rises with each holder and serves as the
-// fence of its orders.
+// Package lease implements leases as rows of the platform's table. A lease gives one box at a time
+// the exclusive right to something. Its epoch increases with each holder and is the fencing token
+// of the orders that the holder gives.
 //
-// A store that came back from a copy may have lost the row of a lease that holds. So a lease
-// counts only in the store's era in which it was taken, and in a new one none is taken until
-// all that the store has forgotten have ended. An epoch holds the era above the count, so
-// that it rises although the count may begin anew.
+// A store that was restored from a backup may have lost the row of a lease that is still held.
+// Therefore a lease is only valid in the era of the store in which it was acquired, and after the
+// start of a new era no lease is acquired until all those that the store may have lost have
+// expired. The upper bits of an epoch hold the era, so that epochs keep increasing even if the
+// count in the lower bits starts over.
 package lease
 
 import (
@@ -20,55 +21,57 @@
 
 // Record is the value of a lease's row.
 type Record struct {
-	Deadline time.Time `json:"deadline"` // after which another box may take it
-	Epoch    int64     `json:"epoch"`    // rises with each holder
-	Holder   string    `json:"holder"`   // the box's name and a name of its run
-	WriteID  string    `json:"write"`    // names the write, so that a lost answer can be settled
+	Deadline time.Time `json:"deadline"` // when the lease expires
+	Epoch    int64     `json:"epoch"`    // increases with each holder
+	Holder   string    `json:"holder"`   // name of the box and ID of its process
+	WriteID  string    `json:"write"`    // tells whether this write took effect if its answer was lost
 }
 
-// Lease is a lease that this box holds, or held.
+// Lease is a lease that this box holds or has held.
 type Lease struct {
-	Epoch int64 // the fence of orders given under it
+	Epoch int64 // fencing token of orders given under the lease
 
-	currentEra func() (era int64, since time.Time) // see Keeper.Era
+	currentEra func() (era int64, since time.Time) // see Manager.Era
 	deadline   time.Time
 	era        int64
 	key        string
 	revision   int64
 }
 
-// Manager takes and renews leases. It is safe for concurrent use.
+// Manager acquires and renews leases. It is safe for concurrent use. Commit, Get and NewWriteID must
+// be set before first use.
 type Manager struct {
-	// Commit applies a transaction; a seam.
+	// Commit applies a transaction to the table.
 	Commit func(ctx context.Context, t *table.Transaction) (*table.Result, error)
-	// Era returns the era of the store as this box knows it, and when it learned that the
-	// store came back from a copy, zero where it never did; a seam.
+	// Era returns the era of the store that this box knows, and when the box learned that the
+	// store had been restored, or zero if it never did. By default the era is always 0.
 	Era func() (era int64, since time.Time)
-	// Get reads a row; a seam.
+	// Get reads a row of the table. It returns nil if the row does not exist.
 	Get func(ctx context.Context, key string) (*table.Row, error)
-	// NewWriteID names a write; a seam.
+	// NewWriteID returns a unique ID for a write.
 	NewWriteID func() string
 
 	holder string
 }
 
 const (
-	// TTL is how long a lease lasts.
+	// TTL is how long a lease lasts unless it is renewed.
 	TTL = 15 * time.Second
-	// SafetyMargin is how long before its end a holder stops to act on it, which covers
-	// the drift of clocks and the way of an order.
+	// SafetyMargin is how long before the lease expires its holder stops using it. It covers clock
+	// drift and the time that an order takes to arrive.
 	SafetyMargin = 5 * time.Second
 
 	keyPrefix = "lease/"
 )
 
-// NewManager returns a keeper for the holder of that name.
+// NewManager returns a manager that acquires leases for the given holder.
 func NewManager(holder string) *Manager {
 	return &Manager{Era: func() (int64, time.Time) { return 0, time.Time{} }, holder: holder}
 }
 
-// Acquire takes the lease on a thing, or returns nil where it is held, or may be: by another
-// box, or by this one, which then waits for its end, too.
+// Acquire acquires the lease with the given name. It returns nil if the lease is held, or may be held
+// because the store was restored less than TTL ago. A lease that this box holds counts, too: it has
+// to expire first.
 func (k *Manager) Acquire(ctx context.Context, name string) (*Lease, error) {
 	era, eraSince := k.Era()
 	if !eraSince.IsZero() && time.Since(eraSince) < TTL {
@@ -94,8 +97,8 @@
 	return k.write(ctx, key, condition, era, r)
 }
 
-// Renew makes a lease last longer, where l is one that has not ended, and takes
-// it otherwise. It returns nil where another box has it.
+// Renew extends the lease l. If l is nil, has expired or was acquired in an earlier era of the store,
+// Renew acquires the lease with the given name instead. It returns nil if another box holds it.
 func (k *Manager) Renew(ctx context.Context, name string, l *Lease) (*Lease, error) {
 	if l == nil || !l.held(time.Now()) {
 		return k.Acquire(ctx, name)
@@ -103,22 +106,24 @@
 	return k.write(ctx, l.key, l.revision, l.era, Record{Epoch: l.Epoch})
 }
 
-// Valid reports whether an order may still be given under the lease. The clock
-// is read anew, so that a holder that was paused finds its lease at an end.
+// Valid reports whether an order may still be given under the lease. Pass a freshly read time, so
+// that a holder whose process was paused notices that the lease has expired.
 func (l *Lease) Valid(now time.Time) bool {
 	return l.held(now.Add(SafetyMargin))
 }
 
-// held reports whether the lease has not ended, by the store as this box knows it.
+// held reports whether the lease has not expired and the store's era, as known to this box, is still
+// the same.
 func (l *Lease) held(now time.Time) bool {
 	era, _ := l.currentEra()
 	return now.Before(l.deadline) && era == l.era
 }
 
-// write writes the row in an era of the store. The deadline counts from before the
-// write, so that the holder never believes longer than the row says. Where the answer
-// is lost, the row is read back, and the write's name tells. Where the store's era proves to be another,
-// the lease is not held: the store forgot who may hold it.
+// write writes the row of a lease, on condition of its revision, and returns the lease, or nil if
+// the condition did not hold. The deadline is computed before the write, so that the holder never
+// relies on the lease for longer than the row says. If the answer is lost, the row is read back and
+// its write ID shows whether the write took effect. If the revision shows that the store is in
+// another era than expected, the lease is not held: the store may have lost the row of its holder.
 func (k *Manager) write(ctx context.Context, key string, condition, era int64, r Record) (*Lease, error) {
 	r.Deadline = time.Now().Add(TTL)
 	r.Holder, r.WriteID = k.holder, k.NewWriteID()
@@ -141,9 +146,9 @@
 	return l, nil
 }
 
-// confirmWrite finds out whether a write whose answer was lost took effect. A write
-// that may still arrive later cannot be acted upon, so it counts as not made;
-// its holder takes the lease again, with a higher epoch.
+// confirmWrite determines whether a write whose answer was lost took effect, and returns cause if
+// not. A write that is still on its way may take effect later, but counts as failed: the box has to
+// acquire the lease again, with a higher epoch.
 func (k *Manager) confirmWrite(ctx context.Context, l *Lease, writeID string, cause error) (*Lease, error) {
 	row, err := k.Get(ctx, l.key)
 	if err != nil || row == nil {
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -12,14 +12,14 @@
 	"github.com/linetiller/linetiller/platform"
 )
 
-// holder is a box that takes leases.
+// holder is a box that acquires leases.
 type holder struct {
 	*Manager
-	era      int64 // that it knows of
+	era      int64 // era of the store that the box knows
 	eraSince time.Time
 }
 
-// newHolder returns a holder with a client of the store of its own.
+// newHolder returns a holder with its own client of the store.
 func newHolder(l *link.Link, name string) *holder {
 	s := platform.NewStore("http://store", platform.WithStoreTransport(l)).Table()
 	h := &holder{Manager: NewManager(name)}
@@ -33,12 +33,12 @@
 	return h
 }
 
-// learnEra has the box hear of an era of the store.
+// learnEra lets the box learn that the store is in a new era.
 func (h *holder) learnEra(era int64) {
 	h.era, h.eraSince = era, time.Now()
 }
 
-// withHolders runs f with two boxes that take leases, in virtual time.
+// withHolders runs f with two boxes that acquire leases, in virtual time.
 func withHolders(t *testing.T, f func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, b *holder)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -48,7 +48,7 @@
 	})
 }
 
-// acquire takes a lease on the one thing of a test.
+// acquire acquires the only lease of the tests.
 func (h *holder) acquire(ctx context.Context, t *testing.T) *Lease {
 	t.Helper()
 	l, err := h.Acquire(ctx, "thing")
@@ -58,33 +58,34 @@
 	return l
 }
 
-// TestLeaseIsTakenOverOnceItHasEnded checks the order of holders and of their fences.
+// TestLeaseIsTakenOverOnceItHasEnded checks that a lease has one holder at a time, and that the next
+// holder has a higher epoch.
 func TestLeaseIsTakenOverOnceItHasEnded(t *testing.T) {
 	withHolders(t, func(ctx context.Context, t *testing.T, _ *fakeplatform.Platform, a, b *holder) {
 		first := a.acquire(ctx, t)
 		if first == nil || !first.Valid(time.Now()) {
-			t.Fatalf("the first: got %+v, want a lease that holds", first)
+			t.Fatalf("first holder: got %+v, want a valid lease", first)
 		}
 		if l := b.acquire(ctx, t); l != nil {
-			t.Errorf("while it holds: got %+v, want none", l)
+			t.Errorf("other box while the lease is held: got %+v, want none", l)
 		}
 		time.Sleep(TTL)
 		second := b.acquire(ctx, t)
 		if second == nil || second.Epoch <= first.Epoch || first.Valid(time.Now()) {
-			t.Errorf("once it has ended: got %+v after %+v, want one with a higher fence, and the first at an end", second, first)
+			t.Errorf("after the lease expired: got %+v after %+v, want one with a higher epoch, and the first invalid", second, first)
 		}
 	})
 }
 
-// TestLeaseThatTheStoreForgot takes a lease after the copy from which the store comes back.
-// Its holder believes in it no more once it has heard of that, and nobody takes the lease
-// before all who have not heard must hold it for ended: the copy tells nothing of it. Then
-// the fence is higher than any before, although the store has forgotten those.
+// TestLeaseThatTheStoreForgot restores the store from a backup that was made before a lease was
+// acquired. The holder must not use the lease once it knows of the restore. Until the lease has
+// expired no box may acquire it, because a holder that does not know may still use it. The next
+// epoch must be higher than the lost one.
 func TestLeaseThatTheStoreForgot(t *testing.T) {
 	for _, x := range []struct {
 		name   string
-		before bool // another holder's lease had ended before the copy
-	}{{"there was none before", false}, {"another one had ended", true}} {
+		before bool // another box's lease expired before the backup
+	}{{"no earlier lease", false}, {"earlier lease that expired", true}} {
 		t.Run(x.name, func(t *testing.T) {
 			withHolders(t, func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, b *holder) {
 				if x.before {
@@ -94,43 +95,43 @@
 				p.Copy()
 				l := a.acquire(ctx, t)
 				if l == nil {
-					t.Fatal("got no lease before the store is restored")
+					t.Fatal("before the restore: got no lease, want one")
 				}
 				p.Restore()
 				b.learnEra(1)
 				if !l.Valid(time.Now()) {
-					t.Error("a holder that has not heard: got no lease, want the one that it took")
+					t.Error("holder that does not know of the restore: got an invalid lease, want it still valid")
 				}
 				if got := b.acquire(ctx, t); got != nil {
-					t.Errorf("at once: another box got %+v, want none while the first may be believed", got)
+					t.Errorf("other box right after the restore: got %+v, want none while the lost lease may be in use", got)
 				}
 				a.learnEra(1)
 				if l.Valid(time.Now()) {
-					t.Error("a holder that has heard: got a lease that holds, want it ended")
+					t.Error("holder that knows of the restore: got a valid lease, want it invalid")
 				}
 				if got, err := a.Renew(ctx, "thing", l); got != nil || err != nil {
-					t.Errorf("a holder that has heard extends it: got %+v %v, want none", got, err)
+					t.Errorf("renewal by a holder that knows of the restore: got %+v %v, want none", got, err)
 				}
 				time.Sleep(TTL)
 				second := b.acquire(ctx, t)
 				if second == nil || second.Epoch <= l.Epoch {
-					t.Errorf("later: got %+v after %+v, want one with a higher fence", second, l)
+					t.Errorf("after the lost lease expired: got %+v after %+v, want one with a higher epoch", second, l)
 				}
 			})
 		})
 	}
 }
 
-// TestLeaseIsNotTakenInAnEraUnheardOf has a box that has not heard that the store was restored
-// take a lease: what it wrote is not believed, since another box may hold the lease by the
-// store as it was.
+// TestLeaseIsNotTakenInAnEraUnheardOf checks that a box that does not know that the store was
+// restored cannot acquire a lease, although its write succeeds: another box may hold a lease whose
+// row was lost.
 func TestLeaseIsNotTakenInAnEraUnheardOf(t *testing.T) {
 	withHolders(t, func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, b *holder) {
 		p.Copy()
 		a.acquire(ctx, t)
 		p.Restore()
 		if l := b.acquire(ctx, t); l != nil {
-			t.Errorf("got %+v, want none", l)
+			t.Errorf("lease in an unknown era: got %+v, want none", l)
 		}
 	})
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,5 +1,5 @@
-// Package member keeps what a box believes of the other boxes, from the
-// platform's list, which lags, and from direct evidence, which goes before it.
+// Package member tracks the membership and liveness of boxes as seen by one box. It combines the
+// platform's list of boxes, which lags, with direct contacts and failures, which take precedence.
 package member
 
 import (
@@ -12,49 +12,52 @@
 	"github.com/linetiller/linetiller/internal/policy"
 )
 
-// Table holds the boxes. It is safe for concurrent use; its lock is a leaf.
+// Table holds the known boxes. It is safe for concurrent use and takes no other lock while it holds
+// its own.
 type Table struct {
 	mutex             sync.Mutex
-	alive             map[string][]string // what Alive answers, by hall; emptied when it may change
-	boxes             map[string]*entry
-	failuresClearedAt time.Time // when failures were last forgotten
+	alive             map[string][]string // cached results of Alive, by hall; cleared by notifyChange
+	boxes             map[string]*entry   // the other boxes, by name
+	failuresClearedAt time.Time           // last call of ClearFailures
 	self              box.Member
-	version           uint64 // rises whenever what Alive answers may have changed
-	changed           chan struct{}
+	version           uint64        // see Version
+	changed           chan struct{} // see Changed
 }
 
+// entry is what is known of another box.
 type entry struct {
-	failedAt         time.Time // of the last call that failed, zero after one that went well
-	heardAt          time.Time
-	unreachableSince time.Time // since when no call has gone well, zero after one that did
-	listed           bool
+	failedAt         time.Time // last failed call; zero after a contact, and once it expired or was cleared
+	heardAt          time.Time // last contact
+	unreachableSince time.Time // first failed call since the last contact; zero if there is none
+	listed           bool      // whether the platform lists the box
 	member           box.Member
 }
 
 const (
-	// unlistedTTL is how long a box that the list does not name is kept after
-	// it was last heard.
+	// unlistedTTL is how long a box that the platform does not list is kept after the last contact.
+	// For the same time what the box said of itself takes precedence over the list.
 	unlistedTTL = 15 * time.Second
-	// failureTTL is how long a failed call counts against a box that is still
-	// listed; the next call that fails renews it.
+	// failureTTL is how long a failed call counts against a box. Each further failure starts it
+	// anew.
 	failureTTL = 30 * time.Second
-	// goneAfter is how long a box that nobody reaches stays listed.
+	// goneAfter is how long a listed box must be unreachable before Gone returns it.
 	goneAfter = 2 * time.Minute
-	// crossHallSenders is how many boxes of a hall send heartbeats to the other halls.
+	// crossHallSenders is how many boxes of each hall send heartbeats to the other halls.
 	crossHallSenders = 2
 	// heartbeatNeighbours is how many boxes of its hall each box sends heartbeats to.
 	heartbeatNeighbours = 4
-	// retryFailedAfter is when a box that failed is tried again. One that starts anew
-	// without the store has the configuration from whoever calls it first.
+	// retryFailedAfter is how long after a failure heartbeats to a box resume. It is short because
+	// a box that restarts while the store is down gets the configuration from the first box that
+	// calls it.
 	retryFailedAfter = 1500 * time.Millisecond
 )
 
-// NewTable returns a table that knows only the box itself.
+// NewTable returns a table that contains only the given box, to which it belongs.
 func NewTable(self box.Member) *Table {
 	return &Table{alive: make(map[string][]string), boxes: make(map[string]*entry), self: self, changed: make(chan struct{})}
 }
 
-// Address returns the address of a box, or "".
+// Address returns the address of a box, or "" if the box is unknown.
 func (t *Table) Address(name string) string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -67,9 +70,9 @@
 	return ""
 }
 
-// Alive returns the names of the boxes of a hall that are believed to serve, in
-// order; "" means all halls. The box itself is among them unless it leaves.
-// Callers must not change the list.
+// Alive returns the sorted names of the boxes of a hall that are believed to be serving; "" stands
+// for all halls. The box itself is included unless it is leaving. Callers must not modify the
+// result.
 func (t *Table) Alive(hall string) []string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -81,22 +84,54 @@
 	return l
 }
 
-// Changed returns a channel that is closed at the next change of Alive.
+// ApplyList updates the table from the platform's list of boxes. The list lags, so it overrides
+// neither recent contacts nor failures.
+func (t *Table) ApplyList(l []box.Member, now time.Time) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	seen := make(map[string]bool, len(l))
+	for _, m := range l {
+		if m.Name == t.self.Name {
+			continue
+		}
+		seen[m.Name] = true
+		t.applyListed(m, now)
+	}
+	for n, e := range t.boxes {
+		e.listed = seen[n]
+	}
+}
+
+// Changed returns a channel that is closed when the results of Alive may next have changed.
 func (t *Table) Changed() <-chan struct{} {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.changed
 }
 
-// Count returns how many boxes are known, this one included.
+// ClearFailures discards all failures. It is called after this box itself was paused, which made
+// calls to other boxes fail.
+func (t *Table) ClearFailures(now time.Time) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.failuresClearedAt = now
+	for _, e := range t.boxes {
+		if !e.failedAt.IsZero() {
+			e.failedAt = time.Time{}
+			t.notifyChange()
+		}
+	}
+}
+
+// Count returns the number of known boxes, including this one.
 func (t *Table) Count() int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return 1 + len(t.boxes)
 }
 
-// Expire drops what is neither listed nor heard of lately, and gives boxes that
-// failed long ago another try.
+// Expire removes boxes that are not listed and had no recent contact. Boxes whose last failure is
+// older than failureTTL count as serving again.
 func (t *Table) Expire(now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -113,29 +148,7 @@
 	}
 }
 
-// RecordFailure says that a call to a box failed that began at a time. It reports whether
-// the box was believed to serve until now. What was heard or reconsidered since the
-// call began goes before it.
-func (t *Table) RecordFailure(name string, startedAt, now time.Time) bool {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	e := t.boxes[name]
-	if e == nil || e.heardAt.After(startedAt) || t.failuresClearedAt.After(startedAt) {
-		return false
-	}
-	wasServing := e.failedAt.IsZero()
-	e.failedAt = now
-	if e.unreachableSince.IsZero() {
-		e.unreachableSince = now
-	}
-	if wasServing {
-		t.notifyChange()
-	}
-	return wasServing
-}
-
-// Gone returns the names of boxes that are listed and have not been reached for
-// long.
+// Gone returns the names of listed boxes that have been unreachable for more than goneAfter.
 func (t *Table) Gone(now time.Time) []string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -148,7 +161,7 @@
 	return l
 }
 
-// Halls returns the names of the halls that boxes are known in, in order.
+// Halls returns the sorted names of the halls of all known boxes.
 func (t *Table) Halls() []string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -159,38 +172,7 @@
 	return slices.Sorted(maps.Keys(m))
 }
 
-// RecordContact says that a box was heard. It reports whether it was believed gone.
-func (t *Table) RecordContact(m box.Member, now time.Time) bool {
-	if m.Name == t.self.Name || m.Name == "" {
-		return false
-	}
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	e := t.boxes[m.Name]
-	if e == nil {
-		e = new(entry)
-		t.boxes[m.Name] = e
-		t.notifyChange()
-	}
-	recovered := !e.failedAt.IsZero()
-	if recovered || e.member != m {
-		t.notifyChange()
-	}
-	e.failedAt, e.unreachableSince = time.Time{}, time.Time{}
-	e.heardAt = now
-	e.member = m
-	return recovered
-}
-
-// SetLeaving makes the box itself one that leaves.
-func (t *Table) SetLeaving() {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.self.State = box.StateLeaving
-	t.notifyChange()
-}
-
-// MarkLeaving says that a box told that it is leaving.
+// MarkLeaving records that another box announced that it is leaving.
 func (t *Table) MarkLeaving(name string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -200,25 +182,7 @@
 	}
 }
 
-// ApplyList takes in the platform's list. It lags: a box that was heard or that
-// failed more recently is believed by that evidence.
-func (t *Table) ApplyList(l []box.Member, now time.Time) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	seen := make(map[string]bool, len(l))
-	for _, m := range l {
-		if m.Name == t.self.Name {
-			continue
-		}
-		seen[m.Name] = true
-		t.applyListed(m, now)
-	}
-	for n, e := range t.boxes {
-		e.listed = seen[n]
-	}
-}
-
-// Members returns every box known, the box itself first.
+// Members returns all known boxes: this box first, then the others sorted by name.
 func (t *Table) Members() []box.Member {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -229,10 +193,9 @@
 	return l
 }
 
-// Neighbours returns the boxes to which heartbeats go: those that a rendezvous
-// with the box's own name ranks first in its hall and, from a few boxes of each
-// hall, one in each other hall.
-// Boxes that failed a moment ago are left out until they are due another try.
+// Neighbours returns the boxes to which this box sends heartbeats. They are the boxes of its hall
+// that rank first by rendezvous hashing with its own name and, for crossHallSenders boxes of each
+// hall, one box in each other hall. Boxes that failed less than retryFailedAfter ago are left out.
 func (t *Table) Neighbours(now time.Time) []box.Member {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -257,59 +220,100 @@
 	return l
 }
 
-// ClearFailures forgets all failures: the box itself was paused, and it was not
-// the others that did not answer.
-func (t *Table) ClearFailures(now time.Time) {
+// RecordContact records that a box is alive: it called this box, answered a call, or was named by a
+// box that this one contacted on joining. It reports whether the box counted as failed until now.
+func (t *Table) RecordContact(m box.Member, now time.Time) bool {
+	if m.Name == t.self.Name || m.Name == "" {
+		return false
+	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.failuresClearedAt = now
-	for _, e := range t.boxes {
-		if !e.failedAt.IsZero() {
-			e.failedAt = time.Time{}
-			t.notifyChange()
-		}
+	e := t.boxes[m.Name]
+	if e == nil {
+		e = new(entry)
+		t.boxes[m.Name] = e
+		t.notifyChange()
 	}
+	recovered := !e.failedAt.IsZero()
+	if recovered || e.member != m {
+		t.notifyChange()
+	}
+	e.failedAt, e.unreachableSince = time.Time{}, time.Time{}
+	e.heardAt = now
+	e.member = m
+	return recovered
 }
 
-// Self returns the box itself.
+// RecordFailure records that a call to a box, which started at startedAt, failed. It reports whether
+// the box did not count as failed until now. The failure is ignored if since the start of the call
+// the box was in contact or failures were cleared.
+func (t *Table) RecordFailure(name string, startedAt, now time.Time) bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	e := t.boxes[name]
+	if e == nil || e.heardAt.After(startedAt) || t.failuresClearedAt.After(startedAt) {
+		return false
+	}
+	wasServing := e.failedAt.IsZero()
+	e.failedAt = now
+	if e.unreachableSince.IsZero() {
+		e.unreachableSince = now
+	}
+	if wasServing {
+		t.notifyChange()
+	}
+	return wasServing
+}
+
+// Self returns the box that the table belongs to.
 func (t *Table) Self() box.Member {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.self
 }
 
-// SetAddress sets the address at which the box itself listens.
+// SetAddress sets the address on which this box listens.
 func (t *Table) SetAddress(a string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.self.Address = a
 }
 
-// Version rises whenever what Alive answers may have changed.
-func (t *Table) Version() uint64 {
+// SetLeaving marks this box as leaving.
+func (t *Table) SetLeaving() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.version
+	t.self.State = box.StateLeaving
+	t.notifyChange()
 }
 
-func (t *Table) notifyChange() {
-	t.version++
-	clear(t.alive)
-	close(t.changed)
-	t.changed = make(chan struct{})
+// Version returns a number that increases whenever the results of Alive may have changed.
+func (t *Table) Version() uint64 {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.version
 }
 
-// neighboursPerOtherHall returns to how many boxes of each other hall this box sends heartbeats,
-// 1 or 0, where others are the boxes of its hall beside it.
-func (t *Table) neighboursPerOtherHall(hallBoxes []string) int {
-	l := policy.Rank("link", append(slices.Clone(hallBoxes), t.self.Name))
-	if slices.Contains(l[:min(crossHallSenders, len(l))], t.self.Name) {
-		return 1
+// applyListed applies the platform's entry of another box. The caller holds the lock.
+func (t *Table) applyListed(m box.Member, now time.Time) {
+	e := t.boxes[m.Name]
+	if e == nil {
+		t.boxes[m.Name] = &entry{listed: true, member: m}
+		t.notifyChange()
+		return
+	}
+	recent := now.Sub(e.heardAt) < unlistedTTL
+	if m.State == box.StateLeaving && e.member.State != box.StateLeaving {
+		e.member.State = m.State
+		t.notifyChange()
+	}
+	if !recent && e.member != m {
+		e.member = m
+		t.notifyChange()
 	}
-	return 0
 }
 
-// computeAlive makes the list that Alive returns; the lock is held.
+// computeAlive computes the result of Alive. The caller holds the lock.
 func (t *Table) computeAlive(hall string) []string {
 	var l []string
 	if (hall == "" || hall == t.self.Hall) && t.self.State != box.StateLeaving {
@@ -324,24 +328,26 @@
 	return l
 }
 
-func (t *Table) applyListed(m box.Member, now time.Time) {
-	e := t.boxes[m.Name]
-	if e == nil {
-		t.boxes[m.Name] = &entry{listed: true, member: m}
-		t.notifyChange()
-		return
-	}
-	recent := now.Sub(e.heardAt) < unlistedTTL
-	if m.State == box.StateLeaving && e.member.State != box.StateLeaving {
-		e.member.State = m.State
-		t.notifyChange()
-	}
-	if !recent && e.member != m {
-		e.member = m
-		t.notifyChange()
+// neighboursPerOtherHall returns the number of boxes in each other hall to which this box sends
+// heartbeats, 0 or 1. The parameter hallBoxes lists the other boxes of its own hall.
+func (t *Table) neighboursPerOtherHall(hallBoxes []string) int {
+	l := policy.Rank("link", append(slices.Clone(hallBoxes), t.self.Name))
+	if slices.Contains(l[:min(crossHallSenders, len(l))], t.self.Name) {
+		return 1
 	}
+	return 0
+}
+
+// notifyChange invalidates the cached results of Alive, increases the version and closes the channel
+// that Changed returned. The caller holds the lock.
+func (t *Table) notifyChange() {
+	t.version++
+	clear(t.alive)
+	close(t.changed)
+	t.changed = make(chan struct{})
 }
 
+// serving reports whether the box is believed to be serving: it neither failed nor is leaving.
 func (e *entry) serving() bool {
 	return e.failedAt.IsZero() && e.member.State != box.StateLeaving
 }
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -36,8 +36,8 @@
 	checkAlive(t, b, "", "b1", "b2", "c1", "self")
 }
 
-// TestEvidenceGoesBeforeTheList checks that a list which lags takes back
-// neither a failure nor a sign of life.
+// TestEvidenceGoesBeforeTheList checks that a lagging list from the platform overrides neither a
+// failure nor a recent contact.
 func TestEvidenceGoesBeforeTheList(t *testing.T) {
 	b := newTable()
 	b.RecordFailure("b1", now, now)
@@ -54,11 +54,11 @@
 func TestFailedBoxIsTriedAgain(t *testing.T) {
 	b := newTable()
 	if !b.RecordFailure("b1", now, now) || b.RecordFailure("b1", now, now) {
-		t.Error("a failure must be new once only")
+		t.Error("two failures in a row: want the first one alone reported as new")
 	}
 	for _, m := range b.Neighbours(now.Add(time.Second)) {
 		if m.Name == "b1" {
-			t.Error("a box that failed a moment ago is a neighbour")
+			t.Error("1 s after a failure: got the box as a neighbour, want it left out")
 		}
 	}
 	found := false
@@ -66,16 +66,16 @@
 		found = found || m.Name == "b1"
 	}
 	if !found {
-		t.Error("a box that failed is never tried again")
+		t.Error("retryFailedAfter after a failure: got no heartbeat to the box, want one")
 	}
 	if !b.RecordContact(member("b1", "a", box.StateServing), now.Add(6*time.Second)) {
-		t.Error("a box that is back must be told as such")
+		t.Error("contact after a failure: got false, want the recovery reported")
 	}
 	checkAlive(t, b, "a", "b1", "b2", "self")
 }
 
-// TestFailedBoxThatIsNoNeighbourIsTriedAgain checks that a failure does not
-// count for ever against a box that this one sends no heartbeats to.
+// TestFailedBoxThatIsNoNeighbourIsTriedAgain checks that a failure expires even if this box sends the
+// failed box no heartbeats by which it could notice the recovery.
 func TestFailedBoxThatIsNoNeighbourIsTriedAgain(t *testing.T) {
 	b := newTable()
 	b.RecordFailure("b1", now, now)
@@ -95,7 +95,7 @@
 		b := newTable()
 		x.tell(b)
 		if slices.Contains(b.Alive("a"), "b1") {
-			t.Errorf("%s: a leaving box is still alive", x.name)
+			t.Errorf("%s: got a leaving box as alive, want it left out", x.name)
 		}
 	}
 	b := newTable()
@@ -103,8 +103,8 @@
 	checkAlive(t, b, "a", "b1", "b2")
 }
 
-// TestHeartbeatsStayFew checks the number of heartbeats at the size to design
-// for, and that news still reaches every box of a hall in a few steps.
+// TestHeartbeatsStayFew checks the number of heartbeats per box at the design size, 11 halls of 300
+// boxes, and that information still spreads to all boxes of a hall in a few rounds.
 func TestHeartbeatsStayFew(t *testing.T) {
 	const boxes = 300
 	crossHall := 0
@@ -138,7 +138,7 @@
 		next := maps.Clone(reached)
 		for n, l := range neighbours {
 			for _, m := range l {
-				// The news goes with a heartbeat, or comes with its answer.
+				// Information travels in heartbeats and in their answers.
 				if m[:2] == "0-" && (reached[n] || reached[m]) {
 					next[n], next[m] = true, true
 				}
@@ -168,7 +168,7 @@
 		select {
 		case <-c:
 		default:
-			t.Error("a change was not told")
+			t.Error("Changed: got an open channel after a change, want it closed")
 		}
 		if b.Version() <= v {
 			t.Errorf("version: got %d, want above %d", b.Version(), v)
@@ -176,20 +176,20 @@
 	}
 }
 
-// TestLateFailuresCountForNothing checks that a call which began before a box was
-// heard again, or before this box found that it had been paused itself, tells nothing.
+// TestLateFailuresCountForNothing checks that a failed call is ignored if it started before a later
+// contact with the box, or before this box noticed that it had been paused itself.
 func TestLateFailuresCountForNothing(t *testing.T) {
 	b, startedAt := newTable(), time.Unix(1000, 0)
 	m := box.Member{Hall: "a", Name: "b1", State: box.StateServing}
 	b.RecordContact(m, startedAt.Add(time.Second))
 	if b.RecordFailure("b1", startedAt, startedAt.Add(2*time.Second)) {
-		t.Error("a call that began before the box was heard: got a failure, want none")
+		t.Error("call that started before the last contact: got a failure, want none")
 	}
 	b.ClearFailures(startedAt.Add(4 * time.Second))
 	if b.RecordFailure("b1", startedAt.Add(3*time.Second), startedAt.Add(5*time.Second)) {
-		t.Error("a call that began before the pause was noticed: got a failure, want none")
+		t.Error("call that started before the pause was noticed: got a failure, want none")
 	}
 	if !b.RecordFailure("b1", startedAt.Add(5*time.Second), startedAt.Add(6*time.Second)) {
-		t.Error("a call that began afterwards: got no failure, want one")
+		t.Error("call that started afterwards: got no failure, want one")
 	}
 }
--- a/internal/order/reconciler_test.go
+++ b/internal/order/reconciler_test.go
@@ -23,7 +23,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fixture is two boxes that may give orders to two engines.
+// fixture consists of two boxes that may both send orders to two engines.
 type fixture struct {
 	boxes    []*Reconciler
 	engines  []*engine.Server
@@ -81,7 +81,7 @@
 	withFixture(t, 2, func(t *testing.T, r *fixture) {
 		u := r.view.Upstream("u1")
 		if ok, err := r.boxes[0].Step(t.Context(), u); !ok || err != nil {
-			t.Fatalf("holder: got %v %v, want an order", ok, err)
+			t.Fatalf("lease holder: got %v %v, want an order", ok, err)
 		}
 		r.apply(4, resource.KindModel, "m", `{"maxTokens":10,"default":"v2"}`)
 		if ok, err := r.boxes[1].Step(t.Context(), u); ok || err != nil {
@@ -92,7 +92,7 @@
 		}
 		time.Sleep(lease.TTL + time.Second)
 		if ok, err := r.boxes[1].Step(t.Context(), u); !ok || err != nil {
-			t.Errorf("other box once the lease has ended: got %v %v, want an order", ok, err)
+			t.Errorf("other box after the lease expired: got %v %v, want an order", ok, err)
 		}
 		if got, want := r.loaded(t), "v2"; got != want {
 			t.Errorf("loaded: got %s, want %s", got, want)
@@ -100,8 +100,8 @@
 	})
 }
 
-// TestPausedHolderGivesNoOrder pauses the holder past its lease, at the last
-// moment before its order.
+// TestPausedHolderGivesNoOrder checks that a lease holder that is paused between acquiring the lease
+// and sending an order, until the lease is no longer valid, does not send the order.
 func TestPausedHolderGivesNoOrder(t *testing.T) {
 	withFixture(t, 2, func(t *testing.T, r *fixture) {
 		u := r.view.Upstream("u1")
@@ -119,8 +119,8 @@
 	})
 }
 
-// TestFenceStopsALateOrder lets an order of an old holder arrive after one of a
-// new holder.
+// TestFenceStopsALateOrder checks that an engine rejects an order of a former lease holder that
+// arrives after one of the new holder.
 func TestFenceStopsALateOrder(t *testing.T) {
 	withFixture(t, 2, func(t *testing.T, r *fixture) {
 		u := r.view.Upstream("u1")
@@ -131,7 +131,7 @@
 		}
 		err := r.boxes[0].SendOrder(t.Context(), u.Spec.Address, &upstream.Order{Fence: old.Epoch, Kind: upstream.OrderLoad, Model: "m", Version: "old"})
 		if fail.Reason(err) != "upstream_conflict" {
-			t.Errorf("late order: got %v, want a conflict", err)
+			t.Errorf("late order of the former holder: got %v, want a conflict", err)
 		}
 		if got, want := r.loaded(t), "v1"; got != want {
 			t.Errorf("loaded: got %s, want %s", got, want)
@@ -139,8 +139,8 @@
 	})
 }
 
-// TestLateOrderWithoutFenceIsUndone shows what remains possible at an upstream
-// that does not check fences, and that the holder mends it at its next step.
+// TestLateOrderWithoutFenceIsUndone checks that a late order takes effect on an upstream that does
+// not check fencing tokens, and that the lease holder corrects the state at its next step.
 func TestLateOrderWithoutFenceIsUndone(t *testing.T) {
 	withFixture(t, 2, func(t *testing.T, r *fixture) {
 		r.engines[0].SetFaults(engine.Faults{IgnoreFence: true})
@@ -154,7 +154,7 @@
 		}
 		time.Sleep(lease.TTL + time.Second)
 		if ok, err := r.boxes[0].Step(t.Context(), u); !ok || err != nil {
-			t.Errorf("got %v %v, want an order", ok, err)
+			t.Errorf("next step of the lease holder: got %v %v, want an order", ok, err)
 		}
 		if got, want := r.loaded(t), "v1"; got != want {
 			t.Errorf("loaded: got %s, want %s", got, want)
@@ -162,7 +162,8 @@
 	})
 }
 
-// TestWeightStoreIsNotCrowded lets two boxes load at once with one permit.
+// TestWeightStoreIsNotCrowded checks that of two boxes that want to load weights at the same time,
+// with one permit, the second one waits until the permit expires.
 func TestWeightStoreIsNotCrowded(t *testing.T) {
 	withFixture(t, 1, func(t *testing.T, r *fixture) {
 		if ok, err := r.boxes[0].Step(t.Context(), r.view.Upstream("u1")); !ok || err != nil {
@@ -173,7 +174,7 @@
 		}
 		time.Sleep(lease.TTL + time.Second)
 		if ok, err := r.boxes[1].Step(t.Context(), r.view.Upstream("u2")); !ok || err != nil {
-			t.Errorf("once it has ended: got %v %v, want an order", ok, err)
+			t.Errorf("after the permit expired: got %v %v, want an order", ok, err)
 		}
 	})
 }
@@ -183,7 +184,7 @@
 		r.platform.SetFaults(fakeplatform.Faults{LoseAnswers: 1})
 		h, err := r.boxes[0].acquireLease(t.Context(), "u1")
 		if err != nil || h == nil {
-			t.Fatalf("got %v %v, want the lease that the lost answer gave", h, err)
+			t.Fatalf("lost answer: got %v %v, want the lease that was written", h, err)
 		}
 		if o, err := r.boxes[1].acquireLease(t.Context(), "u1"); o != nil || err != nil {
 			t.Errorf("other box: got %v %v, want no lease", o, err)
@@ -217,7 +218,7 @@
 			t.Errorf("got %+v %v, want a leaving engine with m at v1 alone", l, err)
 		}
 		if ok, err := b.Step(t.Context(), r.view.Upstream("u1")); ok || err != nil {
-			t.Errorf("nothing left to do: got %v %v, want no order", ok, err)
+			t.Errorf("declared state reached: got %v %v, want no order", ok, err)
 		}
 	})
 }
--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -5,48 +5,52 @@
 	"time"
 )
 
-// Allocator hands out permits to send to limited upstreams, for all boxes: one box allocates those
-// of an upstream, so that all boxes together keep to its limit. It keeps a token bucket for each
-// upstream, reads no clock and is safe for concurrent use; its lock is a leaf.
+// Allocator grants permits to send requests to rate-limited upstreams. Each upstream has one box
+// that grants its permits to all boxes, which keeps the total within the upstream's limit. An
+// Allocator holds one token bucket per upstream, reads no clock and is safe for concurrent use. It
+// takes no other lock while it holds its own.
 type Allocator struct {
 	buckets map[string]*bucket
 	mutex   sync.Mutex
 }
 
 const (
-	// minBurst permits, and what the limit allows in burstPeriod, may be saved up while nobody
-	// asks.
+	// A bucket holds at most minBurst tokens plus what the limit allows in burstPeriod.
 	minBurst    = 2
 	burstPeriod = 250 * time.Millisecond
-	// idleTTL is how long a bucket is kept in which nobody asks.
+	// idleTTL is how long a bucket is kept after the last request for its permits.
 	idleTTL = time.Minute
-	// coldShare is the share of what a cold upstream bears that is handed out: it may fall over under
-	// what boxes hand out beside that do not know of each other.
+	// coldShare is the share of a cold upstream's sustainable rate that is granted. The rest is
+	// headroom: boxes that do not know of each other may grant permits at the same time, and the
+	// sum could overload the upstream.
 	coldShare = 0.5
-	// minRetrySpread, or retrySpreadPerBox for each box where that is more, is the time over which boxes that
-	// got no permit are spread: with many boxes one of them would be asked by all of them as often
-	// as there is a permit.
+	// Retries of boxes that got no permit are spread over minRetrySpread, or over retrySpreadPerBox
+	// times the number of boxes if that is longer. Without the spread every box would ask the
+	// allocating box again each time a permit becomes available.
 	minRetrySpread    = 500 * time.Millisecond
 	retrySpreadPerBox = 10 * time.Millisecond
-	// FallbackShare is the share of a limit that a box allocates which may not be the only one to do
-	// so: one that is believed to serve has not answered.
+	// FallbackShare is the share of a limit that a box grants while it stands in for the box that
+	// should allocate the permits. That box is believed to be serving but did not answer, so both
+	// may be granting permits.
 	FallbackShare = 0.25
-	// permitTTL is how long permits may be used.
+	// permitTTL is how long a permit is valid.
 	permitTTL = 200 * time.Millisecond
-	// probesPerSecond is the rate at which an upstream gets requests that names a lower limit, so
-	// that it can say that it accepts more.
+	// probesPerSecond is the lowest rate of permits for an upstream, even if its limit is lower. The
+	// answers to these requests let the upstream announce a higher limit.
 	probesPerSecond = 0.2
-	// urgentOverdraft permits are handed out ahead of time to urgent requests.
+	// urgentOverdraft is how many permits urgent requests may take in advance, before the bucket
+	// has the tokens.
 	urgentOverdraft = 2
 )
 
-// NewAllocator returns an allocator without buckets: each begins empty, as another box may have
-// handed out permits a moment ago.
+// NewAllocator returns an allocator without buckets. New buckets start empty, because another box
+// may just have granted permits for the same upstream.
 func NewAllocator() *Allocator {
 	return &Allocator{buckets: make(map[string]*bucket)}
 }
 
-// Allocate answers an ask within a share of its limit, for that many boxes.
+// Allocate answers a permit request. It grants at most the given share of the upstream's limit.
+// The number of boxes determines how far apart retries are spread.
 func (a *Allocator) Allocate(q *PermitRequest, share float64, boxes int, now time.Time) Grant {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -74,7 +78,8 @@
 	return Grant{RetryAt: b.nextRetryAt(next, rate, boxes)}
 }
 
-// bucketOf returns the bucket of a limit's upstream; the lock is held.
+// bucketOf returns the bucket of the limit's upstream instance, and creates it if needed. The
+// caller holds the lock.
 func (a *Allocator) bucketOf(l *Limit, now time.Time) *bucket {
 	b := a.buckets[l.Upstream]
 	if b == nil || b.startedAt != l.StartedAt {
@@ -84,7 +89,7 @@
 	return b
 }
 
-// evictIdle drops the buckets in which nobody asks; the lock is held.
+// evictIdle removes buckets whose permits nobody requests any more. The caller holds the lock.
 func (a *Allocator) evictIdle(now time.Time) {
 	for n, b := range a.buckets {
 		if now.Sub(b.refilledAt) > idleTTL {
@@ -93,7 +98,7 @@
 	}
 }
 
-// durationOf returns a time of that many seconds.
+// durationOf converts seconds to a duration.
 func durationOf(seconds float64) time.Duration {
 	return time.Duration(seconds * float64(time.Second))
 }
--- a/internal/ratelimit/allocator_test.go
+++ b/internal/ratelimit/allocator_test.go
@@ -10,10 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-// window is the time over which the tests count permits.
+// window is the interval over which the tests count permits.
 const window = 4 * time.Second
 
-// maxInSpan returns how many of some times lie in any span of that length.
+// maxInSpan returns the largest number of the times, which are sorted, that lie within one span.
 func maxInSpan(l []time.Time, span time.Duration) int {
 	n, first := 0, 0
 	for i := range l {
@@ -25,8 +25,8 @@
 	return n
 }
 
-// TestAllocatorKeepsToTheLimit checks, for random asks, that no window sees more permits than the
-// limit, what is saved up and what is urgent allow, and that little is lost where all is asked for.
+// TestAllocatorKeepsToTheLimit checks, for random permit requests, that neither any window nor the
+// whole run gets more permits than the limit, the burst and the urgent overdraft allow.
 func TestAllocatorKeepsToTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0.2, 200).Draw(t, "rate")
@@ -45,12 +45,12 @@
 				used = append(used, g.From)
 			}
 			if g.Count == 0 && !g.RetryAt.After(now) {
-				t.Fatalf("no permit, and to ask again %s later, want later", g.RetryAt.Sub(now))
+				t.Fatalf("no permit: got retry after %s, want a positive delay", g.RetryAt.Sub(now))
 			}
 		}
 		want := rate*window.Seconds() + minBurst + rate*burstPeriod.Seconds() + urgentOverdraft + 1
 		if got := maxInSpan(used, window); float64(got) > want {
-			t.Fatalf("permits in %s at %.1f a second: got %d, want at most %.1f", window, rate, got, want)
+			t.Fatalf("permits in %s at %.1f per second: got %d, want at most %.1f", window, rate, got, want)
 		}
 		if got, want := float64(len(used)), rate*now.Sub(start).Seconds()+want; got > want {
 			t.Fatalf("permits: got %.0f, want at most %.1f", got, want)
@@ -58,8 +58,8 @@
 	})
 }
 
-// TestPermitForLater checks that a wait for a permit ends with one, and that permits for later are
-// not handed out twice.
+// TestPermitForLater checks that a request that can wait gets a permit for a later time, and that
+// no future permit is granted twice.
 func TestPermitForLater(t *testing.T) {
 	a, now := NewAllocator(), time.Unix(1_000, 0)
 	l := Limit{ReportedAt: now, PerSecond: 2, Upstream: "u"}
@@ -68,16 +68,16 @@
 		g := a.Allocate(&PermitRequest{Limit: l, Want: 1, WaitUntil: now.Add(2 * time.Second)}, 1, 1, now)
 		want = want.Add(500 * time.Millisecond)
 		if g.Count != 1 || g.From.Sub(want).Abs() > time.Millisecond {
-			t.Errorf("permit %d: got %d from %s on, want 1 from %s on", i, g.Count, g.From.Sub(now), want.Sub(now))
+			t.Errorf("permit %d: got %d valid from %s, want 1 valid from %s", i, g.Count, g.From.Sub(now), want.Sub(now))
 		}
 	}
 	g := a.Allocate(&PermitRequest{Limit: l, Want: 1, WaitUntil: now.Add(2 * time.Second)}, 1, 1, now)
 	if got, want := g.RetryAt.Sub(now), 2500*time.Millisecond; g.Count != 0 || (got-want).Abs() > time.Millisecond {
-		t.Errorf("got %d permits, ask again in %s; want none, in %s", g.Count, got, want)
+		t.Errorf("got %d permits, retry in %s; want none, retry in %s", g.Count, got, want)
 	}
 }
 
-// TestRefusedBoxesAreSpread checks that boxes which get no permit are not all told the same time.
+// TestRefusedBoxesAreSpread checks that boxes that get no permit are given different retry times.
 func TestRefusedBoxesAreSpread(t *testing.T) {
 	const boxes = 300
 	a, now := NewAllocator(), time.Unix(1_000, 0)
@@ -98,12 +98,12 @@
 		}
 	}
 	if got, maxRequests := requests/10, 250; got > maxRequests {
-		t.Errorf("asks a second of %d boxes: got %d, want at most %d", boxes, got, maxRequests)
+		t.Errorf("permit requests per second of %d boxes: got %d, want at most %d", boxes, got, maxRequests)
 	}
 }
 
-// TestUpstreamWithoutPermitsIsTried checks that an upstream which accepts nothing gets a request now
-// and then, with whose answer it can say otherwise.
+// TestUpstreamWithoutPermitsIsTried checks that an upstream with a limit of 0 still gets probes, so
+// that its answers can raise the limit.
 func TestUpstreamWithoutPermitsIsTried(t *testing.T) {
 	a, now := NewAllocator(), time.Unix(1_000, 0)
 	n := 0
@@ -112,12 +112,12 @@
 		n += a.Allocate(&PermitRequest{Limit: Limit{ReportedAt: now, Upstream: "u"}, Want: 1}, 1, 1, now).Count
 	}
 	if got, want := n, 12; got < want-1 || got > want {
-		t.Errorf("requests in a minute: got %d, want %d", got, want)
+		t.Errorf("permits per minute: got %d, want %d", got, want)
 	}
 }
 
-// TestNewBucketIsEmpty checks that a box which begins to allocate permits does not add to those that
-// another one has handed out.
+// TestNewBucketIsEmpty checks that a box that starts to allocate permits grants none at once,
+// because another box may just have granted them.
 func TestNewBucketIsEmpty(t *testing.T) {
 	now := time.Unix(1_000, 0)
 	l := Limit{ReportedAt: now, PerSecond: 100, Upstream: "u"}
@@ -128,12 +128,12 @@
 	a.Allocate(&PermitRequest{Limit: l, Want: 10}, 1, 1, now)
 	l.StartedAt = 7
 	if got := a.Allocate(&PermitRequest{Limit: l, Want: 10}, 1, 1, now.Add(10*time.Millisecond)).Count; got != 0 {
-		t.Errorf("permits at its next start: got %d, want none", got)
+		t.Errorf("permits after the upstream restarted: got %d, want none", got)
 	}
 }
 
-// TestLoweredLimitHoldsAtOnce checks that what was saved up under a higher limit is not handed out
-// under a lower one.
+// TestLoweredLimitHoldsAtOnce checks that tokens that accumulated under a higher limit are not
+// granted once the limit is lowered.
 func TestLoweredLimitHoldsAtOnce(t *testing.T) {
 	a, now := NewAllocator(), time.Unix(1_000, 0)
 	allocate := func(rate float64) int {
@@ -142,40 +142,40 @@
 	allocate(200)
 	now = now.Add(10 * time.Second)
 	if got, maxPermits := allocate(1), minBurst; got > maxPermits {
-		t.Errorf("permits under the lower limit: got %d, want at most %d", got, maxPermits)
+		t.Errorf("permits after the limit was lowered: got %d, want at most %d", got, maxPermits)
 	}
 }
 
-// TestLimitOfAnAnswerThatWasOvertaken checks which of two answers counts, and for how long a limit
-// holds that is named no more.
+// TestLimitOfAnAnswerThatWasOvertaken checks that the later of two answers counts, whatever order
+// they are recorded in, and how long a limit stays in force after an answer without one.
 func TestLimitOfAnAnswerThatWasOvertaken(t *testing.T) {
 	s, now := NewLimits(), time.Unix(1_000, 0)
 	later := now.Add(time.Second)
 	s.Record(Limit{ReportedAt: later, PerSecond: 3, Upstream: "u"}, later)
 	if c := s.Record(Limit{ReportedAt: now, PerSecond: 9, Upstream: "u"}, later); c != nil {
-		t.Errorf("an older answer: got %v, want no change", c.After)
+		t.Errorf("older answer: got %v, want no change", c.After)
 	}
 	if l := s.Get("u", 0, later); l == nil || l.PerSecond != 3 {
-		t.Errorf("got %v, want 3 a second", l)
+		t.Errorf("limit: got %v, want 3 requests per second", l)
 	}
 	if l := s.Get("u", 1, later); l != nil {
-		t.Errorf("at its next start: got %v, want none", l)
+		t.Errorf("after the upstream restarted: got %v, want no limit", l)
 	}
 	later = later.Add(time.Millisecond)
 	s.Lift("u", 0, later)
 	if l := s.Get("u", 0, later.Add(liftDelay-time.Millisecond)); l == nil {
-		t.Error("right after an answer without one: got no limit, want it")
+		t.Error("just before the lift delay has passed: got no limit, want the old one")
 	}
 	if l := s.Get("u", 0, later.Add(liftDelay)); l != nil {
-		t.Errorf("later: got %v, want none", l)
+		t.Errorf("after the lift delay: got %v, want no limit", l)
 	}
 	if c := s.Record(Limit{ReportedAt: later, PerSecond: 3, Upstream: "u"}, later.Add(time.Second)); c != nil {
-		t.Errorf("what another box heard before: got %v, want no change", c.After)
+		t.Errorf("report from another box that is no newer than the lift: got %v, want no change", c.After)
 	}
 }
 
-// TestDigestsOfLimits checks that boxes which know the same limits have the same digest, whatever
-// their rates.
+// TestDigestsOfLimits checks that boxes that know the same limited upstreams have the same digest,
+// even if they know different rates.
 func TestDigestsOfLimits(t *testing.T) {
 	now := time.Unix(1_000, 0)
 	a, b := NewLimits(), NewLimits()
@@ -184,25 +184,25 @@
 		b.Record(Limit{ReportedAt: now.Add(time.Duration(i)), PerSecond: 2, Upstream: n}, now)
 	}
 	if got, want := a.Digest(now), b.Digest(now); got != want || got == 0 {
-		t.Errorf("digests: got %x and %x, want the same, not 0", got, want)
+		t.Errorf("digests: got %x and %x, want equal and not 0", got, want)
 	}
 	a.Lift("v", 0, now.Add(time.Second))
 	if got := a.Digest(now); got == b.Digest(now) {
-		t.Error("with one lifted: got the same digests, want others")
+		t.Error("after one limit was lifted: got equal digests, want different ones")
 	}
 	for _, l := range a.All(now) {
 		b.Record(l, now.Add(time.Second))
 	}
 	if got, want := b.Digest(now), a.Digest(now); got != want {
-		t.Errorf("after they were told: got %x, want %x", got, want)
+		t.Errorf("after the limits were copied: got digest %x, want %x", got, want)
 	}
 	if got := a.Digest(now.Add(2 * limitTTL)); got != 0 {
-		t.Errorf("once all are old: got %x, want 0", got)
+		t.Errorf("after all limits expired: got digest %x, want 0", got)
 	}
 }
 
-// TestTakeIsCheapWithoutLimits checks that the way of a request to an upstream without a limit
-// allocates nothing and asks nobody.
+// TestTakeIsCheapWithoutLimits checks that Take neither allocates nor requests permits for an
+// upstream without a limit. Requesting permits would panic: RequestPermits is nil.
 func TestTakeIsCheapWithoutLimits(t *testing.T) {
 	m := NewLimiter(NewLimits())
 	m.limits.Record(Limit{ReportedAt: time.Now(), PerSecond: 1, Upstream: "another"}, time.Now())
@@ -211,8 +211,8 @@
 	}
 }
 
-// TestHeldPermitsLapse checks that a box which got several permits asks for none while it has some,
-// and uses none that has lapsed.
+// TestHeldPermitsLapse checks that a box that was granted several permits requests no more while it
+// holds valid ones, and does not use expired ones.
 func TestHeldPermitsLapse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		requests := 0
@@ -226,12 +226,12 @@
 			m.Take(t.Context(), Upstream{Name: "u"})
 		}
 		if got, want := requests, 1; got != want {
-			t.Errorf("asks for two requests: got %d, want %d", got, want)
+			t.Errorf("permit requests for two takes: got %d, want %d", got, want)
 		}
 		time.Sleep(permitTTL)
 		m.Take(t.Context(), Upstream{Name: "u"})
 		if got, want := requests, 2; got != want {
-			t.Errorf("asks once the permits have lapsed: got %d, want %d", got, want)
+			t.Errorf("permit requests after the permits expired: got %d, want %d", got, want)
 		}
 	})
 }
@@ -245,8 +245,9 @@
 	}
 }
 
-// TestColdUpstreamIsSpared checks that a cold upstream gets no more in any second than it bears, also
-// where a second box allocates permits beside the first, and that a limit which it names counts, too.
+// TestColdUpstreamIsSpared checks that a cold upstream never gets more requests in a second than it
+// can sustain, even while two boxes allocate its permits, and that a lower limit that the upstream
+// announces itself still applies.
 func TestColdUpstreamIsSpared(t *testing.T) {
 	const maxRate = 8
 	first, second, now := NewAllocator(), NewAllocator(), time.Unix(1_000, 0)
@@ -260,13 +261,13 @@
 	}
 	got := maxInSpan(used, time.Second)
 	if got > maxRate {
-		t.Errorf("permits in a second: got %d, want at most %d", got, maxRate)
+		t.Errorf("permits within a second: got %d, want at most %d", got, maxRate)
 	}
 	if got, minPermits := len(used), 20; got < minPermits {
 		t.Errorf("permits in 6 s: got %d, want at least %d", got, minPermits)
 	}
 	limited := &PermitRequest{ColdRate: maxRate, Limit: Limit{ReportedAt: now, PerSecond: 0.2, Upstream: "v"}, Want: 1}
 	if rate, _ := limited.rateAndBurst(); rate != 0.2 {
-		t.Errorf("rate of a cold upstream that names 0.2 a second: got %v, want that", rate)
+		t.Errorf("rate of a cold upstream with a limit of 0.2 requests per second: got %v, want 0.2", rate)
 	}
 }
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// bucket is the token bucket of one start of an upstream. The lock of Allocator guards it.
+// bucket is the token bucket of one upstream instance. The Allocator's lock guards it.
 type bucket struct {
-	refilledAt  time.Time // of tokens
-	startedAt   int64     // the start of the upstream
-	lastRetryAt time.Time // the latest time at which a box that got no permit was told to ask again
-	tokens      float64   // below 0 where permits for later were handed out
+	refilledAt  time.Time // last refill
+	startedAt   int64     // start time of the upstream instance, in Unix milliseconds
+	lastRetryAt time.Time // latest retry time given to a box that got no permit
+	tokens      float64   // negative if permits were granted in advance
 }
 
-// nextRetryAt returns when a box is to ask again that gets no permit, where the next one is there at a
-// time: boxes are told times one after another, as there are permits.
+// nextRetryAt returns when a box that gets no permit should ask again, if the next permit becomes
+// available at next. Successive boxes get retry times one permit apart. Once these exceed the
+// spread, the times are drawn at random from it.
 func (b *bucket) nextRetryAt(next time.Time, rate float64, boxes int) time.Time {
 	at := b.lastRetryAt.Add(durationOf(1 / rate))
 	if at.Before(next) {
@@ -27,7 +28,8 @@
 	return at
 }
 
-// refill adds the permits that a rate allows since the last look, up to a burst.
+// refill adds the tokens for the time since the last refill, up to burst. The rate is in tokens per
+// second.
 func (b *bucket) refill(rate, burst float64, now time.Time) {
 	b.tokens = min(burst, b.tokens+rate*now.Sub(b.refilledAt).Seconds())
 	b.refilledAt = now
--- a/internal/ratelimit/change.go
+++ b/internal/ratelimit/change.go
@@ -1,14 +1,14 @@
 package ratelimit
 
-// Change is how a box's knowledge of one limit has changed.
+// Change describes an update of the limit that this box knows for an upstream.
 type Change struct {
 	After  Limit
 	Before Limit
-	Known  bool // there is a Before
+	Known  bool // whether a limit was known before; if not, Before is zero
 }
 
-// NeedsAnnouncement reports whether other boxes have to hear of the change: whether the upstream has a
-// limit at all has changed.
+// NeedsAnnouncement reports whether the change must be sent to all boxes: a limit is new or was
+// lifted, or it belongs to another instance of the upstream. A change of the rate alone need not.
 func (c *Change) NeedsAnnouncement() bool {
 	return !c.Known || c.Before.Lifted != c.After.Lifted || c.Before.StartedAt != c.After.StartedAt
 }
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -1,37 +1,31 @@
-// Package ratelimit keeps requests to upstreams within the rates that they accept from all boxes
-// together: Limits are those that a box knows, an Allocator hands out permits for all boxes, and a
-// Limiter takes them for one. It does no I/O.
+// Package ratelimit keeps requests to upstreams within the rate that each upstream accepts from all
+// boxes together. Limits holds the limits that a box knows, an Allocator grants permits to all
+// boxes, and a Limiter takes permits for one box. The package does no I/O.
 package ratelimit
 
 import "time"
 
-// Limit is what an upstream was last heard to say of the rate that it accepts from all boxes
-// together.
+// Limit is the request rate, over all boxes together, that an upstream last announced.
 type Limit struct {
-	ReportedAt time.Time `cbor:"1,keyasint"`           // when the answer came that says so
-	StartedAt  int64     `cbor:"2,keyasint,omitempty"` // when the upstream had started, in Unix milliseconds; 0 where that is not told
-	Lifted     bool      `cbor:"3,keyasint,omitempty"` // the answer names no limit any more
-	PerSecond  float64   `cbor:"4,keyasint,omitempty"` // requests, as last named
+	ReportedAt time.Time `cbor:"1,keyasint"`           // when the answer that announced it arrived
+	StartedAt  int64     `cbor:"2,keyasint,omitempty"` // start time of the upstream instance, in Unix milliseconds; 0 if unknown
+	Lifted     bool      `cbor:"3,keyasint,omitempty"` // the answer announced no limit although earlier ones did
+	PerSecond  float64   `cbor:"4,keyasint,omitempty"` // requests per second, as last announced
 	Upstream   string    `cbor:"5,keyasint"`
 }
 
 const (
-	// liftDelay is how long a limit holds once an answer names none: answers on different
-	// connections may overtake each other.
+	// liftDelay is how long a limit stays in force after an answer without one. Answers on
+	// different connections may arrive out of order.
 	liftDelay = 500 * time.Millisecond
-	// limitTTL is how long a limit is remembered that no answer confirms.
+	// limitTTL is how long a limit is kept if no answer confirms it.
 	limitTTL = time.Hour
-	// liftedTTL is how long it is remembered that a limit was lifted, so that a box which has not
-	// heard of that cannot bring the limit back.
+	// liftedTTL is how long a lifted limit is kept. Meanwhile a box that has not learned that the
+	// limit was lifted cannot reintroduce it.
 	liftedTTL = time.Minute
 )
 
-// inForce reports whether the limit is in force.
-func (l *Limit) inForce(now time.Time) bool {
-	return !l.Lifted || now.Sub(l.ReportedAt) < liftDelay
-}
-
-// expired reports whether the limit is to be forgotten.
+// expired reports whether the limit is too old to be kept.
 func (l *Limit) expired(now time.Time) bool {
 	if l.Lifted {
 		return now.Sub(l.ReportedAt) >= liftedTTL
@@ -39,8 +33,13 @@
 	return now.Sub(l.ReportedAt) >= limitTTL
 }
 
-// supersedes reports whether l is to replace what is known: it tells of a later answer. Of two
-// answers that name no limit the first one counts.
+// inForce reports whether the limit applies. A lifted limit still does for liftDelay.
+func (l *Limit) inForce(now time.Time) bool {
+	return !l.Lifted || now.Sub(l.ReportedAt) < liftDelay
+}
+
+// supersedes reports whether l should replace the known limit because it comes from a later answer.
+// Of several answers without a limit the first one counts.
 func (l *Limit) supersedes(known *Limit) bool {
 	if l.Lifted && known.Lifted && l.StartedAt == known.StartedAt {
 		return false
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// Limiter decides whether this box may send to an upstream now: to one that has named a limit, or is
-// cold, only with a permit. It is safe for concurrent use; of its own lock and that of its limits neither is
-// taken under the other.
+// Limiter decides whether this box may send a request to an upstream now. A permit is required if
+// the upstream has announced a limit or is cold. Limiter is safe for concurrent use. Its own lock
+// and that of its limits are never held together.
 type Limiter struct {
-	// RequestPermits asks the box that allocates the permits of an upstream for some; a seam.
+	// RequestPermits requests permits from the box that allocates those of the upstream. It must be
+	// set before the Limiter is used.
 	RequestPermits func(ctx context.Context, q *PermitRequest) (*Grant, error)
 
 	limits *Limits
@@ -18,52 +19,63 @@
 	states map[string]*permitState
 }
 
-// Option sets one thing of a take of a permit.
+// Option modifies the permit request of one call of Take.
 type Option func(*PermitRequest)
 
-// permitState is what this box has been told about permits for one start of an upstream.
+// permitState holds the permits of this box for one upstream instance, and its recent demand.
 type permitState struct {
 	startedAt     int64
-	permits       int       // not used yet
-	refusedUntil  time.Time // there are none before
+	permits       int       // granted and unused
+	refusedUntil  time.Time // no permit is available before this time
 	windowTakes   int       // permits wanted since windowStart
-	previousTakes int       // in the permitTTL before that
+	previousTakes int       // permits wanted in the window before; a window lasts permitTTL or longer
 	windowStart   time.Time
-	permitsUntil  time.Time // the permits may be used
+	permitsUntil  time.Time // when the unused permits expire
 }
 
 const (
-	// errorBackoff is how long no permit is asked for where no box answered an ask.
+	// errorBackoff is how long no permit is requested after no box answered a request.
 	errorBackoff = 100 * time.Millisecond
-	// minBackoff is how long none is asked for at the least where there was none.
+	// minBackoff is the shortest time without permit requests after one was refused.
 	minBackoff = 5 * time.Millisecond
 )
 
-// NewLimiter returns a limiter by the limits in s.
+// NewLimiter returns a limiter that enforces the limits in s.
 func NewLimiter(s *Limits) *Limiter {
 	return &Limiter{limits: s, states: make(map[string]*permitState)}
 }
 
-// Urgent says that the request is lost without a permit.
+// Urgent marks a request that fails without a permit, because no other upstream can take it.
 func Urgent() Option {
 	return func(q *PermitRequest) { q.Urgent = true }
 }
 
-// WaitUntil says that a permit for a time up to t is of use, too. Take then waits for that time.
+// WaitUntil accepts a permit that becomes valid by t. Take then waits until the permit is valid.
 func WaitUntil(t time.Time) Option {
 	return func(q *PermitRequest) { q.WaitUntil = t }
 }
 
-// Limits returns the limits.
+// EvictIdle removes the state of upstreams for which no permit was wanted lately.
+func (m *Limiter) EvictIdle(now time.Time) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	for n, x := range m.states {
+		if now.Sub(x.windowStart) > idleTTL && now.After(x.refusedUntil) {
+			delete(m.states, n)
+		}
+	}
+}
+
+// Limits returns the limits that the limiter enforces.
 func (m *Limiter) Limits() *Limits { return m.limits }
 
-// NeedsPermit reports whether an upstream needs permits.
+// NeedsPermit reports whether requests to the upstream need a permit.
 func (m *Limiter) NeedsPermit(u Upstream, now time.Time) bool {
 	return u.ColdRate > 0 || m.limits.Get(u.Name, u.StartedAt, now) != nil
 }
 
-// RefusedUntil returns until when there is no permit for an upstream, as far as this box was told;
-// zero where there may be one or none is needed.
+// RefusedUntil returns the time before which no permit for the upstream is available, as far as
+// this box knows. It returns zero if one may be available or none is needed.
 func (m *Limiter) RefusedUntil(u Upstream, now time.Time) time.Time {
 	if !m.NeedsPermit(u, now) {
 		return time.Time{}
@@ -77,8 +89,8 @@
 	return x.refusedUntil
 }
 
-// Take takes a permit to send one request to an upstream now, and reports whether there was one or
-// none is needed.
+// Take takes a permit for one request to the upstream and requests permits if this box holds none.
+// It reports whether the request may be sent: it got a permit or needs none.
 func (m *Limiter) Take(ctx context.Context, u Upstream, options ...Option) bool {
 	now := time.Now()
 	l := m.limits.Get(u.Name, u.StartedAt, now)
@@ -107,18 +119,8 @@
 	return waitUntil(ctx, g.From)
 }
 
-// EvictIdle drops what is old.
-func (m *Limiter) EvictIdle(now time.Time) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	for n, x := range m.states {
-		if now.Sub(x.windowStart) > idleTTL && now.After(x.refusedUntil) {
-			delete(m.states, n)
-		}
-	}
-}
-
-// recordGrant records the answer to an ask, of which the asking request uses one permit.
+// recordGrant stores the permits of a grant, less the one that the caller uses, or the retry time of
+// a refusal.
 func (m *Limiter) recordGrant(u Upstream, g *Grant) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -136,8 +138,19 @@
 	}
 }
 
-// takeHeld takes a permit that this box holds already, and reports whether there is one; if not, it
-// returns how many to ask for.
+// stateOf returns the state of the upstream instance, and creates it if needed. The caller holds
+// the lock.
+func (m *Limiter) stateOf(u Upstream) *permitState {
+	x := m.states[u.Name]
+	if x == nil || x.startedAt != u.StartedAt {
+		x = &permitState{startedAt: u.StartedAt}
+		m.states[u.Name] = x
+	}
+	return x
+}
+
+// takeHeld takes a permit that this box already holds and reports whether there was one. If not, it
+// returns how many to request: as many as were wanted in the window before, at least 1.
 func (m *Limiter) takeHeld(u Upstream, now time.Time) (taken bool, want int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -156,22 +169,12 @@
 	return true, 0
 }
 
-// stateOf returns the state of one start of an upstream; the lock is held.
-func (m *Limiter) stateOf(u Upstream) *permitState {
-	x := m.states[u.Name]
-	if x == nil || x.startedAt != u.StartedAt {
-		x = &permitState{startedAt: u.StartedAt}
-		m.states[u.Name] = x
-	}
-	return x
-}
-
-// hasPermit reports whether a permit is held.
+// hasPermit reports whether an unused, unexpired permit is held.
 func (x *permitState) hasPermit(now time.Time) bool {
 	return x.permits > 0 && now.Before(x.permitsUntil)
 }
 
-// waitUntil waits until a time, and reports whether it came before ctx ended.
+// waitUntil waits for the given time and reports whether it came before ctx ended.
 func waitUntil(ctx context.Context, until time.Time) bool {
 	d := time.Until(until)
 	if d <= 0 {
--- a/internal/ratelimit/limits.go
+++ b/internal/ratelimit/limits.go
@@ -11,24 +11,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Limits are the rate limits of upstreams, as far as one box knows. It is safe for concurrent use;
-// its lock is a leaf.
+// Limits holds the rate limits of upstreams that one box knows. It is safe for concurrent use and
+// takes no other lock while it holds its own.
 type Limits struct {
-	count   atomic.Int32     // of limits, so that nothing is locked while there are none
-	invalid map[string]int64 // by upstream: its start that named a limit which cannot be used
-	limits  map[string]Limit
+	count   atomic.Int32     // number of limits; spares the lock while there are none
+	invalid map[string]int64 // start times of instances that announced an invalid limit, by upstream
+	limits  map[string]Limit // by upstream
 	mutex   sync.Mutex
 }
 
-// maxInvalid bounds the upstreams of which it is remembered that they named what is no limit.
+// maxInvalid bounds the number of upstreams in Limits.invalid, which is cleared when it is full.
 const maxInvalid = 1024
 
-// NewLimits returns limits of no upstream.
+// NewLimits returns an empty set of limits.
 func NewLimits() *Limits {
 	return &Limits{invalid: make(map[string]int64), limits: make(map[string]Limit)}
 }
 
-// All returns what is known of every limit, in order of the upstreams' names.
+// All returns all known limits, lifted ones included, sorted by upstream.
 func (s *Limits) All(now time.Time) []Limit {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -41,8 +41,9 @@
 	return l
 }
 
-// Digest returns what tells the limited upstreams that are known here from those that another box
-// knows; 0 for none. It does not depend on their rates, which those boxes hear that need them.
+// Digest returns a hash of the known limited upstreams by which boxes detect that they know
+// different ones; 0 if none is known. It does not cover the rates, which are sent only to the boxes
+// that need them.
 func (s *Limits) Digest(now time.Time) uint64 {
 	if s.Empty() {
 		return 0
@@ -64,26 +65,26 @@
 	return sum
 }
 
-// Empty reports whether no limit is known.
+// Empty reports whether no limit is known. It takes no lock.
 func (s *Limits) Empty() bool { return s.count.Load() == 0 }
 
-// MarkInvalid records that one start of an upstream named what is no limit, and reports whether it is
-// the first time.
-func (s *Limits) MarkInvalid(upstream string, startedAt int64) bool {
+// Get returns the limit in force for the given instance of an upstream, or nil if there is none.
+func (s *Limits) Get(upstream string, startedAt int64, now time.Time) *Limit {
+	if s.Empty() {
+		return nil
+	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if b, ok := s.invalid[upstream]; ok && b == startedAt {
-		return false
-	}
-	if len(s.invalid) >= maxInvalid {
-		clear(s.invalid)
+	x, ok := s.limits[upstream]
+	if !ok || x.StartedAt != startedAt || !x.inForce(now) {
+		return nil
 	}
-	s.invalid[upstream] = startedAt
-	return true
+	l := x // copied here so that x does not escape, and lookups without a limit do not allocate
+	return &l
 }
 
-// Lift records that an answer of one start of an upstream named no limit. It returns nil where that
-// changes nothing.
+// Lift records that an answer of the given instance of an upstream announced no limit. It returns
+// nil if that changes nothing.
 func (s *Limits) Lift(upstream string, startedAt int64, now time.Time) *Change {
 	if s.Empty() {
 		return nil
@@ -98,26 +99,29 @@
 	return s.record(x, now)
 }
 
-// Get returns the limit in force of one start of an upstream, or nil.
-func (s *Limits) Get(upstream string, startedAt int64, now time.Time) *Limit {
-	if s.Empty() {
-		return nil
-	}
+// MarkInvalid records that the given instance of an upstream announced an invalid limit. It reports
+// whether this is the first time.
+func (s *Limits) MarkInvalid(upstream string, startedAt int64) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	x, ok := s.limits[upstream]
-	if !ok || x.StartedAt != startedAt || !x.inForce(now) {
-		return nil
+	if b, ok := s.invalid[upstream]; ok && b == startedAt {
+		return false
 	}
-	l := x // so that nothing is allocated where there is no limit
-	return &l
+	if len(s.invalid) >= maxInvalid {
+		clear(s.invalid)
+	}
+	s.invalid[upstream] = startedAt
+	return true
 }
 
-// Record records what a box heard of a limit. It returns nil where that is older than what is known.
+// Record records a limit that this or another box learned of. It returns nil if the limit is expired
+// or no newer than the known one.
 func (s *Limits) Record(l Limit, now time.Time) *Change {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	l.ReportedAt = now.Add(l.ReportedAt.Sub(now)) // a time of another box does not follow steps of the time of day otherwise
+	// Times from other boxes have no monotonic reading. Derive the time from now, which has one, so
+	// that later steps of the wall clock do not affect it.
+	l.ReportedAt = now.Add(l.ReportedAt.Sub(now))
 	return s.record(l, now)
 }
 
@@ -134,7 +138,7 @@
 	return n
 }
 
-// evictExpired drops what is old; the lock is held.
+// evictExpired removes expired limits. The caller holds the lock.
 func (s *Limits) evictExpired(now time.Time) {
 	for n, x := range s.limits {
 		if x.expired(now) {
@@ -144,7 +148,7 @@
 	s.count.Store(int32(len(s.limits)))
 }
 
-// record is Record; the lock is held.
+// record implements Record without the clock correction. The caller holds the lock.
 func (s *Limits) record(l Limit, now time.Time) *Change {
 	known, ok := s.limits[l.Upstream]
 	if l.expired(now) || (ok && !l.supersedes(&known)) {
--- a/internal/ratelimit/upstream.go
+++ b/internal/ratelimit/upstream.go
@@ -1,8 +1,8 @@
 package ratelimit
 
-// Upstream is one start of an upstream.
+// Upstream identifies one instance of an upstream, which lasts from one start to the next.
 type Upstream struct {
-	StartedAt int64   // when it started, in Unix milliseconds; 0 where that is not told
-	ColdRate  float64 // requests a second that it bears while it is cold; 0 where it is not, or that is no bound
+	StartedAt int64   // Unix milliseconds; 0 if unknown
+	ColdRate  float64 // requests per second that it sustains while cold; 0 if it is not cold or not bounded
 	Name      string
 }
--- a/internal/revision/revision.go
+++ b/internal/revision/revision.go
@@ -1,16 +1,16 @@
-// Package revision orders what the platform's store wrote.
+// Package revision defines revisions, which order the writes of the platform's store.
 //
-// The store counts a version up with each transaction. Where it came back from a copy of
-// its rows, it gives versions out again that it had given before, and counts an era up. A
-// revision holds both, the era first, so that of two revisions the higher one is always
-// that of the later write.
+// The store increments a version with each transaction. After it was restored from a backup, it
+// assigns versions again that it had assigned before, but it increments an era with each restore. A
+// revision combines the era, in its upper bits, with the version, so that the later of two writes
+// always has the higher revision.
 package revision
 
-// versionBits are the lower bits of a revision, which hold the version: at 400 writes a
-// second they last for 87 years. The 23 bits above hold the era.
+// versionBits is the number of lower bits of a revision that hold the version. At 400 writes per
+// second they suffice for 87 years. The 23 bits above them hold the era.
 const versionBits = 40
 
-// The bounds of what a revision holds.
+// The largest era and version that a revision can hold.
 const (
 	MaxEra     = 1<<(63-versionBits) - 1
 	MaxVersion = 1<<versionBits - 1
@@ -21,7 +21,7 @@
 	return r >> versionBits
 }
 
-// Of returns the revision of a version given out in an era. Both are within their bounds.
+// Of returns the revision for an era and a version. They must not exceed MaxEra and MaxVersion.
 func Of(era, version int64) int64 {
 	return era<<versionBits | version
 }
--- a/internal/revision/revision_test.go
+++ b/internal/revision/revision_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestLaterErasAreHigher checks that a revision tells what it was made of, and that revisions
-// are in order of era and then of version.
+// TestLaterErasAreHigher checks that the era and version can be read back from a revision, and that
+// revisions are ordered by era first and then by version.
 func TestLaterErasAreHigher(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		era, version := rapid.Int64Range(0, MaxEra), rapid.Int64Range(0, MaxVersion)
--- a/internal/revision/seed_test.go
+++ b/internal/revision/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// The random values are the same at every run.
+// Use a fixed seed, so that property-based tests draw the same values in every run.
 func init() {
 	_ = flag.Set("rapid.seed", "20261203")
 	_ = flag.Set("rapid.nofailfile", "true")
