--- a/crashes.go
+++ b/crashes.go
@@ -74,7 +74,7 @@
 	if digest == 0 || digest == q.Digest(time.Now()) {
 		return
 	}
-	r, err := b.links.CallOnce(ctx, m.Address, b.request(box.Request{Kind: box.KindListCrashes, KnownCrashes: q.Known(time.Now())}))
+	r, err := b.links.CallOnce(ctx, m.Address, b.request(box.Request{Kind: box.KindListCrashes, KnownCrashes: q.CrashHashes(time.Now())}))
 	if err != nil {
 		return // the next heartbeat tries again
 	}
--- a/internal/box/clock_test.go
+++ b/internal/box/clock_test.go
@@ -22,18 +22,18 @@
 	}
 	q = &Request{SentAt: there, Crashes: []policy.Crash{{At: there.Add(-time.Minute)}}}
 	q.Shift(here)
-	if got, want := here.Sub(q.Crashes[0].At), time.Minute; got != want || !q.Crashes[0].SeenAt.IsZero() {
+	if got, want := here.Sub(q.Crashes[0].At), time.Minute; got != want || !q.Crashes[0].LastReturnAt.IsZero() {
 		t.Errorf("age of a crash: got %s, want %s", got, want)
 	}
-	q = &Request{SentAt: there, Served: []policy.ServedRun{{At: there.Add(-time.Minute)}}}
+	q = &Request{SentAt: there, Served: []policy.CompletedRun{{At: there.Add(-time.Minute)}}}
 	q.Shift(here)
 	if got, want := here.Sub(q.Served[0].At), time.Minute; got != want {
 		t.Errorf("age of a run: got %s, want %s", got, want)
 	}
-	r := &Reply{SentAt: there, Answer: &policy.Answer{}, Crashes: []policy.Crash{{At: there, SeenAt: there}}, Load: &policy.Load{AsOf: there}}
+	r := &Reply{SentAt: there, Answer: &policy.Answer{}, Crashes: []policy.Crash{{At: there, LastReturnAt: there}}, Load: &policy.Load{AsOf: there}}
 	r.Shift(here)
-	if got := r.Crashes[0]; !got.At.Equal(here) || !got.SeenAt.Equal(here) {
-		t.Errorf("crash: got at %s, seen at %s, want %s", got.At, got.SeenAt, here)
+	if got := r.Crashes[0]; !got.At.Equal(here) || !got.LastReturnAt.Equal(here) {
+		t.Errorf("crash: got at %s, seen at %s, want %s", got.At, got.LastReturnAt, here)
 	}
 	if got := r.Load.AsOf; !got.Equal(here) {
 		t.Errorf("load as of: got %s, want %s", got, here)
--- a/internal/box/message.go
+++ b/internal/box/message.go
@@ -74,7 +74,7 @@
 	CrashesDigest   uint64                   `cbor:"18,keyasint,omitempty"` // heartbeat: digest of the crashes that the sender knows
 	Revisions       resource.Revisions       `cbor:"6,keyasint"`            // known to the sender
 	SentAt          time.Time                `cbor:"1,keyasint"`            // by the sender's clock, like all times in the message
-	Served          []policy.ServedRun       `cbor:"23,keyasint,omitempty"` // served: requests completed since the sender's last report
+	Served          []policy.CompletedRun    `cbor:"23,keyasint,omitempty"` // served: requests completed since the sender's last report
 	MoveSlot        *MoveSlotRequest         `cbor:"8,keyasint,omitempty"`
 	Progress        *ProgressReport          `cbor:"7,keyasint,omitempty"`
 	Wait            time.Duration            `cbor:"12,keyasint,omitempty"` // news: how long to wait for changes after the arrival of the request
--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -78,7 +78,7 @@
 	limit   int
 	meter   *meter.Meter
 	rests   *health.Backoffs
-	retries *policy.Retries
+	retries *policy.RetryBudget
 	silence time.Duration
 	tracker *placement.Tracker
 	view    *resource.View
@@ -112,7 +112,7 @@
 		Fresh:  func(context.Context) {},
 		cancel: cancel, ctx: ctx,
 		engines: e, keys: k, limit: 10_000, log: l, meter: meter.New(m), metrics: m,
-		rests: health.NewBackoffs(v), retries: policy.NewRetries(), silence: 10 * time.Second, tracker: t, view: v,
+		rests: health.NewBackoffs(v), retries: policy.NewRetryBudget(), silence: 10 * time.Second, tracker: t, view: v,
 	}
 	for _, o := range options {
 		o(d)
@@ -265,7 +265,7 @@
 	}
 	d.holds[workspace]++
 	d.held++
-	d.retries.Request()
+	d.retries.RecordRequest()
 	d.workers.Add(1)
 	return nil
 }
--- a/internal/explain/reason.go
+++ b/internal/explain/reason.go
@@ -53,7 +53,7 @@
 var shortages = map[policy.Shortage]string{
 	policy.ShortageBatch:   "a place in the engine's batch",
 	policy.ShortageMemory:  "room in the engine's memory",
-	policy.ShortageReading: "the prompts that the engine was reading",
+	policy.ShortagePrefill: "the prompts that the engine was reading",
 	policy.ShortageReport:  "the engine to take new work",
 	policy.ShortageStalled: "generations at the engine that stood still",
 	policy.ShortageStarts:  "the engine to bear another start",
--- a/internal/measure/boxes.go
+++ b/internal/measure/boxes.go
@@ -38,7 +38,7 @@
 	if e.dead {
 		return
 	}
-	for _, a := range e.owner.Next(w.now) {
+	for _, a := range e.owner.Dispatch(w.now) {
 		r := w.byID(a.ID)
 		w.after(messageDelay, func() { w.answer(r, e, a) })
 	}
@@ -59,7 +59,7 @@
 		}
 		a, l := e.owner.Ask(&r.work, w.now), e.owner.Load(w.now)
 		w.after(messageDelay, func() {
-			r.box.router.Learn(l)
+			r.box.router.UpdateLoad(l)
 			w.answer(r, e, a)
 		})
 	})
@@ -113,7 +113,7 @@
 	})
 	l := e.owner.Load(w.now)
 	for b := range told {
-		b.router.Learn(l)
+		b.router.UpdateLoad(l)
 	}
 }
 
@@ -123,11 +123,11 @@
 		if r.state != stateQueued || r.place == nil {
 			continue
 		}
-		n := r.box.router.Better(&r.work, r.place.name, w.candidates(), w.now)
+		n := r.box.router.BetterUpstream(&r.work, r.place.name, w.candidates(), w.now)
 		if n == "" || r.tried[n] {
 			continue
 		}
-		r.place.owner.Leave(r.work.ID, w.now)
+		r.place.owner.Cancel(r.work.ID, w.now)
 		w.ask(r, w.engineNamed(n))
 	}
 }
--- a/internal/measure/engines.go
+++ b/internal/measure/engines.go
@@ -34,7 +34,7 @@
 			continue
 		}
 		if !w.scenario.Naive {
-			e.owner.Leave(r.work.ID, w.now)
+			e.owner.Cancel(r.work.ID, w.now)
 			e.owner.Finish(r.work.ID, 0, false, w.now)
 		}
 		if !r.first.IsZero() {
@@ -79,15 +79,15 @@
 	}
 	r := policy.Report{
 		AsOf: at, Preemptions: e.scheduler.Preemptions, Running: e.scheduler.Running(),
-		StepSeconds: e.step.Seconds(), Used: e.scheduler.Used, Waiting: e.scheduler.Waiting(),
+		StepSeconds: e.step.Seconds(), UsedTokens: e.scheduler.Used, Waiting: e.scheduler.Waiting(),
 	}
 	w.after(reportLag, func() {
 		if !w.scenario.Naive {
-			e.owner.Report(r, w.now)
+			e.owner.SetReport(r, w.now)
 			return
 		}
 		for _, b := range w.boxes {
-			b.naive.Report(e.name, r)
+			b.naive.SetReport(e.name, r)
 		}
 	})
 }
--- a/internal/ownership/owned.go
+++ b/internal/ownership/owned.go
@@ -47,8 +47,8 @@
 func (x *owned) flush(r policy.Reason) {
 	for id, c := range x.waiters {
 		now := time.Now()
-		x.owner.Leave(id, now)
-		c <- policy.Answer{ID: id, Reason: r, RetryAt: policy.ClosedRetry(r, now), Verdict: policy.VerdictRefuse}
+		x.owner.Cancel(id, now)
+		c <- policy.Answer{ID: id, Reason: r, RetryAt: policy.ClosedRetryAt(r, now), Verdict: policy.VerdictRefuse}
 		delete(x.waiters, id)
 	}
 }
@@ -77,7 +77,7 @@
 
 // next hands out places to those who wait; the lock is held.
 func (x *owned) next(now time.Time) {
-	for _, a := range x.owner.Next(now) {
+	for _, a := range x.owner.Dispatch(now) {
 		if c := x.waiters[a.ID]; c != nil {
 			delete(x.waiters, a.ID)
 			c <- a
@@ -96,7 +96,7 @@
 // the lock is held.
 func (x *owned) see(u *resource.Upstream) {
 	if u != nil {
-		x.owner.Born, x.owner.Told = u.Spec.Born, u.ReportedLeaving
+		x.owner.StartedAtMS, x.owner.LeavingReported = u.Spec.Born, u.ReportedLeaving
 	}
 	x.owner.Leaving = x.owner.Leaving || (u != nil && u.IsLeaving())
 	x.evacuate(u != nil && u.Evacuated())
@@ -109,13 +109,13 @@
 	defer x.mutex.Unlock()
 	x.failures = 0
 	x.owner.Leaving = leaving || l.Leaving
-	x.owner.Told = told
+	x.owner.LeavingReported = told
 	if x.instance != "" && x.instance != l.Instance {
-		x.owner.Restarted()
+		x.owner.HandleRestart()
 	}
 	x.instance = l.Instance
-	x.owner.Report(policy.Report{
+	x.owner.SetReport(policy.Report{
 		AsOf: l.AsOf, Preemptions: l.Preemptions, Running: l.Running,
-		StepSeconds: float64(l.StepMicros) / 1e6, Used: l.Used, Waiting: l.Waiting,
+		StepSeconds: float64(l.StepMicros) / 1e6, UsedTokens: l.Used, Waiting: l.Waiting,
 	}, time.Now())
 }
--- a/internal/ownership/owners.go
+++ b/internal/ownership/owners.go
@@ -198,7 +198,7 @@
 			x.owner.Finish(i.ID, i.Produced, i.Ended, now)
 		case i.Work != nil:
 			x.owner.Register(i.Work, i.Produced, now)
-		case !x.owner.Knows(i.ID):
+		case !x.owner.IsRunning(i.ID):
 			r.Unknown = append(r.Unknown, i.ID)
 		default:
 			x.owner.Progress(i.ID, i.Produced, now)
@@ -251,10 +251,10 @@
 	}
 	c := policy.Capacity{KVTokens: u.Spec.KVTokens, MaxBatch: u.Spec.MaxBatch}
 	if u.Engine() != nil {
-		c.ReadingMost = readingMost
+		c.MaxPrefillTokens = readingMost
 	}
 	if n := u.ColdPerSecond(); n > 0 {
-		c.StartsMost = max(1, coldShare*(n*o.cold.Overage+o.cold.Slack))
+		c.MaxStartsPerSecond = max(1, coldShare*(n*o.cold.Overage+o.cold.Slack))
 	}
 	x = &owned{waiters: make(map[string]chan policy.Answer)}
 	now := time.Now()
@@ -264,7 +264,7 @@
 	}
 	x.owner = policy.NewOwner(name, c, o.lengths, now, options...)
 	x.owner.Evacuated = u.Evacuated()
-	x.owner.Born, x.owner.Leaving, x.owner.Told = u.Spec.Born, u.IsLeaving(), u.ReportedLeaving
+	x.owner.StartedAtMS, x.owner.Leaving, x.owner.LeavingReported = u.Spec.Born, u.IsLeaving(), u.ReportedLeaving
 	x.mine = o.Mine(u)
 	o.owners[name] = x
 	return x
@@ -277,7 +277,7 @@
 	defer x.mutex.Unlock()
 	if c != nil && x.waiters[a.Work.ID] == c {
 		delete(x.waiters, a.Work.ID)
-		x.owner.Leave(a.Work.ID, time.Now())
+		x.owner.Cancel(a.Work.ID, time.Now())
 	}
 }
 
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -89,10 +89,10 @@
 func candidateOf(u *resource.Upstream, hall string) policy.Candidate {
 	x := policy.Candidate{Capacity: policy.Capacity{KVTokens: u.Spec.KVTokens, MaxBatch: u.Spec.MaxBatch}, Name: u.Name}
 	if g := u.Engine(); g != nil && g.Migrates {
-		x.Capacity.CopyToken = g.CopyTime(1)
+		x.Capacity.CopyTimePerToken = g.CopyTime(1)
 	}
 	if u.Spec.Hall != hall {
-		x.Delay = otherHallDelay
+		x.Penalty = otherHallDelay
 	}
 	return x
 }
--- a/internal/placement/candidates_test.go
+++ b/internal/placement/candidates_test.go
@@ -75,7 +75,7 @@
 	for hall, near := range map[string]int{"": 2, "h0": 2, "h1": 1} {
 		got := 0
 		for _, x := range c.of(&policy.Work{Hall: hall, Model: "m"}, time.Now()) {
-			if x.Delay == 0 {
+			if x.Penalty == 0 {
 				got++
 			}
 		}
--- a/internal/placement/crowd_test.go
+++ b/internal/placement/crowd_test.go
@@ -96,7 +96,7 @@
 		s := fmt.Sprintf(`{"address":"http://10.0.0.1:%d","hall":"h%d","kvTokens":%d,"maxBatch":%d,"models":["m"],"type":"engine"}`, i, i%3, crowdSettings.KVTokens, crowdSettings.MaxRunning)
 		v.Apply([]resource.Change{{Revision: int64(i + 1), Resource: &resource.Resource{Kind: resource.KindUpstream, Metadata: resource.Metadata{Name: n}, Spec: []byte(s)}}}, int64(i+1))
 		c.engines[n] = &crowdEngine{
-			owner:     policy.NewOwner(n, policy.Capacity{KVTokens: crowdSettings.KVTokens, MaxBatch: crowdSettings.MaxRunning, ReadingMost: 7000}, l, time.Now()),
+			owner:     policy.NewOwner(n, policy.Capacity{KVTokens: crowdSettings.KVTokens, MaxBatch: crowdSettings.MaxRunning, MaxPrefillTokens: 7000}, l, time.Now()),
 			scheduler: engine.NewScheduler(crowdSettings), waiters: make(map[string]chan policy.Answer),
 		}
 	}
@@ -134,7 +134,7 @@
 		defer e.mutex.Unlock()
 		if e.waiters[a.Work.ID] == waits {
 			delete(e.waiters, a.Work.ID)
-			e.owner.Leave(a.Work.ID, time.Now())
+			e.owner.Cancel(a.Work.ID, time.Now())
 		}
 	}
 }
@@ -165,11 +165,11 @@
 		}
 		if !now.Before(report) {
 			report = now.Add(crowdReport)
-			e.owner.Report(policy.Report{AsOf: now, Running: e.scheduler.Running(), Used: e.scheduler.Used, Waiting: e.scheduler.Waiting()}, now)
+			e.owner.SetReport(policy.Report{AsOf: now, Running: e.scheduler.Running(), UsedTokens: e.scheduler.Used, Waiting: e.scheduler.Waiting()}, now)
 		}
 		if !now.Before(next) || len(done) > 0 {
 			next = now.Add(crowdTick)
-			for _, a := range e.owner.Next(now) {
+			for _, a := range e.owner.Dispatch(now) {
 				if w := e.waiters[a.ID]; w != nil {
 					delete(e.waiters, a.ID)
 					w <- a
--- a/internal/placement/reserved.go
+++ b/internal/placement/reserved.go
@@ -57,7 +57,7 @@
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.router.Learn(*l)
+	p.router.UpdateLoad(*l)
 }
 
 // Place returns a place for w at an upstream that is not among those to avoid.
@@ -152,7 +152,7 @@
 	c := p.candidates.of(w, now)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.router.Better(w, at, c, now)
+	return p.router.BetterUpstream(w, at, c, now)
 }
 
 // choose returns the upstream to ask about, or nil where those that there are
@@ -199,7 +199,7 @@
 func (p *Reserved) large(w *policy.Work) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.prompts.Learn(w)
+	return p.prompts.Observe(w)
 }
 
 // late returns the refusal of work whose time ran out, or whose caller went.
@@ -215,7 +215,7 @@
 // its first token came, and is better told while it is there. How long a prompt takes to be
 // read is an estimate, so that any work may wait for half of its caller's patience.
 func waitUntil(w *policy.Work) time.Time {
-	b := policy.StartBy(w)
+	b := policy.LatestStart(w)
 	if b.IsZero() {
 		return w.Deadline
 	}
@@ -270,7 +270,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	n := p.router.Choose(w, c, now, func(n string) bool { return !skip[n] })
-	if l, ok := p.router.Known(n); ok {
+	if l, ok := p.router.Load(n); ok {
 		p.loadAge.Update(now.Sub(l.AsOf).Seconds())
 	}
 	return n
--- a/internal/policy/cold_test.go
+++ b/internal/policy/cold_test.go
@@ -30,8 +30,8 @@
 // once, come to an engine that bears ten a second while it is cold: in no second more start,
 // those that wait and those that run already elsewhere counted, and all start in the end.
 func TestOwnerBoundsStarts(t *testing.T) {
-	o := NewOwner("u", Capacity{KVTokens: 100_000, MaxBatch: 64, StartsMost: 10}, NewLengths(), testStart)
-	o.Report(Report{AsOf: testStart, StepSeconds: 0.02}, testStart)
+	o := NewOwner("u", Capacity{KVTokens: 100_000, MaxBatch: 64, MaxStartsPerSecond: 10}, NewLengths(), testStart)
+	o.SetReport(Report{AsOf: testStart, StepSeconds: 0.02}, testStart)
 	var starts []time.Time
 	start := func(id string, now time.Time) {
 		starts = append(starts, now)
@@ -51,7 +51,7 @@
 		now = now.Add(5 * time.Millisecond)
 	}
 	for range 30 * 50 {
-		for _, a := range o.Next(now) {
+		for _, a := range o.Dispatch(now) {
 			if a.Verdict == VerdictStart {
 				start(a.ID, now)
 			}
--- a/internal/policy/crash.go
+++ b/internal/policy/crash.go
@@ -11,11 +11,11 @@
 // Crash is the crash of one start of an upstream, with the requests that ran there, as boxes
 // announce it to one another.
 type Crash struct {
-	At       time.Time `cbor:"1,keyasint"`           // when the first box noticed it
-	Born     int64     `cbor:"2,keyasint,omitempty"` // when the upstream had started, in Unix milliseconds; 0 where that is not told
-	SeenAt   time.Time `cbor:"5,keyasint,omitzero"`  // when a quarantined suspect last returned, within some time
-	Suspects []Suspect `cbor:"3,keyasint,omitempty"`
-	Upstream string    `cbor:"4,keyasint"`
+	At           time.Time `cbor:"1,keyasint"`           // when the first box noticed it
+	StartedAtMS  int64     `cbor:"2,keyasint,omitempty"` // when the upstream had started, in Unix milliseconds; 0 where that is not told
+	LastReturnAt time.Time `cbor:"5,keyasint,omitzero"`  // when a quarantined suspect last returned, within some time
+	Suspects     []Suspect `cbor:"3,keyasint,omitempty"`
+	Upstream     string    `cbor:"4,keyasint"`
 }
 
 // Suspect is a request that ran at an upstream as it crashed. Most are innocent, as an upstream
@@ -36,7 +36,7 @@
 	var sum uint64
 	for i := range l {
 		c := &l[i]
-		sum ^= c.hash() * uint64(max(1, c.LastAt().Unix()))
+		sum ^= c.hash() * uint64(max(1, c.LastActivity().Unix()))
 	}
 	return sum
 }
@@ -53,7 +53,7 @@
 		s := &c.Suspects[i]
 		h := xxhash.New()
 		_, _ = h.WriteString(c.Upstream)
-		b := binary.LittleEndian.AppendUint64(nil, uint64(c.Born))
+		b := binary.LittleEndian.AppendUint64(nil, uint64(c.StartedAtMS))
 		b = binary.LittleEndian.AppendUint64(b, uint64(s.Fingerprint))
 		b = append(b, byte(s.Trials))
 		if s.Cleared {
@@ -65,20 +65,20 @@
 	return sum
 }
 
-// LastAt returns when the crash was last of importance to a quarantined suspect.
-func (c *Crash) LastAt() time.Time {
-	if c.SeenAt.After(c.At) {
-		return c.SeenAt
+// LastActivity returns when the crash was last of importance to a quarantined suspect.
+func (c *Crash) LastActivity() time.Time {
+	if c.LastReturnAt.After(c.At) {
+		return c.LastReturnAt
 	}
 	return c.At
 }
 
-// same reports whether two crashes are of the same start of an upstream.
-func (c *Crash) same(d *Crash) bool {
-	if c.Upstream != d.Upstream || c.Born != d.Born {
+// sameStart reports whether two crashes are of the same start of an upstream.
+func (c *Crash) sameStart(d *Crash) bool {
+	if c.Upstream != d.Upstream || c.StartedAtMS != d.StartedAtMS {
 		return false
 	}
-	return c.Born != 0 || c.At.Sub(d.At).Abs() < sameStartWithin
+	return c.StartedAtMS != 0 || c.At.Sub(d.At).Abs() < sameStartWithin
 }
 
 // suspect returns what is known of a request at the crash, or nil.
@@ -92,9 +92,9 @@
 
 // merge adds what another box knows of the same suspect, and reports whether that is news.
 func (s *Suspect) merge(t *Suspect) bool {
-	before := *s
+	old := *s
 	s.Cleared = s.Cleared || t.Cleared
 	s.Events = max(s.Events, t.Events)
 	s.Trials = max(s.Trials, t.Trials)
-	return *s != before
+	return *s != old
 }
--- a/internal/policy/evacuation.go
+++ b/internal/policy/evacuation.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// noticePeriod is the shortest notice that engines were seen to give: 1.5 s.
-const noticePeriod = 1500 * time.Millisecond
+// shortestNotice is the shortest notice that engines were seen to give: 1.5 s.
+const shortestNotice = 1500 * time.Millisecond
 
 // CompareRuns orders runs that are to be moved away from an engine that is
 // leaving: the more urgent first; then those that will not end by themselves
 // within a notice; of these the smaller first, since more of them get away before
 // the engine goes; of the others those with most left first.
 func CompareRuns(a, b *Run, step time.Duration) int {
-	outlast := func(r *Run) bool { return time.Duration(r.Left)*step > noticePeriod }
+	outlastsNotice := func(r *Run) bool { return time.Duration(r.Left)*step > shortestNotice }
 	if c := cmp.Compare(b.Priority, a.Priority); c != 0 {
 		return c
 	}
-	x, y := outlast(a), outlast(b)
+	outlastsA, outlastsB := outlastsNotice(a), outlastsNotice(b)
 	switch {
-	case x && !y:
+	case outlastsA && !outlastsB:
 		return -1
-	case y && !x:
+	case outlastsB && !outlastsA:
 		return 1
-	case x:
+	case outlastsA:
 		return cmp.Or(cmp.Compare(a.Tokens, b.Tokens), cmp.Compare(a.ID, b.ID))
 	}
 	return cmp.Or(cmp.Compare(b.Left, a.Left), cmp.Compare(a.ID, b.ID))
--- a/internal/policy/forecast.go
+++ b/internal/policy/forecast.go
@@ -13,11 +13,11 @@
 	variance [len(horizons)]float64
 }
 
-// expectation is what is expected of one generation that has not started.
-type expectation struct {
-	area     float64 // memory held times steps, in tokens times steps
-	forecast forecast
-	tokens   float64 // output tokens
+// estimate is what is expected of one generation that has not started.
+type estimate struct {
+	tokenSteps float64 // memory held times steps, in tokens times steps
+	forecast   forecast
+	tokens     float64 // output tokens
 }
 
 // add adds g to f, or takes it away where sign is -1.
@@ -46,25 +46,25 @@
 	return forecastOf(l.curve(k), prompt, age, limit)
 }
 
-// expect returns what is expected of a generation that has not started.
-func (l *Lengths) expect(k Key, prompt, limit int) expectation {
+// estimate returns what is expected of a generation that has not started.
+func (l *Lengths) estimate(k Key, prompt, limit int) estimate {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	h := l.curve(k)
-	e := expectation{forecast: forecastOf(h, prompt, 0, limit)}
+	e := estimate{forecast: forecastOf(h, prompt, 0, limit)}
 	for b := 0; b < buckets && bucketStart(b) < limit; b++ {
 		start := bucketStart(b)
 		width := float64(min(limit, bucketStart(b+1)) - start)
 		s := math.Exp(-h.cumulative[b]-h.rate[b]*width/2) * width
 		e.tokens += s
-		e.area += s * (float64(prompt+start) + width/2)
+		e.tokenSteps += s * (float64(prompt+start) + width/2)
 	}
 	return e
 }
 
-// Left returns how many output tokens are expected still to come of a generation
+// Remaining returns how many output tokens are expected still to come of a generation
 // that is at token age and ends at limit at the latest.
-func (l *Lengths) Left(k Key, age, limit int) float64 {
+func (l *Lengths) Remaining(k Key, age, limit int) float64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	h := l.curve(k)
--- a/internal/policy/frequent_test.go
+++ b/internal/policy/frequent_test.go
@@ -8,17 +8,17 @@
 // TestFrequentPrefersWhatRunsOften checks that requests which run often outlast any number of those that
 // run once, and that old ones go.
 func TestFrequentPrefersWhatRunsOften(t *testing.T) {
-	now, f := time.Now(), NewFrequent()
+	now, f := time.Now(), NewFrequentRuns()
 	for i := range 100 {
-		f.Add([]ServedRun{{now, Fingerprint(i), 1}, {now, Fingerprint(i), 2}}, now)
+		f.Add([]CompletedRun{{now, Fingerprint(i), 1}, {now, Fingerprint(i), 2}}, now)
 	}
-	for i := range 4 * frequentMost {
-		f.Add([]ServedRun{{now, Fingerprint(1000 + i), 1}}, now)
+	for i := range 4 * maxFrequentRuns {
+		f.Add([]CompletedRun{{now, Fingerprint(1000 + i), 1}}, now)
 	}
-	if got := f.Size(); got > frequentMost {
-		t.Errorf("remembered: got %d, want at most %d", got, frequentMost)
+	if got := f.Size(); got > maxFrequentRuns {
+		t.Errorf("remembered: got %d, want at most %d", got, maxFrequentRuns)
 	}
-	l := f.Most(100, now)
+	l := f.Top(100, now)
 	if got, want := len(l), 100; got != want {
 		t.Fatalf("most frequent: got %d, want %d", got, want)
 	}
@@ -27,26 +27,26 @@
 			t.Errorf("most frequent: got %v, want those that ran 3 times", x)
 		}
 	}
-	if got := f.At(1, now); !got.Equal(now) {
+	if got := f.LastRunAt(1, now); !got.Equal(now) {
 		t.Errorf("when it ran: got %v, want %v", got, now)
 	}
-	later := now.Add(servedLife)
-	if got := f.At(1, later); !got.IsZero() {
+	later := now.Add(completedRunTTL)
+	if got := f.LastRunAt(1, later); !got.IsZero() {
 		t.Errorf("when it ran, long after: got %v, want the zero time", got)
 	}
-	if got := f.Most(100, later); len(got) != 0 {
+	if got := f.Top(100, later); len(got) != 0 {
 		t.Errorf("most frequent, long after: got %d, want none", len(got))
 	}
 }
 
 // TestFrequentLearnsAgain checks that what is learned twice counts once.
 func TestFrequentLearnsAgain(t *testing.T) {
-	now, f := time.Now(), NewFrequent()
-	f.Add([]ServedRun{{now, 1, 3}}, now)
+	now, f := time.Now(), NewFrequentRuns()
+	f.Add([]CompletedRun{{now, 1, 3}}, now)
 	for range 3 {
-		f.Learn([]ServedRun{{now.Add(-time.Minute), 1, 5}}, now)
+		f.Merge([]CompletedRun{{now.Add(-time.Minute), 1, 5}}, now)
 	}
-	if got, want := f.Most(1, now)[0], (ServedRun{now, 1, 5}); got != want {
+	if got, want := f.Top(1, now)[0], (CompletedRun{now, 1, 5}); got != want {
 		t.Errorf("got %v, want %v", got, want)
 	}
 }
@@ -55,10 +55,10 @@
 // minutes: a run before the first crash cleared it of each, since the crashes before were forgotten.
 func TestRunClearsOfOneCrash(t *testing.T) {
 	const p, other = Fingerprint(1), Fingerprint(2)
-	now, f, q := time.Now(), NewFrequent(), NewQuarantine()
-	f.Add([]ServedRun{{now, p, 5}}, now)
+	now, f, q := time.Now(), NewFrequentRuns(), NewQuarantine()
+	f.Add([]CompletedRun{{now, p, 5}}, now)
 	clearServed := func(now time.Time) int {
-		l := q.ClearServed(func(p Fingerprint) time.Time { return f.At(p, now) })
+		l := q.ClearCompleted(func(p Fingerprint) time.Time { return f.LastRunAt(p, now) })
 		for _, c := range l {
 			for _, s := range c.Suspects {
 				f.MarkUsed(s.Fingerprint, c.At, now)
@@ -67,17 +67,17 @@
 		return len(l)
 	}
 	for i, want := range []int{1, 0, 0} {
-		at := now.Add(time.Second + time.Duration(i)*(crashLife+time.Second))
+		at := now.Add(time.Second + time.Duration(i)*(suspectTTL+time.Second))
 		q.Record([]Crash{crashOf("u", int64(i+1), at, p, other)}, at)
 		if got := clearServed(at); got != want {
 			t.Errorf("crash %d: got %d cleared, want %d", i, got, want)
 		}
 	}
-	if got := f.Most(1, now); len(got) != 0 {
+	if got := f.Top(1, now); len(got) != 0 {
 		t.Errorf("most frequent: got %v, want none", got)
 	}
 	again := now.Add(8 * time.Minute)
-	f.Add([]ServedRun{{again, p, 1}}, again)
+	f.Add([]CompletedRun{{again, p, 1}}, again)
 	at := again.Add(time.Second)
 	q.Record([]Crash{crashOf("u", 9, at, p, other)}, at)
 	if got, want := clearServed(at), 1; got != want {
@@ -88,12 +88,12 @@
 // BenchmarkFrequent measures the cost of adding a report of 32 requests, and of ranking as many requests
 // as are remembered.
 func BenchmarkFrequent(b *testing.B) {
-	now, f, p := time.Now(), NewFrequent(), Fingerprint(0)
-	report := func() []ServedRun {
-		l := make([]ServedRun, 32)
+	now, f, p := time.Now(), NewFrequentRuns(), Fingerprint(0)
+	report := func() []CompletedRun {
+		l := make([]CompletedRun, 32)
 		for i := range l {
 			p++
-			l[i] = ServedRun{now, p, 1}
+			l[i] = CompletedRun{now, p, 1}
 		}
 		return l
 	}
@@ -103,11 +103,11 @@
 		}
 	})
 	b.Run("most", func(b *testing.B) {
-		for len(f.runs) < frequentMost {
+		for len(f.runs) < maxFrequentRuns {
 			f.Add(report(), now)
 		}
 		for b.Loop() {
-			f.Most(1024, now)
+			f.Top(1024, now)
 		}
 	})
 }
--- a/internal/policy/large_test.go
+++ b/internal/policy/large_test.go
@@ -28,7 +28,7 @@
 	var got []string
 	for e := o.queue.first(); e != nil; e = o.queue.first() {
 		got = append(got, e.work.ID)
-		o.Leave(e.work.ID, testStart)
+		o.Cancel(e.work.ID, testStart)
 	}
 	want := []string{"of a higher priority", "larger check", "large check", "plan", "check", "large without a target", "late large check"}
 	if !slices.Equal(got, want) {
@@ -54,13 +54,13 @@
 	started := ""
 	for i, id := range ids {
 		o.Finish(id, 10, true, testStart)
-		o.Report(Report{AsOf: testStart, StepSeconds: 0.02}, testStart)
+		o.SetReport(Report{AsOf: testStart, StepSeconds: 0.02}, testStart)
 		small := testWork("small-" + id)
 		small.TargetAt, small.Deadline = testStart.Add(time.Minute), testStart.Add(time.Hour)
 		if v := o.Ask(small, testStart).Verdict; v == VerdictStart && started == "" {
 			t.Fatalf("after %d ends: got a small one started, want the large one first", i+1)
 		}
-		for _, a := range o.Next(testStart) {
+		for _, a := range o.Dispatch(testStart) {
 			if started == "" {
 				started = a.ID
 			}
--- a/internal/policy/late_test.go
+++ b/internal/policy/late_test.go
@@ -11,18 +11,18 @@
 // a hall are gone and the others get their callers. Their targets and their callers'
 // patience are those that operators of such streams declare.
 const (
-	crowdEvery    = 500 * time.Millisecond
-	crowdOutput   = 740
-	crowdPatience = 7200 * time.Millisecond
-	crowdPrompt   = 3000
-	crowdStep     = 9 * time.Millisecond
-	crowdTarget   = 1800 * time.Millisecond
+	crowdInterval        = 500 * time.Millisecond
+	crowdOutput          = 740
+	crowdFirstTokenLimit = 7200 * time.Millisecond
+	crowdPrompt          = 3000
+	crowdStep            = 9 * time.Millisecond
+	crowdTarget          = 1800 * time.Millisecond
 )
 
 // crowdResult tells what became of a crowd.
 type crowdResult struct {
-	inTime, late, refused int
-	longest               time.Duration // that work waited which was refused
+	onTime, late, refused int
+	longestRefusedWait    time.Duration // that work waited which was refused
 }
 
 // runCrowd plays a crowd of so many streams against an owner.
@@ -41,27 +41,27 @@
 	var running []run
 	start := func(id string, now time.Time) {
 		running = append(running, run{id, now})
-		if now.Sub(arrived[id]) <= crowdTarget-seconds(readSeconds*crowdPrompt) {
-			r.inTime++
+		if now.Sub(arrived[id]) <= crowdTarget-seconds(prefillSecondsPerToken*crowdPrompt) {
+			r.onTime++
 		} else {
 			r.late++
 		}
 	}
 	refuse := func(id string, now time.Time) {
 		r.refused++
-		r.longest = max(r.longest, now.Sub(arrived[id]))
+		r.longestRefusedWait = max(r.longestRefusedWait, now.Sub(arrived[id]))
 	}
 	next := testStart
-	for now := testStart; now.Before(testStart.Add(time.Duration(n)*crowdEvery + 20*time.Second)); now = now.Add(20 * time.Millisecond) {
+	for now := testStart; now.Before(testStart.Add(time.Duration(n)*crowdInterval + 20*time.Second)); now = now.Add(20 * time.Millisecond) {
 		running = dropEnded(o, running, func(x run) bool { return now.Sub(x.began) > crowdOutput*crowdStep }, func(x run) string { return x.id }, now)
 		for _, x := range running {
 			o.Progress(x.id, 1+int(now.Sub(x.began)/crowdStep), now)
 		}
-		o.Report(Report{AsOf: now, Running: len(running), StepSeconds: crowdStep.Seconds(), Used: o.usedTokens}, now)
+		o.SetReport(Report{AsOf: now, Running: len(running), StepSeconds: crowdStep.Seconds(), UsedTokens: o.usedTokens}, now)
 		if !now.Before(next) && len(arrived) < n {
-			next = next.Add(crowdEvery)
+			next = next.Add(crowdInterval)
 			w := &Work{
-				Arrived: now, Deadline: now.Add(39 * time.Second), FirstBy: now.Add(crowdPatience), ID: fmt.Sprint("crowd-", len(arrived)),
+				Arrived: now, Deadline: now.Add(39 * time.Second), FirstBy: now.Add(crowdFirstTokenLimit), ID: fmt.Sprint("crowd-", len(arrived)),
 				Kind: "plan", MaxTokens: 1760, Model: "m", Prompt: crowdPrompt,
 			}
 			if targets {
@@ -76,7 +76,7 @@
 			case VerdictQueue:
 			}
 		}
-		for _, a := range o.Next(now) {
+		for _, a := range o.Dispatch(now) {
 			if a.Verdict == VerdictStart {
 				start(a.ID, now)
 			} else {
@@ -105,13 +105,13 @@
 func TestLateWorkYieldsUnderACrowd(t *testing.T) {
 	with, without := runCrowd(200, true), runCrowd(200, false)
 	t.Logf("with targets %+v, without %+v", with, without)
-	if 100*with.inTime < 115*without.inTime {
-		t.Errorf("in time: got %d, want at least 15 in 100 more than %d", with.inTime, without.inTime)
+	if 100*with.onTime < 115*without.onTime {
+		t.Errorf("in time: got %d, want at least 15 in 100 more than %d", with.onTime, without.onTime)
 	}
-	if got, most := with.longest, crowdTarget+sweepPeriod; got > most {
+	if got, most := with.longestRefusedWait, crowdTarget+sweepInterval; got > most {
 		t.Errorf("the longest wait of a refused stream: got %v, want at most %v", got, most)
 	}
-	if got, want := with.inTime+with.late+with.refused, 200; got != want {
+	if got, want := with.onTime+with.late+with.refused, 200; got != want {
 		t.Errorf("streams that had an answer: got %d, want %d", got, want)
 	}
 }
@@ -127,7 +127,7 @@
 		t.Fatalf("got %s, want it to wait", got)
 	}
 	now := testStart.Add(3 * time.Second)
-	if a := o.Next(now); len(a) != 0 {
+	if a := o.Dispatch(now); len(a) != 0 {
 		t.Errorf("beyond its target: got %+v, want it to wait on", a)
 	}
 	ids := make([]string, 0, len(o.running))
@@ -137,8 +137,8 @@
 	for _, id := range ids {
 		o.Finish(id, 10, true, now)
 	}
-	o.Report(Report{AsOf: now, StepSeconds: 0.02}, now)
-	if a := o.Next(now.Add(sweepPeriod)); len(a) != 1 || a[0].Verdict != VerdictStart {
+	o.SetReport(Report{AsOf: now, StepSeconds: 0.02}, now)
+	if a := o.Dispatch(now.Add(sweepInterval)); len(a) != 1 || a[0].Verdict != VerdictStart {
 		t.Errorf("once there is room: got %+v, want it to start", a)
 	}
 }
@@ -160,7 +160,7 @@
 	if got := o.queue.first().work.ID; got != "in time" {
 		t.Errorf("goes first: got %s, want what can be in time", got)
 	}
-	o.Leave("late", testStart)
+	o.Cancel("late", testStart)
 	o.Ask(late(), testStart)
 	if got := o.queue.first().work.ID; got != "in time" {
 		t.Errorf("goes first as the late one asks again: got %s, want what can be in time", got)
--- a/internal/policy/lengths.go
+++ b/internal/policy/lengths.go
@@ -17,10 +17,10 @@
 // workspace, model and kind; a thin one leans on the one above it. Old counts
 // fade, so that it follows drift. It is safe for concurrent use.
 type Lengths struct {
-	mutex sync.Mutex
-	young map[uint64]*hazard // keys seen lately
-	old   map[uint64]*hazard // keys of the time before, dropped at the next turn
-	limit int                // keys in young
+	mutex    sync.Mutex
+	recent   map[uint64]*hazard // keys seen lately
+	previous map[uint64]*hazard // keys of the time before, dropped at the next turn
+	maxKeys  int                // keys in young
 }
 
 // Key names what a generation's length is learned under, from coarse to fine.
@@ -28,28 +28,28 @@
 
 // hazard holds the counts of one key and the curve made from them.
 type hazard struct {
-	cumulative [buckets + 1]float64 // the integral of rate up to each bucket's start
-	ends       [buckets]float64
-	rate       [buckets]float64
-	stale      int // observations since the curve was made; -1 before the first
-	tokens     [buckets]float64
-	total      float64
+	cumulative   [buckets + 1]float64 // the integral of rate up to each bucket's start
+	ends         [buckets]float64
+	rate         [buckets]float64
+	sinceRefresh int // observations since the curve was made; -1 before the first
+	tokens       [buckets]float64
+	totalTokens  float64
 }
 
 const (
-	buckets       = 49 // up to 65,536 tokens
-	defaultRate   = 1.0 / 400
-	firstBucket   = 16    // tokens in the first bucket
-	fadeAt        = 400e3 // tokens of a key at which its counts are halved
-	lengthsLimit  = 20_000
-	refreshAfter  = 32  // observations between two makings of a curve
-	priorStrength = 3.0 // generations that the coarser key counts for
-	subBuckets    = 4   // buckets per doubling
+	buckets            = 49 // up to 65,536 tokens
+	defaultRate        = 1.0 / 400
+	firstBucket        = 16    // tokens in the first bucket
+	decayThreshold     = 400e3 // tokens of a key at which its counts are halved
+	maxLengthKeys      = 20_000
+	refreshInterval    = 32  // observations between two makings of a curve
+	priorStrength      = 3.0 // generations that the coarser key counts for
+	bucketsPerDoubling = 4   // buckets per doubling
 )
 
 // NewLengths returns an estimator that has seen nothing.
 func NewLengths() *Lengths {
-	return &Lengths{young: make(map[uint64]*hazard), old: make(map[uint64]*hazard), limit: lengthsLimit}
+	return &Lengths{recent: make(map[uint64]*hazard), previous: make(map[uint64]*hazard), maxKeys: maxLengthKeys}
 }
 
 // KeyOf returns the key of w. Where w names no kind, what it shows stands in
@@ -72,38 +72,38 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, x := range k {
-		l.at(x).observe(from, to, ended)
+		l.countsOf(x).observe(from, to, ended)
 	}
 }
 
 // curve returns the curve of the finest key, made afresh where it is stale;
 // the lock is held.
 func (l *Lengths) curve(k Key) *hazard {
-	var above *hazard
+	var coarser *hazard
 	for _, x := range k {
-		h := l.at(x)
-		if h.stale < 0 || h.stale > refreshAfter {
-			h.refresh(above)
+		h := l.countsOf(x)
+		if h.sinceRefresh < 0 || h.sinceRefresh > refreshInterval {
+			h.refresh(coarser)
 		}
-		above = h
+		coarser = h
 	}
-	return above
+	return coarser
 }
 
-// at returns the counts of one key. Keys that were not asked for during a whole
+// countsOf returns the counts of one key. Keys that were not asked for during a whole
 // turn are dropped, which bounds the memory.
-func (l *Lengths) at(x uint64) *hazard {
-	if h := l.young[x]; h != nil {
+func (l *Lengths) countsOf(x uint64) *hazard {
+	if h := l.recent[x]; h != nil {
 		return h
 	}
-	if len(l.young) >= l.limit {
-		l.old, l.young = l.young, make(map[uint64]*hazard)
+	if len(l.recent) >= l.maxKeys {
+		l.previous, l.recent = l.recent, make(map[uint64]*hazard)
 	}
-	h := l.old[x]
+	h := l.previous[x]
 	if h == nil {
-		h = &hazard{stale: -1}
+		h = &hazard{sinceRefresh: -1}
 	}
-	l.young[x] = h
+	l.recent[x] = h
 	return h
 }
 
@@ -117,30 +117,30 @@
 	if ended {
 		h.ends[bucketOf(max(0, to-1))]++
 	}
-	h.total += float64(to - from)
-	if h.total > fadeAt {
-		h.fade()
+	h.totalTokens += float64(to - from)
+	if h.totalTokens > decayThreshold {
+		h.decay()
 	}
-	if h.stale >= 0 {
-		h.stale++
+	if h.sinceRefresh >= 0 {
+		h.sinceRefresh++
 	}
 }
 
-func (h *hazard) fade() {
+func (h *hazard) decay() {
 	for b := range buckets {
 		h.tokens[b] /= 2
 		h.ends[b] /= 2
 	}
-	h.total /= 2
+	h.totalTokens /= 2
 }
 
 // refresh makes the curve, leaning on the coarser key's.
-func (h *hazard) refresh(above *hazard) {
-	h.stale = 0
+func (h *hazard) refresh(coarser *hazard) {
+	h.sinceRefresh = 0
 	for b := range buckets {
 		prior := defaultRate
-		if above != nil {
-			prior = above.rate[b]
+		if coarser != nil {
+			prior = coarser.rate[b]
 		}
 		width := float64(bucketStart(b+1) - bucketStart(b))
 		k := priorStrength * width
@@ -160,14 +160,14 @@
 		return 0
 	}
 	o := bits.Len(uint(t)) - bits.Len(firstBucket)
-	s := (t >> (o + 2)) & (subBuckets - 1)
-	return min(buckets-1, 1+subBuckets*o+s)
+	s := (t >> (o + 2)) & (bucketsPerDoubling - 1)
+	return min(buckets-1, 1+bucketsPerDoubling*o+s)
 }
 
 func bucketStart(b int) int {
 	if b == 0 {
 		return 0
 	}
-	o, s := (b-1)/subBuckets, (b-1)%subBuckets
-	return (firstBucket + s*firstBucket/subBuckets) << o
+	o, s := (b-1)/bucketsPerDoubling, (b-1)%bucketsPerDoubling
+	return (firstBucket + s*firstBucket/bucketsPerDoubling) << o
 }
--- a/internal/policy/lengths_test.go
+++ b/internal/policy/lengths_test.go
@@ -35,7 +35,7 @@
 		l.Observe(k, 0, 50, true)
 		l.Observe(k, 0, 2000, false) // still running
 	}
-	if got := l.expect(k, 100, 4096).tokens; got < 1000 {
+	if got := l.estimate(k, 100, 4096).tokens; got < 1000 {
 		t.Errorf("expected tokens: got %.0f, want at least 1000", got)
 	}
 }
@@ -57,7 +57,7 @@
 		want += float64(n)
 	}
 	want /= float64(len(drawn))
-	if got := l.expect(k, 100, 1<<16).tokens; math.Abs(got-want) > 0.05*want {
+	if got := l.estimate(k, 100, 1<<16).tokens; math.Abs(got-want) > 0.05*want {
 		t.Errorf("mean: got %.0f, want %.0f within 5%%", got, want)
 	}
 	running, total := 0.0, 0.0
@@ -82,11 +82,11 @@
 	for range 5000 {
 		l.Observe(k, 0, 200, true)
 	}
-	before := l.expect(k, 100, 4096).tokens
+	before := l.estimate(k, 100, 4096).tokens
 	for range 2000 {
 		l.Observe(k, 0, 400, true)
 	}
-	after := l.expect(k, 100, 4096).tokens
+	after := l.estimate(k, 100, 4096).tokens
 	if got, want := after, 1.6*before; got < want {
 		t.Errorf("expected tokens after doubling: got %.0f, want at least %.0f", got, want)
 	}
@@ -101,7 +101,7 @@
 		l.Observe(KeyOf(w), 0, 1000, true)
 	}
 	w.Workspace = "never seen"
-	if got := l.expect(KeyOf(w), 100, 4096).tokens; got < 700 || got > 1300 {
+	if got := l.estimate(KeyOf(w), 100, 4096).tokens; got < 700 || got > 1300 {
 		t.Errorf("expected tokens: got %.0f, want about 1000", got)
 	}
 }
@@ -111,11 +111,11 @@
 func TestLengthsBoundMemory(t *testing.T) {
 	l := NewLengths()
 	w := testWork("a")
-	for i := range 3 * lengthsLimit {
+	for i := range 3 * maxLengthKeys {
 		w.Workspace = string(rune(i))
 		l.Observe(KeyOf(w), 0, 10, true)
 	}
-	if got, want := len(l.young)+len(l.old), 2*lengthsLimit; got > want {
+	if got, want := len(l.recent)+len(l.previous), 2*maxLengthKeys; got > want {
 		t.Errorf("keys: got %d, want at most %d", got, want)
 	}
 }
--- a/internal/policy/naive.go
+++ b/internal/policy/naive.go
@@ -14,7 +14,7 @@
 
 // Choose returns the upstream with the least reported load, or "".
 func (n *Naive) Choose(c []Candidate, allow func(name string) bool) string {
-	best, least := "", 0.0
+	best, minLoad := "", 0.0
 	for _, x := range c {
 		if !allow(x.Name) {
 			continue
@@ -24,15 +24,15 @@
 		n.seed ^= n.seed >> 7
 		n.seed ^= n.seed << 17
 		tie := float64(n.seed>>11) / (1 << 53)
-		s := float64(r.Running+r.Waiting) + tie
-		if best == "" || s < least {
-			best, least = x.Name, s
+		load := float64(r.Running+r.Waiting) + tie
+		if best == "" || load < minLoad {
+			best, minLoad = x.Name, load
 		}
 	}
 	return best
 }
 
-// Report takes in the late report of an upstream.
-func (n *Naive) Report(name string, r Report) {
+// SetReport takes in the late report of an upstream.
+func (n *Naive) SetReport(name string, r Report) {
 	n.reports[name] = r
 }
--- a/internal/policy/owner.go
+++ b/internal/policy/owner.go
@@ -13,57 +13,57 @@
 type Owner struct {
 	// Evacuated refuses all new work, until the hall is taken back.
 	Evacuated bool
-	// Born is when the upstream started, in Unix milliseconds; 0 where that is not told.
-	Born int64
+	// StartedAtMS is when the upstream started, in Unix milliseconds; 0 where that is not told.
+	StartedAtMS int64
 	// Leaving refuses all new work.
 	Leaving bool
-	// Told tells that the upstream said itself that it is leaving: boxes that hear of it from
+	// LeavingReported tells that the upstream said itself that it is leaving: boxes that hear of it from
 	// here believe it, whatever its entry says.
-	Told bool
+	LeavingReported bool
 	// Upstream is the upstream's name.
 	Upstream string
 
-	capacity    Capacity
-	batch       float64   // generations that keep the time between tokens at its target
-	forecast    forecast  // of all running generations
-	forecastAt  time.Time // when it was made from scratch
-	foreign     int       // tokens in use that no known generation accounts for
-	graceEnds   time.Time
-	lengths     *Lengths
-	maxQueued   int
-	numbers     uint64
-	queue       *queue
-	reading     int // tokens of prompts of generations that have no token yet
-	report      Report
-	running     map[string]*running
-	shares      *shares
-	stalled     int
-	starts      []time.Time // of the last second, where they are bounded
-	tune        Tuning
-	usedTokens  int // by known generations
-	z           float64
-	zAt         time.Time
-	latestSweep time.Time
+	capacity          Capacity
+	batchLimit        float64   // generations that keep the time between tokens at its target
+	forecast          forecast  // of all running generations
+	forecastAt        time.Time // when it was made from scratch
+	unaccountedTokens int       // tokens in use that no known generation accounts for
+	graceEnds         time.Time
+	lengths           *Lengths
+	maxQueued         int
+	lastSequence      uint64
+	queue             *queue
+	prefilling        int // tokens of prompts of generations that have no token yet
+	report            Report
+	running           map[string]*runningWork
+	shares            *shares
+	stalled           int
+	recentStarts      []time.Time // of the last second, where they are bounded
+	tune              Tuning
+	usedTokens        int // by known generations
+	z                 float64
+	zAt               time.Time
+	lastSweep         time.Time
 }
 
 const (
-	forecastAge       = 250 * time.Millisecond
-	gracePeriod       = 3 * time.Second
-	maxQueuedDefault  = 10_000
-	minSlackShare     = 0.25 // of the time to its deadline that work may wait, however long it is
-	reservationPeriod = 2 * time.Second
-	silencePeriod     = 10 * time.Second
-	stallSteps        = 12 // steps without a token after which a generation counts as stalled
-	stallFloor        = 700 * time.Millisecond
-	// firstTokenFloor is the same before the first token: under mixed load half of
+	maxForecastAge     = 250 * time.Millisecond
+	gracePeriod        = 3 * time.Second
+	defaultMaxQueued   = 10_000
+	minSlackShare      = 0.25 // of the time to its deadline that work may wait, however long it is
+	reservationTimeout = 2 * time.Second
+	silenceTimeout     = 10 * time.Second
+	stallSteps         = 12 // steps without a token after which a generation counts as stalled
+	minStallTimeout    = 700 * time.Millisecond
+	// firstTokenStallTimeout is the same before the first token: under mixed load half of
 	// the prompts were read within 0.6 s, 99 in 100 within 2 s.
-	firstTokenFloor = 2 * time.Second
-	sweepPeriod     = 200 * time.Millisecond
-	urgentClasses   = 2    // by which urgent work goes before its class: what is cheaper still goes first
-	urgentDurations = 2    // expected durations before it must start, and
-	urgentShare     = 0.18 // of the time to its deadline, before it must start, that makes work urgent
-	urgentReserve   = 0.5  // of the memory kept free of costly work that is kept free of it once it is urgent
-	usableShare     = 0.9  // of memory that is in use on a crowded engine
+	firstTokenStallTimeout = 2 * time.Second
+	sweepInterval          = 200 * time.Millisecond
+	urgentClassBoost       = 2    // by which urgent work goes before its class: what is cheaper still goes first
+	urgentDurations        = 2    // expected durations before it must start, and
+	urgentSlackShare       = 0.18 // of the time to its deadline, before it must start, that makes work urgent
+	urgentReserveFactor    = 0.5  // of the memory kept free of costly work that is kept free of it once it is urgent
+	usableShare            = 0.9  // of memory that is in use on a crowded engine
 )
 
 // OwnerOption sets one thing of an Owner.
@@ -72,8 +72,8 @@
 // NewOwner returns the owner of an upstream, as of now.
 func NewOwner(upstream string, c Capacity, l *Lengths, now time.Time, options ...OwnerOption) *Owner {
 	o := &Owner{
-		Upstream: upstream, capacity: c, batch: float64(c.MaxBatch), graceEnds: now.Add(gracePeriod),
-		lengths: l, maxQueued: maxQueuedDefault, queue: newQueue(), running: make(map[string]*running),
+		Upstream: upstream, capacity: c, batchLimit: float64(c.MaxBatch), graceEnds: now.Add(gracePeriod),
+		lengths: l, maxQueued: defaultMaxQueued, queue: newQueue(), running: make(map[string]*runningWork),
 		shares: newShares(), tune: DefaultTuning(), zAt: now,
 	}
 	for _, x := range options {
@@ -92,8 +92,8 @@
 // allowed in a second.
 func WithPredecessor() OwnerOption {
 	return func(o *Owner) {
-		for range int(o.capacity.StartsMost) {
-			o.starts = append(o.starts, o.zAt)
+		for range int(o.capacity.MaxStartsPerSecond) {
+			o.recentStarts = append(o.recentStarts, o.zAt)
 		}
 	}
 }
@@ -109,13 +109,13 @@
 // one stands, so a lost answer is settled by asking again.
 func (o *Owner) Ask(w *Work, now time.Time) Answer {
 	if r := o.running[w.ID]; r != nil {
-		r.deadline = now.Add(reservationPeriod)
+		r.expiresAt = now.Add(reservationTimeout)
 		return Answer{ID: w.ID, Verdict: VerdictStart}
 	}
 	if o.queue.byID[w.ID] != nil {
 		return Answer{ID: w.ID, Verdict: VerdictQueue}
 	}
-	e := o.entry(w, now)
+	e := o.newEntry(w, now)
 	if a := o.refusal(e, now); a.Verdict == VerdictRefuse {
 		o.shares.refund(w, e.charge)
 		o.shares.leave(w, now)
@@ -132,7 +132,7 @@
 
 // Backlog returns the seconds of the engine's time that wait.
 func (o *Owner) Backlog() float64 {
-	return o.queue.total()
+	return o.queue.totalCost()
 }
 
 // Finish says that a generation has ended, and where; ended is false where it
@@ -146,16 +146,16 @@
 	if ended {
 		o.lengths.Observe(r.key, produced, produced, true)
 	}
-	o.drop(id, r)
+	o.release(id, r)
 }
 
-// Knows reports whether the owner knows a generation that runs.
-func (o *Owner) Knows(id string) bool {
+// IsRunning reports whether the owner knows a generation that runs.
+func (o *Owner) IsRunning(id string) bool {
 	return o.running[id] != nil
 }
 
-// Leave takes waiting work out of the queue; the caller has given up on it.
-func (o *Owner) Leave(id string, now time.Time) {
+// Cancel takes waiting work out of the queue; the caller has given up on it.
+func (o *Owner) Cancel(id string, now time.Time) {
 	if e := o.queue.remove(id); e != nil {
 		o.shares.refund(e.work, e.charge)
 		o.shares.leave(e.work, now)
@@ -165,21 +165,21 @@
 // Load returns what is told with every answer.
 func (o *Owner) Load(now time.Time) Load {
 	l := Load{
-		AsOf: now, Born: o.Born, Held: o.usedTokens, Leaving: o.Told, Peak: o.peak(&forecast{}) / float64(o.capacity.KVTokens),
-		Reading: o.reading, Upstream: o.Upstream,
+		AsOf: now, StartedAtMS: o.StartedAtMS, UsedTokens: o.usedTokens, Leaving: o.LeavingReported, PeakShare: o.peak(&forecast{}) / float64(o.capacity.KVTokens),
+		PrefillTokens: o.prefilling, Upstream: o.Upstream,
 	}
 	if o.queue.len() == 0 {
 		return l
 	}
-	for c, cost := range classCosts {
-		l.Ahead[c] = o.queue.ahead(order{class: classOf(cost), time: o.arrivalOrder(cost, now)})
+	for c, cost := range classMaxCosts {
+		l.Backlog[c] = o.queue.costBefore(order{class: costClass(cost), time: o.orderTime(cost, now)})
 	}
 	return l
 }
 
-// Next returns the waiting work that may start now, or that is refused now.
-func (o *Owner) Next(now time.Time) []Answer {
-	o.expire(now)
+// Dispatch returns the waiting work that may start now, or that is refused now.
+func (o *Owner) Dispatch(now time.Time) []Answer {
+	o.releaseExpired(now)
 	l := o.sweep(now)
 	for e := o.queue.first(); e != nil && o.fits(e, now); e = o.queue.first() {
 		o.queue.remove(e.work.ID)
@@ -205,37 +205,37 @@
 // Register tells a new owner of work that already runs.
 func (o *Owner) Register(w *Work, produced int, now time.Time) {
 	if o.running[w.ID] == nil {
-		o.Leave(w.ID, now)
+		o.Cancel(w.ID, now)
 		e := &entry{key: KeyOf(w), work: w}
-		e.expectation = o.lengths.expect(e.key, w.Prompt, w.MaxTokens)
+		e.estimate = o.lengths.estimate(e.key, w.Prompt, w.MaxTokens)
 		o.start(e, now)
 		r := o.running[w.ID]
 		r.produced = produced
 		if produced > 0 {
-			o.read(r)
+			o.markPrefilled(r)
 		}
 		o.usedTokens += produced
-		o.foreign = max(0, o.foreign-w.Prompt-produced)
+		o.unaccountedTokens = max(0, o.unaccountedTokens-w.Prompt-produced)
 	}
 	o.advance(o.running[w.ID], produced, now)
 }
 
-// Report takes in the upstream's own report.
-func (o *Owner) Report(r Report, now time.Time) {
+// SetReport takes in the upstream's own report.
+func (o *Owner) SetReport(r Report, now time.Time) {
 	if n := r.Preemptions - o.report.Preemptions; n > 0 && !o.report.AsOf.IsZero() {
-		o.decay(now)
+		o.decayZ(now)
 		o.z = min(o.tune.ZMax, o.z+o.tune.ZPreemption*float64(n))
 	}
 	o.report = r
-	o.adjustBatch(r)
-	o.foreign = max(0, r.Used-o.usedAt(r.AsOf, now))
+	o.adjustBatchLimit(r)
+	o.unaccountedTokens = max(0, r.UsedTokens-o.usedTokensAt(r.AsOf, now))
 }
 
-// Restarted says that the upstream runs anew and has lost all it ran.
-func (o *Owner) Restarted() {
+// HandleRestart says that the upstream runs anew and has lost all it ran.
+func (o *Owner) HandleRestart() {
 	for id, r := range o.running {
 		if r.confirmed {
-			o.drop(id, r)
+			o.release(id, r)
 		}
 	}
 	o.report = Report{}
@@ -246,23 +246,23 @@
 	return len(o.running)
 }
 
-// adjustBatch lowers the cap on the batch where steps take longer than their
+// adjustBatchLimit lowers the cap on the batch where steps take longer than their
 // target, and raises it again slowly.
-func (o *Owner) adjustBatch(r Report) {
-	if r.StepSeconds > o.tune.StepTarget && r.Running > 0 {
-		o.batch = min(o.batch, max(1, float64(r.Running)*o.tune.StepTarget/r.StepSeconds))
+func (o *Owner) adjustBatchLimit(r Report) {
+	if r.StepSeconds > o.tune.TargetStepSeconds && r.Running > 0 {
+		o.batchLimit = min(o.batchLimit, max(1, float64(r.Running)*o.tune.TargetStepSeconds/r.StepSeconds))
 		return
 	}
-	o.batch = min(float64(o.capacity.MaxBatch), o.batch+1)
+	o.batchLimit = min(float64(o.capacity.MaxBatch), o.batchLimit+1)
 }
 
-func (o *Owner) decay(now time.Time) {
+func (o *Owner) decayZ(now time.Time) {
 	s := now.Sub(o.zAt).Seconds()
 	o.zAt = now
-	o.z = max(o.tune.ZMin, o.z-(o.z-o.tune.ZMin)*min(1, s*o.tune.ZDecaySecond))
+	o.z = max(o.tune.ZMin, o.z-(o.z-o.tune.ZMin)*min(1, s*o.tune.ZDecayPerSecond))
 }
 
-func (o *Owner) step() float64 {
+func (o *Owner) stepSeconds() float64 {
 	if o.report.StepSeconds > 0 {
 		return o.report.StepSeconds
 	}
--- a/internal/policy/owner_refusal_test.go
+++ b/internal/policy/owner_refusal_test.go
@@ -40,20 +40,20 @@
 	if got, want := o.Ask(w, testStart).Verdict, VerdictQueue; got != want {
 		t.Fatalf("verdict: got %s, want %s", got, want)
 	}
-	given := time.Duration(0)
-	for d := time.Duration(0); d < 40*time.Second && given == 0; d += sweepPeriod {
+	refusedAfter := time.Duration(0)
+	for d := time.Duration(0); d < 40*time.Second && refusedAfter == 0; d += sweepInterval {
 		for n := range o.running {
-			o.Progress(n, 1+int(d/sweepPeriod), testStart.Add(d))
+			o.Progress(n, 1+int(d/sweepInterval), testStart.Add(d))
 		}
-		o.Report(Report{AsOf: testStart.Add(d), Running: 32, StepSeconds: 0.02, Used: 9999}, testStart.Add(d))
-		for _, a := range o.Next(testStart.Add(d)) {
+		o.SetReport(Report{AsOf: testStart.Add(d), Running: 32, StepSeconds: 0.02, UsedTokens: 9999}, testStart.Add(d))
+		for _, a := range o.Dispatch(testStart.Add(d)) {
 			if a.ID == "a" && a.Verdict == VerdictRefuse {
-				given = d
+				refusedAfter = d
 			}
 		}
 	}
-	if given == 0 || given > 36*time.Second {
-		t.Errorf("given up after: got %v, want well before the deadline at 40s", given)
+	if refusedAfter == 0 || refusedAfter > 36*time.Second {
+		t.Errorf("given up after: got %v, want well before the deadline at 40s", refusedAfter)
 	}
 }
 
@@ -65,7 +65,7 @@
 	if got, want := o.Ask(testWork("new"), testStart).Reason, ReasonLeaving; got != want {
 		t.Errorf("new work: got %q, want %q", got, want)
 	}
-	a := o.Next(testStart.Add(time.Second))
+	a := o.Dispatch(testStart.Add(time.Second))
 	if len(a) != 1 || a[0].ID != "waits" || a[0].Reason != ReasonLeaving {
 		t.Errorf("waiting work: got %v, want a refusal of it", a)
 	}
@@ -87,7 +87,7 @@
 		if got := o.queue.first().work.ID; got != id {
 			t.Errorf("next: got %s, want %s", got, id)
 		}
-		o.Leave(o.queue.first().work.ID, testStart)
+		o.Cancel(o.queue.first().work.ID, testStart)
 	}
 }
 
@@ -108,11 +108,11 @@
 		}
 		o.Ask(w, testStart)
 	}
-	o.Next(testStart.Add(sweepPeriod))
+	o.Dispatch(testStart.Add(sweepInterval))
 	var got []string
 	for e := o.queue.first(); e != nil; e = o.queue.first() {
 		got = append(got, e.work.ID)
-		o.Leave(e.work.ID, testStart)
+		o.Cancel(e.work.ID, testStart)
 	}
 	if want := []string{"plan", "check", "late plan"}; !slices.Equal(got, want) {
 		t.Errorf("order: got %v, want %v", got, want)
@@ -128,7 +128,7 @@
 		w := testWork(fmt.Sprint("look-", i))
 		w.Workspace = "looks"
 		o.Ask(w, testStart)
-		o.Leave(w.ID, testStart)
+		o.Cancel(w.ID, testStart)
 	}
 	for _, n := range []string{"looks", "others"} {
 		w := testWork(n)
@@ -155,7 +155,7 @@
 	w.Workspace = "small"
 	o.Ask(w, testStart.Add(time.Second))
 	e := o.queue.byID["small"]
-	if got, want := o.queue.ahead(e.order), 0.5*o.queue.total(); got > want {
+	if got, want := o.queue.costBefore(e.order), 0.5*o.queue.totalCost(); got > want {
 		t.Errorf("backlog before the small workspace: got %.1f s, want at most %.1f s", got, want)
 	}
 }
@@ -194,17 +194,17 @@
 		if x.want != VerdictQueue || x.moved {
 			continue
 		}
-		given := time.Duration(0)
-		for d := time.Duration(0); d < 10*time.Second && given == 0; d += sweepPeriod {
-			o.Report(Report{AsOf: testStart.Add(d), Running: 32, StepSeconds: 0.02, Used: 9999}, testStart.Add(d))
-			for _, a := range o.Next(testStart.Add(d)) {
+		refusedAfter := time.Duration(0)
+		for d := time.Duration(0); d < 10*time.Second && refusedAfter == 0; d += sweepInterval {
+			o.SetReport(Report{AsOf: testStart.Add(d), Running: 32, StepSeconds: 0.02, UsedTokens: 9999}, testStart.Add(d))
+			for _, a := range o.Dispatch(testStart.Add(d)) {
 				if a.ID == "impatient" && a.Verdict == VerdictRefuse {
-					given = d
+					refusedAfter = d
 				}
 			}
 		}
-		if given == 0 || given > 7*time.Second {
-			t.Errorf("%s: given up after: got %v, want before its caller goes at 7s", x.name, given)
+		if refusedAfter == 0 || refusedAfter > 7*time.Second {
+			t.Errorf("%s: given up after: got %v, want before its caller goes at 7s", x.name, refusedAfter)
 		}
 	}
 }
--- a/internal/policy/owner_test.go
+++ b/internal/policy/owner_test.go
@@ -13,7 +13,7 @@
 // newTestOwner returns an owner that has heard an idle upstream's report.
 func newTestOwner() *Owner {
 	o := NewOwner("u", Capacity{KVTokens: 10_000, MaxBatch: 32}, NewLengths(), testStart)
-	o.Report(Report{AsOf: testStart, StepSeconds: 0.02}, testStart)
+	o.SetReport(Report{AsOf: testStart, StepSeconds: 0.02}, testStart)
 	return o
 }
 
@@ -26,7 +26,7 @@
 		case VerdictStart:
 			o.Progress(w.ID, 1, now)
 		case VerdictQueue:
-			o.Leave(w.ID, now)
+			o.Cancel(w.ID, now)
 			return n
 		case VerdictRefuse:
 			t.Fatalf("refused for %s", a.Reason)
@@ -50,7 +50,7 @@
 func TestOwnerDropsReservationsThatWereNotUsed(t *testing.T) {
 	o := newTestOwner()
 	o.Ask(testWork("a"), testStart)
-	o.Next(testStart.Add(reservationPeriod + time.Millisecond))
+	o.Dispatch(testStart.Add(reservationTimeout + time.Millisecond))
 	if got, want := o.Running(), 0; got != want {
 		t.Errorf("reservations: got %d, want %d", got, want)
 	}
@@ -63,8 +63,8 @@
 // are enough, and that a run whose memory comes from another engine neither waits for
 // them nor counts as one.
 func TestOwnerBoundsThePromptsThatAreRead(t *testing.T) {
-	o := NewOwner("u", Capacity{KVTokens: 30_000, MaxBatch: 32, ReadingMost: 7000}, NewLengths(), testStart)
-	o.Report(Report{AsOf: testStart, StepSeconds: 0.02}, testStart)
+	o := NewOwner("u", Capacity{KVTokens: 30_000, MaxBatch: 32, MaxPrefillTokens: 7000}, NewLengths(), testStart)
+	o.SetReport(Report{AsOf: testStart, StepSeconds: 0.02}, testStart)
 	ask := func(id string, prompt int, moved bool, want Verdict) {
 		t.Helper()
 		w := testWork(id)
@@ -78,15 +78,15 @@
 	ask("moved too", 5000, true, VerdictStart)
 	ask("second", 3000, false, VerdictQueue)
 	o.Progress("moved", 1, testStart)
-	if got := o.Next(testStart); len(got) != 0 {
+	if got := o.Dispatch(testStart); len(got) != 0 {
 		t.Errorf("while the first prompt is read: got %v, want nothing", got)
 	}
 	o.Progress("first", 1, testStart)
-	if got := o.Next(testStart); len(got) != 1 || got[0].ID != "second" {
+	if got := o.Dispatch(testStart); len(got) != 1 || got[0].ID != "second" {
 		t.Errorf("once it is read: got %v, want the second", got)
 	}
 	o.Finish("second", 0, false, testStart)
-	if got := o.Load(testStart).Held; got != 15_002 {
+	if got := o.Load(testStart).UsedTokens; got != 15_002 {
 		t.Errorf("tokens held in the end: got %d, want 15002", got)
 	}
 }
@@ -98,10 +98,10 @@
 	if got, want := o.Ask(testWork("a"), testStart).Verdict, VerdictQueue; got != want {
 		t.Fatalf("verdict: got %s, want %s", got, want)
 	}
-	if got := o.Next(testStart.Add(gracePeriod - time.Millisecond)); len(got) != 0 {
+	if got := o.Dispatch(testStart.Add(gracePeriod - time.Millisecond)); len(got) != 0 {
 		t.Errorf("before the grace has passed: got %v, want nothing", got)
 	}
-	if got, want := len(o.Next(testStart.Add(gracePeriod))), 1; got != want {
+	if got, want := len(o.Dispatch(testStart.Add(gracePeriod))), 1; got != want {
 		t.Errorf("after the grace: got %d places, want %d", got, want)
 	}
 }
@@ -111,7 +111,7 @@
 // that registration takes generations out of that count.
 func TestOwnerCountsWhatItDoesNotKnow(t *testing.T) {
 	o := NewOwner("u", Capacity{KVTokens: 10_000, MaxBatch: 32}, NewLengths(), testStart)
-	o.Report(Report{AsOf: testStart, Running: 10, StepSeconds: 0.02, Used: 9900}, testStart)
+	o.SetReport(Report{AsOf: testStart, Running: 10, StepSeconds: 0.02, UsedTokens: 9900}, testStart)
 	if got, want := o.Ask(testWork("a"), testStart).Verdict, VerdictQueue; got != want {
 		t.Fatalf("at a full upstream: got %s, want %s", got, want)
 	}
@@ -120,7 +120,7 @@
 		w.Prompt = 1000
 		o.Register(w, 100, testStart)
 	}
-	if got, want := o.foreign, 0; got != want {
+	if got, want := o.unaccountedTokens, 0; got != want {
 		t.Errorf("memory not accounted for: got %d, want %d", got, want)
 	}
 	if got, want := o.usedTokens, 9900; got != want {
@@ -135,9 +135,9 @@
 	a, b := newTestOwner(), newTestOwner()
 	n := fill(t, a, testStart) + fill(t, b, testStart)
 	later := testStart.Add(time.Second)
-	r := Report{AsOf: later, Running: n, StepSeconds: 0.02, Used: n * 101}
+	r := Report{AsOf: later, Running: n, StepSeconds: 0.02, UsedTokens: n * 101}
 	for _, o := range []*Owner{a, b} {
-		o.Report(r, later)
+		o.SetReport(r, later)
 		if got, want := o.Ask(testWork("late"), later).Verdict, VerdictQueue; got != want {
 			t.Errorf("after the report: got %s, want %s", got, want)
 		}
@@ -154,7 +154,7 @@
 		t.Fatalf("while a stalls: got %s, want %s", got, want)
 	}
 	o.Progress("a", 6, later)
-	if got, want := len(o.Next(later)), 1; got != want {
+	if got, want := len(o.Dispatch(later)), 1; got != want {
 		t.Errorf("once a goes on: got %d places, want %d", got, want)
 	}
 }
@@ -163,7 +163,7 @@
 	o := newTestOwner()
 	before := fill(t, o, testStart)
 	p := newTestOwner()
-	p.Report(Report{AsOf: testStart, Preemptions: 100, StepSeconds: 0.02}, testStart)
+	p.SetReport(Report{AsOf: testStart, Preemptions: 100, StepSeconds: 0.02}, testStart)
 	if got := fill(t, p, testStart); got >= before {
 		t.Errorf("admitted after preemptions: got %d, want fewer than %d", got, before)
 	}
@@ -171,8 +171,8 @@
 
 func TestOwnerLowersItsBatchForTheTimeBetweenTokens(t *testing.T) {
 	o := newTestOwner()
-	o.Report(Report{AsOf: testStart, Running: 20, StepSeconds: 0.08}, testStart)
-	if got, want := o.batch, 10.0; got != want {
+	o.SetReport(Report{AsOf: testStart, Running: 20, StepSeconds: 0.08}, testStart)
+	if got, want := o.batchLimit, 10.0; got != want {
 		t.Errorf("batch: got %v, want %v", got, want)
 	}
 }
@@ -180,7 +180,7 @@
 func TestOwnerForgetsWhatARestartedUpstreamLost(t *testing.T) {
 	o := newTestOwner()
 	fill(t, o, testStart)
-	o.Restarted()
+	o.HandleRestart()
 	if got, want := o.Running(), 0; got != want {
 		t.Errorf("running: got %d, want %d", got, want)
 	}
@@ -245,11 +245,11 @@
 			},
 			"time": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
-				for _, a := range o.Next(now) {
+				for _, a := range o.Dispatch(now) {
 					take(a)
 				}
 				for id := range produced {
-					if !o.Knows(id) {
+					if !o.IsRunning(id) {
 						delete(produced, id) // a reservation that lapsed
 					}
 				}
@@ -288,7 +288,7 @@
 
 func benchmarkAsk(b *testing.B, queued int) {
 	o := NewOwner("u", Capacity{KVTokens: 400_000, MaxBatch: 200}, NewLengths(), testStart, WithMaxQueued(1<<20))
-	o.Report(Report{AsOf: testStart, StepSeconds: 0.02}, testStart)
+	o.SetReport(Report{AsOf: testStart, StepSeconds: 0.02}, testStart)
 	for i := range 200 {
 		o.Register(testWork(fmt.Sprintf("r%d", i)), 10, testStart)
 	}
@@ -302,6 +302,6 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		o.Ask(w, testStart)
-		o.Leave("asked", testStart)
+		o.Cancel("asked", testStart)
 	}
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -33,11 +33,11 @@
 
 // Capacity describes an engine.
 type Capacity struct {
-	CopyToken   time.Duration // that copying a token of memory to another engine of its hall takes; 0 where it cannot
-	KVTokens    int           // memory for prompts and outputs, in tokens
-	MaxBatch    int           // generations in one batch at most
-	StartsMost  float64       // generations that are started in any second at most; 0 is no bound
-	ReadingMost int           // tokens of prompts that are read at once at most, unless of one prompt alone; 0 is no bound
+	CopyTimePerToken   time.Duration // that copying a token of memory to another engine of its hall takes; 0 where it cannot
+	KVTokens           int           // memory for prompts and outputs, in tokens
+	MaxBatch           int           // generations in one batch at most
+	MaxStartsPerSecond float64       // generations that are started in any second at most; 0 is no bound
+	MaxPrefillTokens   int           // tokens of prompts that are read at once at most, unless of one prompt alone; 0 is no bound
 }
 
 // Report is what an engine last told of itself; it is late.
@@ -46,7 +46,7 @@
 	Preemptions int64
 	Running     int
 	StepSeconds float64
-	Used        int // tokens of memory
+	UsedTokens  int // tokens of memory
 	Waiting     int
 }
 
@@ -94,7 +94,7 @@
 const (
 	ShortageBatch   Shortage = "batch"   // as many generations run as keep the time between tokens
 	ShortageMemory  Shortage = "memory"  // the forecast of what runs leaves no room for it
-	ShortageReading Shortage = "reading" // too many prompts are being read
+	ShortagePrefill Shortage = "reading" // too many prompts are being read
 	ShortageReport  Shortage = "report"  // the upstream gets nothing new, or what it runs isn't known yet
 	ShortageStalled Shortage = "stalled" // generations there stand still
 	ShortageStarts  Shortage = "starts"  // as many started within a second as a cold engine bears
@@ -103,50 +103,50 @@
 
 // Load is what an owner tells of its upstream with every answer.
 type Load struct {
-	// Ahead is the backlog that stands before new work of each class, in seconds
+	// Backlog is the backlog that stands before new work of each class, in seconds
 	// of the engine's time.
-	Ahead    [Classes]float64 `cbor:"2,keyasint"`
-	AsOf     time.Time        `cbor:"1,keyasint"`
-	Born     int64            `cbor:"8,keyasint,omitempty"` // when the upstream started, in Unix milliseconds; 0 where that is not told
-	Held     int              `cbor:"6,keyasint"`           // tokens of memory that known generations hold
-	Leaving  bool             `cbor:"5,keyasint,omitempty"` // the upstream told that it is leaving
-	Peak     float64          `cbor:"3,keyasint"`           // predicted peak of memory over capacity
-	Reading  int              `cbor:"7,keyasint,omitempty"` // tokens of prompts that are being read
-	Upstream string           `cbor:"4,keyasint"`
+	Backlog       [Classes]float64 `cbor:"2,keyasint"`
+	AsOf          time.Time        `cbor:"1,keyasint"`
+	StartedAtMS   int64            `cbor:"8,keyasint,omitempty"` // when the upstream started, in Unix milliseconds; 0 where that is not told
+	UsedTokens    int              `cbor:"6,keyasint"`           // tokens of memory that known generations hold
+	Leaving       bool             `cbor:"5,keyasint,omitempty"` // the upstream told that it is leaving
+	PeakShare     float64          `cbor:"3,keyasint"`           // predicted peak of memory over capacity
+	PrefillTokens int              `cbor:"7,keyasint,omitempty"` // tokens of prompts that are being read
+	Upstream      string           `cbor:"4,keyasint"`
 }
 
 // Classes is the number of classes of work by its cost.
 const Classes = 10
 
-// classCosts are the costs, in seconds of an engine's time, up to which work is
+// classMaxCosts are the costs, in seconds of an engine's time, up to which work is
 // of a class: each is twice the one before.
-var classCosts = [Classes]float64{0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 1e9}
+var classMaxCosts = [Classes]float64{0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 1e9}
 
-func classOf(cost float64) int {
+func costClass(cost float64) int {
 	c := 0
-	for c < Classes-1 && cost > classCosts[c] {
+	for c < Classes-1 && cost > classMaxCosts[c] {
 		c++
 	}
 	return c
 }
 
-// readSeconds is the time that an engine takes to read a token of a prompt between the
+// prefillSecondsPerToken is the time that an engine takes to read a token of a prompt between the
 // tokens of the generations that run: an engine that reads 14 a millisecond alone
 // reads 7.5 so, as measured under load.
-const readSeconds = 1.0 / 7500
+const prefillSecondsPerToken = 1.0 / 7500
 
 // DefaultStepSeconds stands in for a step time that was not reported yet.
 const DefaultStepSeconds = 0.03
 
-// evacuatedRetry is when a caller may come back where the only upstreams left are those of
+// evacuatedRetryDelay is when a caller may come back where the only upstreams left are those of
 // evacuated halls: an evacuation lasts seconds at least.
-const evacuatedRetry = time.Second
+const evacuatedRetryDelay = time.Second
 
-// ClosedRetry returns when work that an upstream does not take for a reason of its own may
+// ClosedRetryAt returns when work that an upstream does not take for a reason of its own may
 // come back: at once where another upstream takes it.
-func ClosedRetry(r Reason, now time.Time) time.Time {
+func ClosedRetryAt(r Reason, now time.Time) time.Time {
 	if r == ReasonEvacuated {
-		return now.Add(evacuatedRetry)
+		return now.Add(evacuatedRetryDelay)
 	}
 	return now
 }
--- a/internal/policy/prompts_test.go
+++ b/internal/policy/prompts_test.go
@@ -24,12 +24,12 @@
 		for i := range n {
 			s := x.size(i)
 			all += s
-			if p.Learn(&Work{Kind: "k", Model: "m", Prompt: int(s)}) {
+			if p.Observe(&Work{Kind: "k", Model: "m", Prompt: int(s)}) {
 				large++
 				sizes += s
 			}
 		}
-		if got, want := float64(large)/n, largestShare; math.Abs(got-want) > 0.4*want {
+		if got, want := float64(large)/n, largeShare; math.Abs(got-want) > 0.4*want {
 			t.Errorf("%s: got %.3f of the prompts large, want about %.3f", x.name, got, want)
 		}
 		if got, least := sizes/float64(large), 1.3*all/n; got < least {
@@ -42,11 +42,11 @@
 func TestEqualPromptsAreNotLarge(t *testing.T) {
 	p := NewPrompts()
 	for i := range 200 {
-		if p.Learn(&Work{Kind: "k", Model: "m", Prompt: 1000}) && i < 10 {
+		if p.Observe(&Work{Kind: "k", Model: "m", Prompt: 1000}) && i < 10 {
 			t.Errorf("prompt %d: got large, want none before their spread is known", i)
 		}
 	}
-	if p.Learn(&Work{Kind: "other", Model: "m", Prompt: 9000}) {
+	if p.Observe(&Work{Kind: "other", Model: "m", Prompt: 9000}) {
 		t.Error("the first prompt of a kind: got large, want it not so")
 	}
 }
@@ -54,10 +54,10 @@
 // TestKindsOfPromptsAreBounded names more kinds than are kept.
 func TestKindsOfPromptsAreBounded(t *testing.T) {
 	p := NewPrompts()
-	for i := range 3 * promptKinds {
-		p.Learn(&Work{Kind: string(rune(i)) + "k", Model: "m", Prompt: 10})
+	for i := range 3 * maxPromptKinds {
+		p.Observe(&Work{Kind: string(rune(i)) + "k", Model: "m", Prompt: 10})
 	}
-	if got := len(p.kinds); got > promptKinds {
-		t.Errorf("kinds: got %d, want at most %d", got, promptKinds)
+	if got := len(p.kinds); got > maxPromptKinds {
+		t.Errorf("kinds: got %d, want at most %d", got, maxPromptKinds)
 	}
 }
--- a/internal/policy/quarantine_model_test.go
+++ b/internal/policy/quarantine_model_test.go
@@ -19,7 +19,7 @@
 		box := rapid.IntRange(0, len(boxes)-1)
 		fingerprint := rapid.Custom(func(t *rapid.T) Fingerprint { return Fingerprint(rapid.IntRange(1, 4).Draw(t, "fingerprint")) })
 		ask := func(a, b int) {
-			boxes[a].Record(boxes[b].Missing(boxes[a].Known(now), now), now)
+			boxes[a].Record(boxes[b].Missing(boxes[a].CrashHashes(now), now), now)
 		}
 		cleared := make(map[Fingerprint]bool)
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -47,7 +47,7 @@
 		most := make(map[Fingerprint]int) // crashes that any box counts
 		for _, b := range boxes {
 			for p := Fingerprint(1); p <= 4; p++ {
-				most[p] = max(most[p], b.Crashes(p, now))
+				most[p] = max(most[p], b.CrashCount(p, now))
 			}
 		}
 		for range 2 {
@@ -61,7 +61,7 @@
 			if got, want := b.Digest(now), boxes[0].Digest(now); got != want {
 				t.Errorf("box %d: got digest %x, want %x", i, got, want)
 			}
-			if got := b.Missing(boxes[0].Known(now), now); len(got) != 0 {
+			if got := b.Missing(boxes[0].CrashHashes(now), now); len(got) != 0 {
 				t.Errorf("box %d: got %d crashes that box 0 misses, want none", i, len(got))
 			}
 			for p, n := range most {
@@ -79,14 +79,14 @@
 // TestMissingIsBounded checks what a box hears of in one message where there are many suspects: of
 // the quarantined requests first, and of all of them once it has asked again.
 func TestMissingIsBounded(t *testing.T) {
-	const held = Fingerprint(1)
+	const quarantined = Fingerprint(1)
 	now := time.Now()
 	a, b := NewQuarantine(), NewQuarantine()
 	n := Fingerprint(10)
 	for i := range 40 {
 		c := crashOf(fmt.Sprint("u-", i), 1, now.Add(time.Duration(i)*time.Second))
 		if i < 2 {
-			c.Suspects = append(c.Suspects, Suspect{Fingerprint: held})
+			c.Suspects = append(c.Suspects, Suspect{Fingerprint: quarantined})
 		}
 		for range 64 {
 			n++
@@ -96,16 +96,16 @@
 	}
 	now = now.Add(40 * time.Second)
 	for i := range 5 {
-		l := a.Missing(b.Known(now), now)
+		l := a.Missing(b.CrashHashes(now), now)
 		size := 0
 		for _, c := range l {
 			size += len(c.Suspects)
 		}
-		if size > maxMissing {
-			t.Errorf("message %d: got %d suspects, want at most %d", i, size, maxMissing)
+		if size > maxMissingSuspects {
+			t.Errorf("message %d: got %d suspects, want at most %d", i, size, maxMissingSuspects)
 		}
 		b.Record(l, now)
-		if !b.Quarantined(held, now) {
+		if !b.Quarantined(quarantined, now) {
 			t.Errorf("message %d: the quarantined request is not known", i)
 		}
 	}
--- a/internal/policy/quarantine_test.go
+++ b/internal/policy/quarantine_test.go
@@ -64,7 +64,7 @@
 
 // crashOf returns a crash with its suspects.
 func crashOf(upstream string, born int64, at time.Time, l ...Fingerprint) Crash {
-	c := Crash{At: at, Born: born, Upstream: upstream}
+	c := Crash{At: at, StartedAtMS: born, Upstream: upstream}
 	for _, p := range l {
 		c.Suspects = append(c.Suspects, Suspect{Fingerprint: p})
 	}
@@ -83,11 +83,11 @@
 		at := now.Add(time.Duration(i) * time.Second)
 		q.Record([]Crash{crashOf(fmt.Sprint("u-", i), 0, at, fingerprints...)}, at)
 	}
-	if got := q.size; got > maxSuspects {
+	if got := q.suspectCount; got > maxSuspects {
 		t.Errorf("suspects: got %d, want at most %d", got, maxSuspects)
 	}
 	q.Record([]Crash{crashOf("later", 0, now.Add(time.Hour))}, now.Add(time.Hour))
-	if got := len(q.of) + len(q.crashes) + q.size; got != 1 {
+	if got := len(q.bySuspect) + len(q.crashes) + q.suspectCount; got != 1 {
 		t.Errorf("remembered an hour later: got %d, want 1, the crash itself", got)
 	}
 }
@@ -187,7 +187,7 @@
 		}
 	}
 	quarantine()
-	now = now.Add(trialPeriod)
+	now = now.Add(firstTrialDelay)
 	if q.TakeTrial(p, now) == nil {
 		t.Error("no trial")
 	}
@@ -197,13 +197,13 @@
 	}
 	now = now.Add(time.Hour)
 	quarantine()
-	now = now.Add(quarantineLife - time.Second)
+	now = now.Add(quarantineTTL - time.Second)
 	q.TakeTrial(p, now)
 	if !q.Quarantined(p, now) {
-		t.Errorf("forgotten before %v", quarantineLife)
+		t.Errorf("forgotten before %v", quarantineTTL)
 	}
 	if now = now.Add(time.Second); q.Quarantined(p, now) || !q.Empty() {
-		t.Errorf("remembered after %v", quarantineLife)
+		t.Errorf("remembered after %v", quarantineTTL)
 	}
 }
 
@@ -234,7 +234,7 @@
 			t.Errorf("%v: not quarantined", p)
 		}
 	}
-	if got := q.Crashes(3, now); got != 0 {
+	if got := q.CrashCount(3, now); got != 0 {
 		t.Errorf("crashes of an old suspect: got %d, want none remembered", got)
 	}
 }
--- a/internal/policy/queue.go
+++ b/internal/policy/queue.go
@@ -16,18 +16,18 @@
 type entry struct {
 	cost        float64       // seconds of the engine's time
 	charge      time.Duration // to the share of its workspace
-	expectation expectation
-	inTimeBy    time.Time // when it must start for its first token to come by its target; zero where it has none
+	estimate    estimate
+	targetStart time.Time // when it must start for its first token to come by its target; zero where it has none
 	key         Key
-	latest      time.Time // when it must start to meet its deadline
+	latestStart time.Time // when it must start to meet its deadline
 	urgentAt    time.Time // when it goes before other costly work
 	order       order
 	work        *Work
 
-	heap        uint64
-	left, right *entry
-	sum         float64 // of cost over the subtree
-	count       int     // of entries in the subtree
+	heapPriority uint64
+	left, right  *entry
+	subtreeCost  float64 // of cost over the subtree
+	subtreeCount int     // of entries in the subtree
 }
 
 // order is the rank of an entry: what can still be in time first, then higher priority, then
@@ -36,8 +36,8 @@
 type order struct {
 	late     bool   // its first token comes after its target
 	class    int    // of cost
-	large    bool   // see goesFirst
-	number   uint64 // of arrival, so that no two are equal
+	large    bool   // see prefersLarge
+	sequence uint64 // of arrival, so that no two are equal
 	priority int
 	route    int   // priority of its route
 	time     int64 // nanoseconds
@@ -48,15 +48,15 @@
 	return &queue{byID: make(map[string]*entry), seed: 0x9e3779b97f4a7c15}
 }
 
-// ahead returns the cost of all entries before o.
-func (q *queue) ahead(o order) float64 {
+// costBefore returns the cost of all entries before o.
+func (q *queue) costBefore(o order) float64 {
 	s := 0.0
 	for e := q.root; e != nil; {
 		if !e.order.before(o) {
 			e = e.left
 			continue
 		}
-		s += sumOf(e.left) + e.cost
+		s += subtreeCostOf(e.left) + e.cost
 		e = e.right
 	}
 	return s
@@ -74,9 +74,9 @@
 	q.seed ^= q.seed << 13
 	q.seed ^= q.seed >> 7
 	q.seed ^= q.seed << 17
-	e.heap = q.seed
+	e.heapPriority = q.seed
 	e.left, e.right = nil, nil
-	e.update()
+	e.updateSubtree()
 	a, b := split(q.root, e.order)
 	q.root = merge(merge(a, e), b)
 	q.byID[e.work.ID] = e
@@ -95,15 +95,15 @@
 	delete(q.byID, id)
 	a, b := split(q.root, e.order)
 	after := e.order
-	after.number++
+	after.sequence++
 	_, c := split(b, after)
 	q.root = merge(a, c)
 	return e
 }
 
-// total returns the cost of all entries.
-func (q *queue) total() float64 {
-	return sumOf(q.root)
+// totalCost returns the cost of all entries.
+func (q *queue) totalCost() float64 {
+	return subtreeCostOf(q.root)
 }
 
 func (o order) before(p order) bool {
@@ -128,19 +128,19 @@
 	if o.time != p.time {
 		return o.time < p.time
 	}
-	return o.number < p.number
+	return o.sequence < p.sequence
 }
 
-func (e *entry) update() {
-	e.sum = e.cost + sumOf(e.left) + sumOf(e.right)
-	e.count = 1 + countOf(e.left) + countOf(e.right)
+func (e *entry) updateSubtree() {
+	e.subtreeCost = e.cost + subtreeCostOf(e.left) + subtreeCostOf(e.right)
+	e.subtreeCount = 1 + subtreeCountOf(e.left) + subtreeCountOf(e.right)
 }
 
-func countOf(e *entry) int {
+func subtreeCountOf(e *entry) int {
 	if e == nil {
 		return 0
 	}
-	return e.count
+	return e.subtreeCount
 }
 
 func merge(a, b *entry) *entry {
@@ -149,13 +149,13 @@
 		return b
 	case b == nil:
 		return a
-	case a.heap > b.heap:
+	case a.heapPriority > b.heapPriority:
 		a.right = merge(a.right, b)
-		a.update()
+		a.updateSubtree()
 		return a
 	}
 	b.left = merge(a, b.left)
-	b.update()
+	b.updateSubtree()
 	return b
 }
 
@@ -166,17 +166,17 @@
 	}
 	if e.order.before(o) {
 		e.right, b = split(e.right, o)
-		e.update()
+		e.updateSubtree()
 		return e, b
 	}
 	a, e.left = split(e.left, o)
-	e.update()
+	e.updateSubtree()
 	return a, e
 }
 
-func sumOf(e *entry) float64 {
+func subtreeCostOf(e *entry) float64 {
 	if e == nil {
 		return 0
 	}
-	return e.sum
+	return e.subtreeCost
 }
--- a/internal/policy/rendezvous.go
+++ b/internal/policy/rendezvous.go
@@ -26,11 +26,11 @@
 // First returns the name that Rank puts first for key, or "" where there is no name.
 func (r *Rendezvous) First(key string) string {
 	k := xxhash.Sum64String(key)
-	best, most := "", uint64(0)
+	best, bestScore := "", uint64(0)
 	for i, h := range r.hashes {
 		s := mix(k, h)
-		if best == "" || s > most || (s == most && r.names[i] < best) {
-			best, most = r.names[i], s
+		if best == "" || s > bestScore || (s == bestScore && r.names[i] < best) {
+			best, bestScore = r.names[i], s
 		}
 	}
 	return best
@@ -40,11 +40,11 @@
 // name.
 func First(key string, names []string) string {
 	k := xxhash.Sum64String(key)
-	best, most := "", uint64(0)
+	best, bestScore := "", uint64(0)
 	for _, n := range names {
 		s := mix(k, xxhash.Sum64String(n))
-		if best == "" || s > most || (s == most && n < best) {
-			best, most = n, s
+		if best == "" || s > bestScore || (s == bestScore && n < best) {
+			best, bestScore = n, s
 		}
 	}
 	return best
--- a/internal/policy/router_test.go
+++ b/internal/policy/router_test.go
@@ -17,7 +17,7 @@
 	return l
 }
 
-func anyName(string) bool { return true }
+func allowAny(string) bool { return true }
 
 func TestRouterKeepsAPrefixTogether(t *testing.T) {
 	c := testCandidates(10)
@@ -26,9 +26,9 @@
 		r := NewRouter(NewLengths(), uint64(box))
 		w := testWork("a")
 		w.Prefix, w.PrefixTokens = 7, 1000
-		used[r.Choose(w, c, testStart, anyName)]++
+		used[r.Choose(w, c, testStart, allowAny)]++
 	}
-	if got, want := len(used), affinityPlaces; got > want {
+	if got, want := len(used), affinityUpstreams; got > want {
 		t.Errorf("upstreams of one prefix at eight boxes: got %v, want at most %d", used, want)
 	}
 }
@@ -39,8 +39,8 @@
 	w := testWork("a")
 	w.Prefix, w.PrefixTokens = 7, 1000
 	warm := warmNames(w, c)
-	learnAhead(r, c, warm, 30)
-	if got := r.Choose(w, c, testStart, anyName); warm[got] {
+	setBacklogs(r, c, warm, 30)
+	if got := r.Choose(w, c, testStart, allowAny); warm[got] {
 		t.Errorf("got %s, want one that is not crowded", got)
 	}
 }
@@ -54,8 +54,8 @@
 		w := testWork("a")
 		w.Prefix, w.PrefixTokens = 7, tokens
 		warm := warmNames(w, c)
-		learnAhead(r, c, warm, 0.1)
-		if got := warm[r.Choose(w, c, testStart, anyName)]; got != want {
+		setBacklogs(r, c, warm, 0.1)
+		if got := warm[r.Choose(w, c, testStart, allowAny)]; got != want {
 			t.Errorf("a prefix of %d tokens: kept to its places: got %v, want %v", tokens, got, want)
 		}
 	}
@@ -81,11 +81,11 @@
 			c := testCandidates(3)
 			r := NewRouter(NewLengths(), seed)
 			for i := range c {
-				c[i].Capacity.CopyToken = token
-				r.Learn(Load{AsOf: testStart, Held: x.held[i], Upstream: c[i].Name})
+				c[i].Capacity.CopyTimePerToken = token
+				r.UpdateLoad(Load{AsOf: testStart, UsedTokens: x.held[i], Upstream: c[i].Name})
 			}
-			c[2].Delay = 5
-			got := r.Choose(testWork("a"), c, testStart, anyName)
+			c[2].Penalty = 5
+			got := r.Choose(testWork("a"), c, testStart, allowAny)
 			if x.want != "" && got != x.want {
 				t.Fatalf("%s: got %s, want %s", x.name, got, x.want)
 			}
@@ -103,17 +103,17 @@
 // its own is far more crowded than would send new work there.
 func TestRouterMovesRunsWithinTheirHall(t *testing.T) {
 	c := testCandidates(2)
-	c[1].Delay = 5
+	c[1].Penalty = 5
 	for _, x := range []struct {
 		ahead float64
 		moved bool
 		want  string
 	}{{8, false, "u1"}, {8, true, "u0"}, {20, true, "u1"}} {
 		r := NewRouter(NewLengths(), 1)
-		learnAhead(r, c, map[string]bool{"u0": true}, x.ahead)
+		setBacklogs(r, c, map[string]bool{"u0": true}, x.ahead)
 		w := testWork("a")
 		w.Moved = x.moved
-		if got := r.Choose(w, c, testStart, anyName); got != x.want {
+		if got := r.Choose(w, c, testStart, allowAny); got != x.want {
 			t.Errorf("%v s ahead, moved %v: got %s, want %s", x.ahead, x.moved, got, x.want)
 		}
 	}
@@ -125,36 +125,36 @@
 	c := testCandidates(2)
 	learn := func() *Router {
 		r := NewRouter(NewLengths(), 1)
-		r.Learn(Load{AsOf: testStart, Reading: 6000, Upstream: "u0"})
-		r.Learn(Load{AsOf: testStart, Peak: 0.3, Upstream: "u1"})
+		r.UpdateLoad(Load{AsOf: testStart, PrefillTokens: 6000, Upstream: "u0"})
+		r.UpdateLoad(Load{AsOf: testStart, PeakShare: 0.3, Upstream: "u1"})
 		return r
 	}
-	if got := learn().Choose(testWork("a"), c, testStart, anyName); got != "u1" {
+	if got := learn().Choose(testWork("a"), c, testStart, allowAny); got != "u1" {
 		t.Errorf("while u0 reads: got %s, want u1", got)
 	}
-	if got := learn().Choose(testWork("a"), c, testStart.Add(time.Second), anyName); got != "u0" {
+	if got := learn().Choose(testWork("a"), c, testStart.Add(time.Second), allowAny); got != "u0" {
 		t.Errorf("once u0 has read: got %s, want u0", got)
 	}
 	r := learn()
 	w := testWork("a")
 	w.Prompt, w.Moved = 100_000, true
-	r.Choose(w, c[1:], testStart, anyName)
-	if got := r.loads["u1"].reading; got != 0 {
+	r.Choose(w, c[1:], testStart, allowAny)
+	if got := r.loads["u1"].placedPrefillTokens; got != 0 {
 		t.Errorf("tokens to be read after moved work was placed: got %d, want none", got)
 	}
 }
 
-// learnAhead tells the router that work of every class would wait for so many seconds at
+// setBacklogs tells the router that work of every class would wait for so many seconds at
 // the upstreams named, and nowhere else.
-func learnAhead(r *Router, c []Candidate, at map[string]bool, seconds float64) {
+func setBacklogs(r *Router, c []Candidate, at map[string]bool, seconds float64) {
 	for _, x := range c {
 		l := Load{AsOf: testStart, Upstream: x.Name}
 		if at[x.Name] {
-			for i := range l.Ahead {
-				l.Ahead[i] = seconds
+			for i := range l.Backlog {
+				l.Backlog[i] = seconds
 			}
 		}
-		r.Learn(l)
+		r.UpdateLoad(l)
 	}
 }
 
@@ -164,11 +164,11 @@
 	c := testCandidates(4)
 	r := NewRouter(NewLengths(), 1)
 	for _, x := range c {
-		r.Learn(Load{AsOf: testStart, Upstream: x.Name})
+		r.UpdateLoad(Load{AsOf: testStart, Upstream: x.Name})
 	}
 	used := make(map[string]int)
 	for i := range 400 {
-		used[r.Choose(testWork(fmt.Sprint(i)), c, testStart, anyName)]++
+		used[r.Choose(testWork(fmt.Sprint(i)), c, testStart, allowAny)]++
 	}
 	for _, x := range c {
 		if got, want := used[x.Name], 50; got < want {
@@ -179,10 +179,10 @@
 
 func TestRouterIgnoresOlderLoads(t *testing.T) {
 	r := NewRouter(NewLengths(), 1)
-	r.Learn(Load{AsOf: testStart.Add(time.Second), Peak: 0.5, Upstream: "u0"})
-	r.Learn(Load{AsOf: testStart, Peak: 0.1, Upstream: "u0"})
-	if got, _ := r.Known("u0"); got.Peak != 0.5 {
-		t.Errorf("peak: got %v, want 0.5", got.Peak)
+	r.UpdateLoad(Load{AsOf: testStart.Add(time.Second), PeakShare: 0.5, Upstream: "u0"})
+	r.UpdateLoad(Load{AsOf: testStart, PeakShare: 0.1, Upstream: "u0"})
+	if got, _ := r.Load("u0"); got.PeakShare != 0.5 {
+		t.Errorf("peak: got %v, want 0.5", got.PeakShare)
 	}
 }
 
@@ -196,12 +196,12 @@
 		r := NewRouter(NewLengths(), 1)
 		for n, a := range map[string]float64{"u0": x.here, "u1": x.there} {
 			l := Load{AsOf: testStart, Upstream: n}
-			for i := range l.Ahead {
-				l.Ahead[i] = a
+			for i := range l.Backlog {
+				l.Backlog[i] = a
 			}
-			r.Learn(l)
+			r.UpdateLoad(l)
 		}
-		if got := r.Better(w, "u0", c, testStart); got != x.want {
+		if got := r.BetterUpstream(w, "u0", c, testStart); got != x.want {
 			t.Errorf("from %v to %v seconds: got %q, want %q", x.here, x.there, got, x.want)
 		}
 	}
@@ -251,15 +251,15 @@
 }
 
 func TestRetriesAreABudget(t *testing.T) {
-	r := NewRetries()
+	r := NewRetryBudget()
 	taken := 0
 	for range 1000 {
-		r.Request()
+		r.RecordRequest()
 		if r.Take() {
 			taken++
 		}
 	}
-	if got, want := taken, retriesBurst+1000*retriesShare+1; float64(got) > want {
+	if got, want := taken, retryBurst+1000*retriesPerRequest+1; float64(got) > want {
 		t.Errorf("retries for 1,000 failed requests: got %d, want at most %v", got, want)
 	}
 }
@@ -268,8 +268,8 @@
 	for n := 1; n < 40; n++ {
 		for _, s := range []float64{0, 0.999} {
 			d := Backoff(testStart, n, s).Sub(testStart)
-			if d < backoffFirst/2 || d > backoffMost {
-				t.Errorf("failure %d: got %v, want between %v and %v", n, d, backoffFirst/2, backoffMost)
+			if d < initialBackoff/2 || d > maxBackoff {
+				t.Errorf("failure %d: got %v, want between %v and %v", n, d, initialBackoff/2, maxBackoff)
 			}
 		}
 	}
@@ -278,7 +278,7 @@
 // TestWarmNamesAreTheFirstOfTheRanking compares the choice in one pass with sorting.
 func TestWarmNamesAreTheFirstOfTheRanking(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := testCandidates(rapid.IntRange(affinityPlaces+1, 40).Draw(t, "candidates"))
+		c := testCandidates(rapid.IntRange(affinityUpstreams+1, 40).Draw(t, "candidates"))
 		w := testWork("a")
 		w.Prefix = rapid.Uint64Min(1).Draw(t, "prefix")
 		var names []string
@@ -286,9 +286,9 @@
 			names = append(names, x.Name)
 		}
 		got := warmNames(w, c)
-		for _, want := range Rank(strconv.FormatUint(w.Prefix, 36), names)[:affinityPlaces] {
-			if !got[want] || len(got) != affinityPlaces {
-				t.Fatalf("got %v, want %s among %d", got, want, affinityPlaces)
+		for _, want := range Rank(strconv.FormatUint(w.Prefix, 36), names)[:affinityUpstreams] {
+			if !got[want] || len(got) != affinityUpstreams {
+				t.Fatalf("got %v, want %s among %d", got, want, affinityUpstreams)
 			}
 		}
 	})
@@ -301,15 +301,15 @@
 	c := testCandidates(n)
 	for i := range c {
 		if i%3 != 0 {
-			c[i].Delay = 1
+			c[i].Penalty = 1
 		}
 	}
 	r := NewRouter(NewLengths(), 1)
 	halves := [2]int{}
 	for range times {
 		near := 0
-		for _, x := range r.sample(c, nil, anyName) {
-			if x.Delay == 0 {
+		for _, x := range r.sample(c, nil, allowAny) {
+			if x.Penalty == 0 {
 				near++
 				var i int
 				_, _ = fmt.Sscanf(x.Name, "u%d", &i)
--- a/internal/policy/running.go
+++ b/internal/policy/running.go
@@ -2,63 +2,63 @@
 
 import "time"
 
-// running is a generation that holds a reservation or runs.
-type running struct {
-	confirmed bool
-	deadline  time.Time // by which the next word of it must come
-	forecast  forecast
-	key       Key
-	movedAt   time.Time // when it last produced a token
-	produced  int
-	reading   int // tokens of its prompt that the engine reads before its first token
-	stalled   bool
-	work      *Work
+// runningWork is a generation that holds a reservation or runs.
+type runningWork struct {
+	confirmed     bool
+	expiresAt     time.Time // by which the next word of it must come
+	forecast      forecast
+	key           Key
+	lastTokenAt   time.Time // when it last produced a token
+	produced      int
+	prefillTokens int // tokens of its prompt that the engine reads before its first token
+	stalled       bool
+	work          *Work
 }
 
 // advance takes in how far a generation is.
-func (o *Owner) advance(r *running, produced int, now time.Time) {
-	r.deadline = now.Add(silencePeriod)
+func (o *Owner) advance(r *runningWork, produced int, now time.Time) {
+	r.expiresAt = now.Add(silenceTimeout)
 	if produced > r.produced {
-		o.read(r)
+		o.markPrefilled(r)
 		o.lengths.Observe(r.key, r.produced, produced, false)
 		o.usedTokens += produced - r.produced
 		r.produced = produced
-		r.movedAt = now
+		r.lastTokenAt = now
 		o.setStalled(r, false)
-	} else if now.Sub(r.movedAt) > o.stallAfter(r) {
+	} else if now.Sub(r.lastTokenAt) > o.stallAfter(r) {
 		o.setStalled(r, r.confirmed)
 	}
 	r.confirmed = true
 }
 
-// drop forgets a generation and gives back what it holds.
-func (o *Owner) drop(id string, r *running) {
+// release forgets a generation and gives back what it holds.
+func (o *Owner) release(id string, r *runningWork) {
 	o.setStalled(r, false)
-	o.read(r)
+	o.markPrefilled(r)
 	o.usedTokens -= r.work.Prompt + r.produced
 	o.forecast.add(&r.forecast, -1)
 	delete(o.running, id)
 }
 
-// expire drops reservations that were not used and generations of which
+// releaseExpired drops reservations that were not used and generations of which
 // nothing was heard; what still runs of them shows in the upstream's report.
-func (o *Owner) expire(now time.Time) {
+func (o *Owner) releaseExpired(now time.Time) {
 	for id, r := range o.running {
-		if now.After(r.deadline) {
-			o.drop(id, r)
+		if now.After(r.expiresAt) {
+			o.release(id, r)
 		}
 	}
 }
 
-// read notes that the prompt of a generation has been read.
-func (o *Owner) read(r *running) {
-	o.reading -= r.reading
-	r.reading = 0
+// markPrefilled notes that the prompt of a generation has been read.
+func (o *Owner) markPrefilled(r *runningWork) {
+	o.prefilling -= r.prefillTokens
+	r.prefillTokens = 0
 }
 
-// refresh makes the forecast from scratch once it has aged.
-func (o *Owner) refresh(now time.Time) {
-	if now.Sub(o.forecastAt) < forecastAge {
+// refreshForecast makes the forecast from scratch once it has aged.
+func (o *Owner) refreshForecast(now time.Time) {
+	if now.Sub(o.forecastAt) < maxForecastAge {
 		return
 	}
 	o.forecastAt = now
@@ -70,7 +70,7 @@
 }
 
 // setStalled notes whether a generation stands still, and counts those that do.
-func (o *Owner) setStalled(r *running, stalled bool) {
+func (o *Owner) setStalled(r *runningWork, stalled bool) {
 	if r.stalled == stalled {
 		return
 	}
@@ -84,31 +84,31 @@
 
 // stallAfter returns after how long without a token a generation counts as stalled.
 // Before its first token its prompt is being read, which takes longer.
-func (o *Owner) stallAfter(r *running) time.Duration {
+func (o *Owner) stallAfter(r *runningWork) time.Duration {
 	if r.produced == 0 {
-		return firstTokenFloor
+		return firstTokenStallTimeout
 	}
-	return max(stallFloor, seconds(stallSteps*o.step()))
+	return max(minStallTimeout, seconds(stallSteps*o.stepSeconds()))
 }
 
 // start reserves a place for work that was taken in.
 func (o *Owner) start(e *entry, now time.Time) {
-	r := &running{
-		deadline: now.Add(reservationPeriod), forecast: e.expectation.forecast, key: e.key, movedAt: now,
-		reading: toRead(e.work), work: e.work,
+	r := &runningWork{
+		expiresAt: now.Add(reservationTimeout), forecast: e.estimate.forecast, key: e.key, lastTokenAt: now,
+		prefillTokens: prefillTokens(e.work), work: e.work,
 	}
 	o.running[e.work.ID] = r
-	if o.capacity.StartsMost > 0 {
-		o.starts = append(o.starts, now)
+	if o.capacity.MaxStartsPerSecond > 0 {
+		o.recentStarts = append(o.recentStarts, now)
 	}
-	o.reading += r.reading
+	o.prefilling += r.prefillTokens
 	o.usedTokens += e.work.Prompt
 	o.forecast.add(&r.forecast, 1)
 }
 
-// usedAt returns the tokens that known generations held at time t.
-func (o *Owner) usedAt(t, now time.Time) int {
-	grown := int(now.Sub(t).Seconds() / o.step())
+// usedTokensAt returns the tokens that known generations held at time t.
+func (o *Owner) usedTokensAt(t, now time.Time) int {
+	grown := int(now.Sub(t).Seconds() / o.stepSeconds())
 	n := 0
 	for _, r := range o.running {
 		if r.confirmed {
@@ -118,8 +118,8 @@
 	return n
 }
 
-// toRead returns how many tokens of prompt an engine reads of w.
-func toRead(w *Work) int {
+// prefillTokens returns how many tokens of prompt an engine reads of w.
+func prefillTokens(w *Work) int {
 	if w.Moved {
 		return 0
 	}
--- a/internal/policy/sample.go
+++ b/internal/policy/sample.go
@@ -6,24 +6,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// draw takes a number of things at random from a sequence, each with the same chance.
-type draw struct {
-	left   int // things still to come
-	wanted int // things still to be taken
+// sampler takes a number of things at random from a sequence, each with the same chance.
+type sampler struct {
+	remaining int // things still to come
+	wanted    int // things still to be taken
 }
 
 const (
-	affinityPlaces = 2  // the upstreams that a prefix keeps to while they are not crowded
-	sampleFar      = 4  // upstreams of other halls looked at where there are many
-	sampleNear     = 12 // and of the work's own hall
+	affinityUpstreams = 2  // the upstreams that a prefix keeps to while they are not crowded
+	sampleFar         = 4  // upstreams of other halls looked at where there are many
+	sampleNear        = 12 // and of the work's own hall
 )
 
 // take reports whether the next thing is taken, by a random number in [0, 1).
-func (d *draw) take(random float64) bool {
-	taken := random*float64(d.left) < float64(d.wanted)
-	d.left--
+func (s *sampler) take(random float64) bool {
+	taken := random*float64(s.remaining) < float64(s.wanted)
+	s.remaining--
 	if taken {
-		d.wanted--
+		s.wanted--
 	}
 	return taken
 }
@@ -31,37 +31,37 @@
 // sample returns the allowed candidates, or, where they are many, those that
 // the prefix keeps to and some at random, most of them near.
 func (r *Router) sample(c []Candidate, warm map[string]bool, allow func(name string) bool) []Candidate {
-	near, far := drawsOf(c, allow)
-	if near.left+far.left <= sampleNear+sampleFar {
-		near.wanted, far.wanted = near.left, far.left
+	near, far := newSamplers(c, allow)
+	if near.remaining+far.remaining <= sampleNear+sampleFar {
+		near.wanted, far.wanted = near.remaining, far.remaining
 	}
-	l := make([]Candidate, 0, near.wanted+far.wanted+affinityPlaces)
+	l := make([]Candidate, 0, near.wanted+far.wanted+affinityUpstreams)
 	for i := range c {
 		if !allow(c[i].Name) {
 			continue
 		}
-		d := &far
-		if c[i].Delay == 0 {
-			d = &near
+		s := &far
+		if c[i].Penalty == 0 {
+			s = &near
 		}
-		if d.take(r.random()) || warm[c[i].Name] {
+		if s.take(r.random()) || warm[c[i].Name] {
 			l = append(l, c[i])
 		}
 	}
 	return l
 }
 
-// drawsOf returns the draws from the allowed candidates of the work's own hall and from
+// newSamplers returns the draws from the allowed candidates of the work's own hall and from
 // those of others.
-func drawsOf(c []Candidate, allow func(name string) bool) (near, far draw) {
+func newSamplers(c []Candidate, allow func(name string) bool) (near, far sampler) {
 	near.wanted, far.wanted = sampleNear, sampleFar
 	for i := range c {
 		switch {
 		case !allow(c[i].Name):
-		case c[i].Delay == 0:
-			near.left++
+		case c[i].Penalty == 0:
+			near.remaining++
 		default:
-			far.left++
+			far.remaining++
 		}
 	}
 	return near, far
@@ -70,7 +70,7 @@
 // warmNames returns the upstreams that w's prefix keeps to: those that a rendezvous
 // with it ranks first.
 func warmNames(w *Work, c []Candidate) map[string]bool {
-	if w.Prefix == 0 || len(c) <= affinityPlaces {
+	if w.Prefix == 0 || len(c) <= affinityUpstreams {
 		return nil
 	}
 	k := xxhash.Sum64String(strconv.FormatUint(w.Prefix, 36))
--- a/internal/relay/crash.go
+++ b/internal/relay/crash.go
@@ -46,7 +46,7 @@
 // under its fingerprint: what many ask for is running as any upstream crashes.
 func (e *exchange) cleared() {
 	x, p := e.relay, e.fingerprint()
-	x.served.Note(p, time.Now())
+	x.served.Record(p, time.Now())
 	if x.clear(p, "") {
 		x.Cleared(p)
 	}
@@ -62,10 +62,10 @@
 		return
 	}
 	s.Cleared = x.servedSince(s.Fingerprint, at)
-	l := []policy.Crash{{At: at, Born: u.Spec.Born, Suspects: []policy.Suspect{s}, Upstream: u.Name}}
+	l := []policy.Crash{{At: at, StartedAtMS: u.Spec.Born, Suspects: []policy.Suspect{s}, Upstream: u.Name}}
 	x.metrics.Add(metric.UpstreamCrashes, 1)
 	x.NoteCrashes(l, "")
-	event.UpstreamCrashed.Log(x.log, "request", e.request.ID, "upstream", u.Name, "ends", x.quarantine.Crashes(s.Fingerprint, time.Now()), "asked", s.Fingerprint.String())
+	event.UpstreamCrashed.Log(x.log, "request", e.request.ID, "upstream", u.Name, "ends", x.quarantine.CrashCount(s.Fingerprint, time.Now()), "asked", s.Fingerprint.String())
 	x.Crashed(l)
 	x.ClearServed()
 }
@@ -142,7 +142,7 @@
 	if l := x.quarantine.Renew(e.fingerprint(), now); l != nil {
 		x.Crashed(l)
 	}
-	return fail.New(fail.Unknown, e.servicePlace(), reasonQuarantined, "%d upstreams ended under %s", x.quarantine.Crashes(e.fingerprint(), now), e.fingerprint())
+	return fail.New(fail.Unknown, e.servicePlace(), reasonQuarantined, "%d upstreams ended under %s", x.quarantine.CrashCount(e.fingerprint(), now), e.fingerprint())
 }
 
 // tryOut lets a quarantined request through where that is due, and announces it.
@@ -202,8 +202,8 @@
 // servedSince reports whether this box served a request between the last crash under it, and a crash
 // at a time, or later.
 func (x *Relay) servedSince(p policy.Fingerprint, at time.Time) bool {
-	t := x.served.At(p, time.Now())
-	return !t.IsZero() && t.After(x.quarantine.LastBefore(p, at))
+	t := x.served.LastRunAt(p, time.Now())
+	return !t.IsZero() && t.After(x.quarantine.LastCrashBefore(p, at))
 }
 
 // markUsed records which runs have cleared their requests of crashes: they clear them of no others.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -61,7 +61,7 @@
 	budget         *budget.Budget
 	cancel         context.CancelFunc
 	ctx            context.Context // ends with Abort
-	frequent       *policy.Frequent
+	frequent       *policy.FrequentRuns
 	quarantine     *policy.Quarantine
 	health         *health.Tracker
 	lengths        *policy.Lengths
@@ -72,7 +72,7 @@
 	pace           pace
 	placeWait      *metrics.Histogram
 	rests          *health.Backoffs
-	served         *policy.Served
+	served         *policy.CompletedRuns
 	stopBackground context.CancelFunc
 	tracker        *placement.Tracker
 	view           *resource.View
@@ -122,8 +122,8 @@
 		coldBears:  func(*resource.Upstream) float64 { return 0 },
 		background: background, stopBackground: stopBackground,
 		budget: budget.New(0.2, 0, 10*time.Second, func() int { return 1 }),
-		cancel: cancel, ctx: ctx, frequent: policy.NewFrequent(), quarantine: policy.NewQuarantine(), health: health.New(hall), lengths: l, limiter: ratelimit.NewLimiter(ratelimit.NewLimits()), log: log, meter: meter.New(m), metrics: m,
-		placeWait: m.Histogram(metric.PlaceWait), rests: health.NewBackoffs(v), served: policy.NewServed(), streams: make(map[*stream]bool), tracker: t, view: v,
+		cancel: cancel, ctx: ctx, frequent: policy.NewFrequentRuns(), quarantine: policy.NewQuarantine(), health: health.New(hall), lengths: l, limiter: ratelimit.NewLimiter(ratelimit.NewLimits()), log: log, meter: meter.New(m), metrics: m,
+		placeWait: m.Histogram(metric.PlaceWait), rests: health.NewBackoffs(v), served: policy.NewCompletedRuns(), streams: make(map[*stream]bool), tracker: t, view: v,
 	}
 	x.limiter.RequestPermits = localPermits()
 	for _, o := range options {
@@ -169,7 +169,7 @@
 // restarted, and announces that.
 func (x *Relay) ClearServed() {
 	now := time.Now()
-	l := x.quarantine.ClearServed(func(p policy.Fingerprint) time.Time { return x.frequent.At(p, now) })
+	l := x.quarantine.ClearCompleted(func(p policy.Fingerprint) time.Time { return x.frequent.LastRunAt(p, now) })
 	if len(l) == 0 {
 		return
 	}
@@ -201,7 +201,7 @@
 }
 
 // Frequent returns what this box knows of requests that ran to their ends at other boxes.
-func (x *Relay) Frequent() *policy.Frequent { return x.frequent }
+func (x *Relay) Frequent() *policy.FrequentRuns { return x.frequent }
 
 // Held returns how many requests are in progress.
 func (x *Relay) Held() int {
@@ -228,7 +228,7 @@
 	now := time.Now()
 	quarantined, news := x.quarantine.Record(l, now)
 	for _, p := range quarantined {
-		event.RequestQuarantined.Log(x.log, "asked", p.String(), "crashes", x.quarantine.Crashes(p, now), "from", from)
+		event.RequestQuarantined.Log(x.log, "asked", p.String(), "crashes", x.quarantine.CrashCount(p, now), "from", from)
 	}
 	if news {
 		x.markUsed(l)
@@ -280,7 +280,7 @@
 }
 
 // Served returns what this box remembers of requests that ran to their ends.
-func (x *Relay) Served() *policy.Served { return x.served }
+func (x *Relay) Served() *policy.CompletedRuns { return x.served }
 
 // Streams returns how many streams of engines are in progress.
 func (x *Relay) Streams() int {
@@ -371,7 +371,7 @@
 	if made < w.Hint {
 		return w.Hint - made
 	}
-	return int(x.lengths.Left(policy.KeyOf(w), made, w.MaxTokens))
+	return int(x.lengths.Remaining(policy.KeyOf(w), made, w.MaxTokens))
 }
 
 // refusesStream returns the refusal of a stream of so many tokens that would hardly end
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -60,7 +60,7 @@
 	metrics *metric.Set
 	mutex   sync.Mutex     // guards active and retries
 	active  map[string]int // by upstream: calls in progress
-	retries *policy.Retries
+	retries *policy.RetryBudget
 	view    *resource.View
 }
 
@@ -75,7 +75,7 @@
 
 // NewRouter returns a router over the services in v.
 func NewRouter(v *resource.View, k *requestkey.Keys, m *metric.Set) *Router {
-	return &Router{active: make(map[string]int), keys: k, metrics: m, Rests: health.NewBackoffs(v), retries: policy.NewRetries(), view: v}
+	return &Router{active: make(map[string]int), keys: k, metrics: m, Rests: health.NewBackoffs(v), retries: policy.NewRetryBudget(), view: v}
 }
 
 // Call carries c to its answer.
@@ -87,7 +87,7 @@
 		return nil, fail.New(fail.NotFound, r.place(c), "service_unknown", "no upstream serves %q", c.Service)
 	}
 	r.mutex.Lock()
-	r.retries.Request()
+	r.retries.RecordRequest()
 	r.mutex.Unlock()
 	if repeatable(c.Method, u[0]) {
 		return r.tryEach(ctx, c, u)
--- a/keeper.go
+++ b/keeper.go
@@ -109,7 +109,7 @@
 }
 
 // addRuns records a report of runs.
-func (b *Box) addRuns(l []policy.ServedRun) {
+func (b *Box) addRuns(l []policy.CompletedRun) {
 	b.relay.Frequent().Add(l, time.Now())
 	b.keeper.setChanged()
 }
@@ -138,7 +138,7 @@
 
 // reportRuns reports this box's runs to the keepers of its hall.
 func (b *Box) reportRuns(ctx context.Context, keepers []string) {
-	l := b.relay.Served().Report(reportMost)
+	l := b.relay.Served().TakeReport(reportMost)
 	if len(l) == 0 {
 		return
 	}
@@ -156,7 +156,7 @@
 		})
 	}
 	if g.Wait() != nil && !slices.Contains(keepers, b.settings.Box) {
-		b.relay.Served().Unreport(l)
+		b.relay.Served().RestoreReport(l)
 	}
 }
 
--- a/kept_test.go
+++ b/kept_test.go
@@ -320,14 +320,14 @@
 	at := time.UnixMilli(1 << 41)
 	k := newKeeper()
 	k.setRead(at, at)
-	var runs []policy.ServedRun
+	var runs []policy.CompletedRun
 	for i := range runsMost {
-		runs = append(runs, policy.ServedRun{At: at, Fingerprint: ^policy.Fingerprint(i), Times: 1 << 31})
+		runs = append(runs, policy.CompletedRun{At: at, Fingerprint: ^policy.Fingerprint(i), Times: 1 << 31})
 	}
 	var crashes []policy.Crash
 	for i := range quarantinedMost {
 		s := policy.Suspect{Cleared: true, Events: 1 << 31, Fingerprint: ^policy.Fingerprint(i), Trials: 3}
-		crashes = append(crashes, policy.Crash{At: at, Born: 1 << 41, SeenAt: at, Suspects: []policy.Suspect{s}, Upstream: fmt.Sprintf("%200d", i)})
+		crashes = append(crashes, policy.Crash{At: at, StartedAtMS: 1 << 41, LastReturnAt: at, Suspects: []policy.Suspect{s}, Upstream: fmt.Sprintf("%200d", i)})
 	}
 	for _, x := range []struct {
 		name        string
@@ -372,7 +372,7 @@
 	now := time.Now()
 	k := newKeeper()
 	k.setRead(now, time.UnixMilli(1_000_000))
-	v := encodeRow(k.runEntries([]policy.ServedRun{{At: now.Add(-time.Minute), Fingerprint: 1, Times: 5}}))
+	v := encodeRow(k.runEntries([]policy.CompletedRun{{At: now.Add(-time.Minute), Fingerprint: 1, Times: 5}}))
 	if got, want := len(k.decodeRuns(v)), 1; got != want {
 		t.Errorf("by the same clock: got %d runs, want %d", got, want)
 	}
@@ -388,28 +388,28 @@
 	now := time.UnixMilli(1 << 41)
 	k := newKeeper()
 	k.setRead(now, time.UnixMilli(5000))
-	f.Add([]byte(encodeRow(k.runEntries([]policy.ServedRun{{At: now, Fingerprint: 1, Times: 2}}))))
+	f.Add([]byte(encodeRow(k.runEntries([]policy.CompletedRun{{At: now, Fingerprint: 1, Times: 2}}))))
 	f.Add([]byte(encodeRow(k.crashEntries([]policy.Crash{{At: now, Suspects: []policy.Suspect{{Fingerprint: 1}}, Upstream: "u"}}))))
 	f.Add([]byte(`"gYMb//////////8bAAAAAAAAAAEB"`))
 	f.Fuzz(func(t *testing.T, value []byte) {
 		runs, crashes := k.decodeRuns(value), k.decodeCrashes(value)
-		m, q := policy.NewFrequent(), policy.NewQuarantine()
-		m.Learn(runs, now)
+		m, q := policy.NewFrequentRuns(), policy.NewQuarantine()
+		m.Merge(runs, now)
 		q.Record(crashes, now)
 		for _, x := range runs {
-			if m.At(x.Fingerprint, now).After(now) {
+			if m.LastRunAt(x.Fingerprint, now).After(now) {
 				t.Errorf("a run is ahead: got %v, want at most %v", x.At, now)
 			}
 		}
 		for _, c := range crashes {
-			if c.At.After(now) || c.SeenAt.After(now) {
-				t.Errorf("a crash is ahead: got %v, %v, want at most %v", c.At, c.SeenAt, now)
+			if c.At.After(now) || c.LastReturnAt.After(now) {
+				t.Errorf("a crash is ahead: got %v, %v, want at most %v", c.At, c.LastReturnAt, now)
 			}
 		}
-		if l := q.Held(quarantinedMost, now); len(decodeRow[crashEntry](encodeRow(k.crashEntries(l)))) != len(l) {
+		if l := q.QuarantinedCrashes(quarantinedMost, now); len(decodeRow[crashEntry](encodeRow(k.crashEntries(l)))) != len(l) {
 			t.Errorf("read back: want %d crashes", len(l))
 		}
-		if l := m.Most(runsMost, now); len(decodeRow[runEntry](encodeRow(k.runEntries(l)))) != len(l) {
+		if l := m.Top(runsMost, now); len(decodeRow[runEntry](encodeRow(k.runEntries(l)))) != len(l) {
 			t.Errorf("read back: want %d runs", len(l))
 		}
 	})
--- a/leaving.go
+++ b/leaving.go
@@ -11,7 +11,7 @@
 func (b *Box) learn(l *policy.Load) {
 	b.reserved.Learn(l)
 	if l != nil && l.Leaving {
-		b.noteLeaving(l.Upstream, l.Born, "its owner")
+		b.noteLeaving(l.Upstream, l.StartedAtMS, "its owner")
 	}
 }
 
--- a/quarantinedrow.go
+++ b/quarantinedrow.go
@@ -50,7 +50,7 @@
 // writeQuarantined writes the row if the quarantine has changed.
 func (b *Box) writeQuarantined(ctx context.Context) {
 	k, now := b.keeper, time.Now()
-	l := b.relay.Quarantine().Held(quarantinedMost, now)
+	l := b.relay.Quarantine().QuarantinedCrashes(quarantinedMost, now)
 	digest := policy.DigestOf(l)
 	revision, due := k.quarantinedDue(digest, now)
 	if !due {
@@ -66,7 +66,7 @@
 	l := []crashEntry{}
 	for i := range crashes {
 		c := &crashes[i]
-		l = append(l, crashEntry{AtMS: k.storeMS(c.At), Born: c.Born, SeenAtMS: k.storeMS(c.LastAt()), Suspects: c.Suspects, Upstream: c.Upstream})
+		l = append(l, crashEntry{AtMS: k.storeMS(c.At), Born: c.StartedAtMS, SeenAtMS: k.storeMS(c.LastActivity()), Suspects: c.Suspects, Upstream: c.Upstream})
 	}
 	return l
 }
@@ -77,7 +77,7 @@
 	for _, x := range decodeRow[crashEntry](value) {
 		at, _ := k.local(x.AtMS)
 		seenAt, _ := k.local(x.SeenAtMS)
-		l = append(l, policy.Crash{At: at, Born: x.Born, SeenAt: seenAt, Suspects: x.Suspects, Upstream: x.Upstream})
+		l = append(l, policy.Crash{At: at, StartedAtMS: x.Born, LastReturnAt: seenAt, Suspects: x.Suspects, Upstream: x.Upstream})
 	}
 	return l
 }
--- a/runsrow.go
+++ b/runsrow.go
@@ -42,7 +42,7 @@
 func (b *Box) learnRuns(r *table.Row, hall string) {
 	k := b.keeper
 	l := k.decodeRuns(r.Value)
-	b.relay.Frequent().Learn(l, time.Now())
+	b.relay.Frequent().Merge(l, time.Now())
 	if hall == b.settings.Hall {
 		k.setRunsWritten(r.Revision, l)
 	}
@@ -65,18 +65,18 @@
 
 // decodeRuns returns the runs of a row. It leaves out those of a time to come: the store's clock was reset
 // since they were written, so that their age is unknown.
-func (k *keeper) decodeRuns(value json.RawMessage) []policy.ServedRun {
-	var l []policy.ServedRun
+func (k *keeper) decodeRuns(value json.RawMessage) []policy.CompletedRun {
+	var l []policy.CompletedRun
 	for _, x := range decodeRow[runEntry](value) {
 		if at, past := k.local(x.AtMS); past {
-			l = append(l, policy.ServedRun{At: at, Fingerprint: x.Fingerprint, Times: x.Times})
+			l = append(l, policy.CompletedRun{At: at, Fingerprint: x.Fingerprint, Times: x.Times})
 		}
 	}
 	return l
 }
 
 // runEntries returns runs as the row has them.
-func (k *keeper) runEntries(runs []policy.ServedRun) []runEntry {
+func (k *keeper) runEntries(runs []policy.CompletedRun) []runEntry {
 	var l []runEntry
 	for _, x := range runs {
 		l = append(l, runEntry{AtMS: k.storeMS(x.At), Fingerprint: x.Fingerprint, Times: x.Times})
@@ -85,7 +85,7 @@
 }
 
 // runsDue returns the runs to write now, if any, and the row's revision.
-func (k *keeper) runsDue(f *policy.Frequent, leaving bool, now time.Time) ([]policy.ServedRun, int64) {
+func (k *keeper) runsDue(f *policy.FrequentRuns, leaving bool, now time.Time) ([]policy.CompletedRun, int64) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	r := &k.runs
@@ -93,8 +93,8 @@
 		return nil, 0
 	}
 	r.checkedAt = now
-	l := f.Most(runsMost, now)
-	unwritten := func(x policy.ServedRun) bool { return x.Times >= runsFrequent && !r.written[x.Fingerprint] }
+	l := f.Top(runsMost, now)
+	unwritten := func(x policy.CompletedRun) bool { return x.Times >= runsFrequent && !r.written[x.Fingerprint] }
 	due := leaving || now.Sub(r.triedAt) >= runsWriteEvery || slices.ContainsFunc(l, unwritten)
 	if !due || len(l) == 0 {
 		return nil, 0
@@ -111,7 +111,7 @@
 }
 
 // setRunsWritten records what the row holds.
-func (k *keeper) setRunsWritten(revision int64, l []policy.ServedRun) {
+func (k *keeper) setRunsWritten(revision int64, l []policy.CompletedRun) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	r := &k.runs
