--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -7,18 +7,7 @@
 	"time"
 )
 
-// orderTime returns the time by which work that arrives now is ordered
-// within its class. Cheap work goes oldest first. Of costly work the newest goes
-// first, so that under overload most of it starts at once and some of it waits,
-// until it is urgent, in place of all of it waiting long.
-func (o *Owner) orderTime(cost float64, now time.Time) int64 {
-	if cost > o.tune.NewestFirstCost {
-		return -now.UnixNano()
-	}
-	return now.UnixNano()
-}
-
-// closedReason returns why the upstream gets no new work, or "".
+// closedReason returns why the upstream accepts no new work, or "" where it does.
 func (o *Owner) closedReason() Reason {
 	switch {
 	case o.Evacuated:
@@ -29,14 +18,52 @@
 	return ""
 }
 
-// cost returns the seconds of the engine's time that a generation takes up:
-// its share of the memory or of the batch, whichever is the scarcer.
+// cost returns the engine time, in seconds, that a generation takes up: its share of the KV
+// memory or of the batch slots, whichever is larger, over all its steps.
 func (o *Owner) cost(e *estimate) float64 {
 	steps := max(e.tokenSteps/(usableShare*float64(o.capacity.KVTokens)), e.tokens/float64(o.capacity.MaxBatch))
 	return steps * o.stepSeconds()
 }
 
-// newEntry returns w with its cost and its place in the order.
+// demoteLate requeues work that has missed its target behind all work that can still meet its own.
+func (o *Owner) demoteLate(e *entry) {
+	o.queue.remove(e.work.ID)
+	e.order.large, e.order.late, e.order.urgent = false, true, false
+	o.queue.insert(e)
+}
+
+// fits reports whether e may start now.
+func (o *Owner) fits(e *entry, now time.Time) bool {
+	return o.shortage(e, now) == ""
+}
+
+// fitsMemory reports whether e fits into the KV memory, now and as forecast, with the reserve
+// that is kept free of costly work.
+func (o *Owner) fitsMemory(e *entry, now time.Time) bool {
+	o.refreshForecast(now)
+	o.decayZ(now)
+	c := float64(o.capacity.KVTokens)
+	used := float64(o.usedTokens+o.unaccountedTokens+e.work.Prompt) + float64(len(o.running))
+	reserve := o.tune.CostReserve * e.cost / (e.cost + o.tune.ReserveHalfCost)
+	if e.order.urgent {
+		reserve *= urgentReserveFactor
+	}
+	c *= 1 - reserve
+	return used <= o.tune.MaxUsedShare*c && o.peak(&e.estimate.forecast) <= c
+}
+
+// hasOnTimeWork reports whether work is queued that can still meet its target. Work that misses
+// its target while such work is queued would be overtaken by it and by all later arrivals, so it
+// is refused: it can then try another upstream, or its caller learns at once when to retry. Work
+// that had missed its target before it arrived here has already tried other upstreams, so it
+// stays queued for capacity that nothing else needs.
+func (o *Owner) hasOnTimeWork() bool {
+	f := o.queue.first()
+	return f != nil && !f.order.late
+}
+
+// newEntry returns the queue entry for w, with its estimated cost, its start deadlines and its
+// rank, and charges its workspace.
 func (o *Owner) newEntry(w *Work, now time.Time) *entry {
 	e := &entry{key: KeyOf(w), work: w}
 	e.estimate = o.lengths.estimate(e.key, w.Prompt, w.MaxTokens)
@@ -65,69 +92,36 @@
 	return e
 }
 
-// fits reports whether e may start now.
-func (o *Owner) fits(e *entry, now time.Time) bool {
-	return o.shortage(e, now) == ""
-}
-
-// prefersLarge reports whether w goes before what is not as large while it can be in time,
-// whatever its route: nothing starts past it then, so that the room it needs comes together.
-// Otherwise each gap is taken by the first that fits in it, and the chance of a place falls
-// with the size: under a crowd the largest tenth of short answers was served a quarter as
-// often as all, with it four fifths as often, by TestLargePromptsAreServedUnderACrowd.
-func prefersLarge(w *Work) bool {
-	return w.Large && !w.Moved && !w.TargetAt.IsZero()
-}
-
-// fitsMemory reports whether the memory has room for e.
-func (o *Owner) fitsMemory(e *entry, now time.Time) bool {
-	o.refreshForecast(now)
-	o.decayZ(now)
-	c := float64(o.capacity.KVTokens)
-	used := float64(o.usedTokens+o.unaccountedTokens+e.work.Prompt) + float64(len(o.running))
-	reserve := o.tune.CostReserve * e.cost / (e.cost + o.tune.ReserveHalfCost)
-	if e.order.urgent {
-		reserve *= urgentReserveFactor
+// orderTime returns the time that ranks work arriving now within its cost class. Cheap work runs
+// oldest first. Costly work runs newest first: under overload most of it then starts at once and
+// the rest waits until it becomes urgent, where oldest first would make all of it wait long.
+func (o *Owner) orderTime(cost float64, now time.Time) int64 {
+	if cost > o.tune.NewestFirstCost {
+		return -now.UnixNano()
 	}
-	c *= 1 - reserve
-	return used <= o.tune.MaxUsedShare*c && o.peak(&e.estimate.forecast) <= c
+	return now.UnixNano()
 }
 
-// peak returns the predicted peak of memory in use with g added, in tokens.
+// peak returns the predicted peak of KV memory in use with g added, in tokens.
 func (o *Owner) peak(g *forecast) float64 {
 	return o.forecast.peak(g, float64(o.usedTokens), o.z) + float64(o.unaccountedTokens)
 }
 
-// hasOnTimeWork reports whether work waits that can still be in time. What becomes late beside
-// it would go behind it, and behind each that comes after, so that it is better refused: it
-// then looks elsewhere, or its caller hears at once when to come back. What was late as it
-// came, since it has looked elsewhere before, waits for what nobody else wants.
-func (o *Owner) hasOnTimeWork() bool {
-	f := o.queue.first()
-	return f != nil && !f.order.late
+// prefillLimitReached reports whether so many prompt tokens are being prefilled that the first
+// token of e would be late. A single prompt is always let through.
+func (o *Owner) prefillLimitReached(e *entry) bool {
+	n := prefillTokens(e.work)
+	return n > 0 && o.capacity.MaxPrefillTokens > 0 && o.prefilling > 0 && o.prefilling+n > o.capacity.MaxPrefillTokens
 }
 
-// promoteUrgent moves urgent work ahead in the queue.
+// promoteUrgent requeues urgent work ahead of its cost class, ordered by its latest start.
 func (o *Owner) promoteUrgent(e *entry) {
 	o.queue.remove(e.work.ID)
 	e.order = order{class: max(0, e.order.class-urgentClassBoost), large: e.order.large, sequence: e.order.sequence, priority: e.order.priority, route: e.order.route, time: e.latestStart.UnixNano(), urgent: true}
 	o.queue.insert(e)
 }
 
-// demoteLate moves work that comes late behind what can still be in time.
-func (o *Owner) demoteLate(e *entry) {
-	o.queue.remove(e.work.ID)
-	e.order.large, e.order.late, e.order.urgent = false, true, false
-	o.queue.insert(e)
-}
-
-// prefillLimitReached reports whether so many prompts are being read that e's would come late.
-func (o *Owner) prefillLimitReached(e *entry) bool {
-	n := prefillTokens(e.work)
-	return n > 0 && o.capacity.MaxPrefillTokens > 0 && o.prefilling > 0 && o.prefilling+n > o.capacity.MaxPrefillTokens
-}
-
-// refusal returns a refusal where e can not be taken in.
+// refusal returns a refusal if e can not be queued, or else an Answer without a verdict.
 func (o *Owner) refusal(e *entry, now time.Time) Answer {
 	no := func(r Reason, at time.Time) Answer {
 		return Answer{ID: e.work.ID, Reason: r, RetryAt: at, Verdict: VerdictRefuse}
@@ -148,7 +142,7 @@
 	return Answer{}
 }
 
-// refuseQueued takes waiting work out of the queue and returns its refusal.
+// refuseQueued removes e from the queue and returns its refusal.
 func (o *Owner) refuseQueued(e *entry, now time.Time) Answer {
 	a := Answer{ID: e.work.ID, Reason: ReasonDeadline, ShortOf: o.shortage(e, now), Verdict: VerdictRefuse}
 	if o.queue.first() != e {
@@ -186,23 +180,9 @@
 	return ""
 }
 
-// LatestStart returns when work has to start so that its caller, who goes unless its first
-// token has come, is still there for it; zero where it need not.
-func LatestStart(w *Work) time.Time {
-	if w.FirstBy.IsZero() || w.Moved {
-		return time.Time{}
-	}
-	return w.FirstBy.Add(-prefillDuration(w))
-}
-
-// prefillDuration returns how long an engine reads the prompt of w.
-func prefillDuration(w *Work) time.Duration {
-	return seconds(prefillSecondsPerToken * float64(prefillTokens(w)))
-}
-
-// startLimitReached reports whether so many generations were started within the last second that
-// an engine which is cold would bear no more. Engines become cold at any moment and tell it
-// late, so that the bound always holds: warm ones read prompts for longer than it takes.
+// startLimitReached reports whether as many generations have started within the last second as a
+// cold engine can handle. The limit applies to warm engines, too, because an engine may become
+// cold at any time and reports it late; prefill limits warm engines more than this does.
 func (o *Owner) startLimitReached(now time.Time) bool {
 	if o.capacity.MaxStartsPerSecond <= 0 {
 		return false
@@ -211,8 +191,9 @@
 	return float64(len(o.recentStarts)+1) > o.capacity.MaxStartsPerSecond
 }
 
-// sweep refuses, now and not later, waiting work whose deadline can no longer be met, in
-// the order in which it arrived, puts first what is urgent, and last what comes late.
+// sweep walks the queue at most once every sweepInterval. It refuses work that can no longer meet
+// its deadline, in order of arrival, so that callers learn it early. It promotes urgent work, and
+// demotes work that missed its target, or refuses that, too, if work on time is queued.
 func (o *Owner) sweep(now time.Time) []Answer {
 	if now.Sub(o.lastSweep) < sweepInterval {
 		return nil
@@ -246,13 +227,36 @@
 	return l
 }
 
-// becameUrgent reports whether waiting work has become urgent.
+// becameLate reports whether e has only now missed its target: started now, its first token would
+// come too late.
+func (e *entry) becameLate(now time.Time) bool {
+	return !e.order.late && !e.targetStart.IsZero() && now.After(e.targetStart)
+}
+
+// becameUrgent reports whether e has only now become urgent.
 func (e *entry) becameUrgent(now time.Time) bool {
 	return !e.order.late && !e.order.urgent && now.After(e.urgentAt)
 }
 
-// becameLate reports whether waiting work has become late: its first token can no longer come
-// by its target.
-func (e *entry) becameLate(now time.Time) bool {
-	return !e.order.late && !e.targetStart.IsZero() && now.After(e.targetStart)
+// LatestStart returns when w must start for its first token to come before its caller gives up,
+// or the zero time if there is no such limit.
+func LatestStart(w *Work) time.Time {
+	if w.FirstBy.IsZero() || w.Moved {
+		return time.Time{}
+	}
+	return w.FirstBy.Add(-prefillDuration(w))
+}
+
+// prefersLarge reports whether w ranks ahead of work that is not large, whatever its route, for
+// as long as it can meet its target. Nothing starts past it then, so that enough memory can become
+// free for it. Otherwise the first work that fits takes each gap, and the chance to start falls
+// with the size: in TestLargePromptsAreServedUnderACrowd, the largest tenth of short answers was
+// served a quarter as often as the average without this rule, and four fifths as often with it.
+func prefersLarge(w *Work) bool {
+	return w.Large && !w.Moved && !w.TargetAt.IsZero()
+}
+
+// prefillDuration returns how long an engine takes to prefill the prompt of w under load.
+func prefillDuration(w *Work) time.Duration {
+	return seconds(prefillSecondsPerToken * float64(prefillTokens(w)))
 }
--- a/internal/policy/cold_test.go
+++ b/internal/policy/cold_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestColdShareIsKeptByAllBoxes sums what boxes may send to a cold upstream, from one box to
-// 300, before one that bears 42 requests a second and one that bears 5.
+// TestColdShareIsKeptByAllBoxes checks for 1 to 300 boxes that their shares of a cold upstream add up to
+// at least one request a second and at most the upstream's capacity, of 5 or 42.5 a second.
 func TestColdShareIsKeptByAllBoxes(t *testing.T) {
 	for _, bears := range []float64{5, 42.5} {
 		for n := 1; n <= 300; n++ {
@@ -26,9 +26,9 @@
 	}
 }
 
-// TestOwnerBoundsStarts has a crowd of short generations, 200 in a second, each over at
-// once, come to an engine that bears ten a second while it is cold: in no second more start,
-// those that wait and those that run already elsewhere counted, and all start in the end.
+// TestOwnerBoundsStarts sends 200 short generations within a second to an engine that handles ten
+// starts a second while it is cold. Each ends at once. Within no second may more start, counting those
+// from the queue and those registered as running already, and all must start in the end.
 func TestOwnerBoundsStarts(t *testing.T) {
 	o := NewOwner("u", Capacity{KVTokens: 100_000, MaxBatch: 64, MaxStartsPerSecond: 10}, NewLengths(), testStart)
 	o.SetReport(Report{AsOf: testStart, StepSeconds: 0.02}, testStart)
@@ -68,7 +68,7 @@
 				n++
 			}
 		}
-		if n > 11 { // ten, and the one that the owner was told of
+		if n > 11 { // ten, and the registered one
 			t.Fatalf("starts in the second from %v on: got %d, want at most 11", starts[i].Sub(testStart), n)
 		}
 	}
--- a/internal/policy/served.go
+++ b/internal/policy/completedruns.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// CompletedRuns remembers which requests lately ran to their ends at this box: one that did is hardly the
-// cause of a crash. It is safe for concurrent use.
+// CompletedRuns records which requests recently ran to completion at this box. Such a request is
+// unlikely to be the cause of a crash. It is safe for concurrent use.
 type CompletedRuns struct {
 	mutex sync.Mutex
-	// A full generation replaces the one before, so that memory stays bounded without an order of
-	// all entries.
+	// When current is full, it replaces previous. This bounds the memory without a list of
+	// entries in order of use.
 	previous, current map[Fingerprint]runStats
 	unreported        map[Fingerprint]runStats // since the last report
 }
 
-// runStats is how often a request ran to its end, and when it last did.
+// runStats is how often a request ran to completion, and when it last did.
 type runStats struct {
 	lastAt time.Time
 	times  int
 }
 
-// CompletedRun is a request that ran to its end: how often it did, and when it last did.
+// CompletedRun is a request that ran to completion: how often it did, and when it last did.
 type CompletedRun struct {
 	At          time.Time   `cbor:"1,keyasint"`
 	Fingerprint Fingerprint `cbor:"2,keyasint"`
@@ -30,21 +30,23 @@
 }
 
 const (
-	// maxRunsPerSet bounds each of the two generations, of some 50 B an entry.
+	// maxRunsPerSet bounds each of current and previous; an entry takes about 50 bytes.
 	maxRunsPerSet = 4096
-	// completedRunTTL is how long a run that ended well speaks for a request: what crashes an upstream
-	// may have come with a new version of it.
+	// completedRunTTL is how long a completed run counts as evidence that a request is harmless.
+	// It is short because a new version of the upstream may crash on the same request.
 	completedRunTTL = 10 * time.Minute
-	// maxUnreported bounds the requests of which some go into the next report.
+	// maxUnreported bounds the requests that are kept for the next report, which contains the
+	// most frequent of them.
 	maxUnreported = 1024
 )
 
-// NewCompletedRuns returns a memory of no request.
+// NewCompletedRuns returns an empty record.
 func NewCompletedRuns() *CompletedRuns {
 	return &CompletedRuns{current: make(map[Fingerprint]runStats), unreported: make(map[Fingerprint]runStats)}
 }
 
-// LastRunAt returns when a request last ran to its end, the zero time where that is not known or long ago.
+// LastRunAt returns when a request last ran to completion, or the zero time if that is unknown or
+// more than completedRunTTL ago.
 func (c *CompletedRuns) LastRunAt(p Fingerprint, now time.Time) time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -55,7 +57,7 @@
 	return t
 }
 
-// Record records that a request ran to its end.
+// Record records that a request ran to completion.
 func (c *CompletedRuns) Record(p Fingerprint, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -67,8 +69,17 @@
 	c.addUnreported(p, runStats{now, 1})
 }
 
-// TakeReport returns up to so many requests that ran to their ends since the last report, the most
-// frequent ones first. The others are left out: what runs often is in one of the next reports.
+// RestoreReport adds back a report that could not be delivered.
+func (c *CompletedRuns) RestoreReport(l []CompletedRun) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	for _, x := range l {
+		c.addUnreported(x.Fingerprint, runStats{x.At, x.Times})
+	}
+}
+
+// TakeReport returns up to count requests that ran to completion since the last report, the most
+// frequent first, and drops the rest: a request that runs often will be in one of the next reports.
 func (c *CompletedRuns) TakeReport(count int) []CompletedRun {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -81,16 +92,7 @@
 	return l[:min(count, len(l))]
 }
 
-// RestoreReport puts back a report that did not arrive.
-func (c *CompletedRuns) RestoreReport(l []CompletedRun) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	for _, x := range l {
-		c.addUnreported(x.Fingerprint, runStats{x.At, x.Times})
-	}
-}
-
-// addUnreported records runs that are not reported yet; the lock is held.
+// addUnreported adds runs to the next report; the lock is held.
 func (c *CompletedRuns) addUnreported(p Fingerprint, x runStats) {
 	old, known := c.unreported[p]
 	if !known && len(c.unreported) >= maxUnreported {
@@ -102,7 +104,7 @@
 	c.unreported[p] = runStats{x.lastAt, old.times + x.times}
 }
 
-// statsOf returns what is remembered of a request; the lock is held.
+// statsOf returns what is recorded of a request; the lock is held.
 func (c *CompletedRuns) statsOf(p Fingerprint) runStats {
 	if x, ok := c.current[p]; ok {
 		return x
--- a/internal/policy/crash.go
+++ b/internal/policy/crash.go
@@ -8,30 +8,30 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Crash is the crash of one start of an upstream, with the requests that ran there, as boxes
-// announce it to one another.
+// Crash is the crash of one incarnation of an upstream, from its start to its end, with the
+// requests that were running there. Boxes announce crashes to each other.
 type Crash struct {
 	At           time.Time `cbor:"1,keyasint"`           // when the first box noticed it
-	StartedAtMS  int64     `cbor:"2,keyasint,omitempty"` // when the upstream had started, in Unix milliseconds; 0 where that is not told
-	LastReturnAt time.Time `cbor:"5,keyasint,omitzero"`  // when a quarantined suspect last returned, within some time
+	StartedAtMS  int64     `cbor:"2,keyasint,omitempty"` // when that incarnation started, in Unix milliseconds; 0 if unknown
+	LastReturnAt time.Time `cbor:"5,keyasint,omitzero"`  // when a quarantined suspect was last sent again; it may lag by renewInterval
 	Suspects     []Suspect `cbor:"3,keyasint,omitempty"`
 	Upstream     string    `cbor:"4,keyasint"`
 }
 
-// Suspect is a request that ran at an upstream as it crashed. Most are innocent, as an upstream
-// runs many at once.
+// Suspect is a request that was running at an upstream when it crashed. Most suspects are innocent,
+// as an upstream runs many requests at once.
 type Suspect struct {
-	Cleared     bool        `cbor:"1,keyasint,omitempty"` // another run of it got further
-	Events      int         `cbor:"2,keyasint,omitempty"` // of its stream that had been passed on
+	Cleared     bool        `cbor:"1,keyasint,omitempty"` // another run of it got further than the one that crashed
+	Events      int         `cbor:"2,keyasint,omitempty"` // events of its stream that had been passed on
 	Fingerprint Fingerprint `cbor:"3,keyasint"`
-	Trials      int         `cbor:"4,keyasint,omitempty"` // runs that were let through since it is quarantined
+	Trials      int         `cbor:"4,keyasint,omitempty"` // how often it was let through since it was quarantined
 }
 
-// sameStartWithin is how far apart two reports of one crash may be, of an upstream that does not
-// tell when it started.
+// sameStartWithin is the maximum time between two reports of the same crash of an upstream that
+// does not report its start time.
 const sameStartWithin = 2 * time.Second
 
-// DigestOf returns a hash of crashes, their suspects and when those last returned; 0 for no crashes.
+// DigestOf returns a hash of crashes, their suspects and their last activity; 0 for no crashes.
 func DigestOf(l []Crash) uint64 {
 	var sum uint64
 	for i := range l {
@@ -46,7 +46,7 @@
 	return slices.ContainsFunc(c.Suspects, func(s Suspect) bool { return !s.Cleared })
 }
 
-// hash returns a hash of the crash and its suspects; 0 where it has none.
+// hash returns a hash of the crash and its suspects; 0 without suspects.
 func (c *Crash) hash() uint64 {
 	var sum uint64
 	for i := range c.Suspects {
@@ -65,7 +65,8 @@
 	return sum
 }
 
-// LastActivity returns when the crash was last of importance to a quarantined suspect.
+// LastActivity returns when the crash last mattered: when it was noticed, or when a quarantined
+// suspect was last sent again.
 func (c *Crash) LastActivity() time.Time {
 	if c.LastReturnAt.After(c.At) {
 		return c.LastReturnAt
@@ -73,7 +74,7 @@
 	return c.At
 }
 
-// sameStart reports whether two crashes are of the same start of an upstream.
+// sameStart reports whether two crashes ended the same incarnation of an upstream.
 func (c *Crash) sameStart(d *Crash) bool {
 	if c.Upstream != d.Upstream || c.StartedAtMS != d.StartedAtMS {
 		return false
@@ -81,7 +82,7 @@
 	return c.StartedAtMS != 0 || c.At.Sub(d.At).Abs() < sameStartWithin
 }
 
-// suspect returns what is known of a request at the crash, or nil.
+// suspect returns the suspect with fingerprint p, or nil.
 func (c *Crash) suspect(p Fingerprint) *Suspect {
 	i := slices.IndexFunc(c.Suspects, func(s Suspect) bool { return s.Fingerprint == p })
 	if i < 0 {
@@ -90,7 +91,7 @@
 	return &c.Suspects[i]
 }
 
-// merge adds what another box knows of the same suspect, and reports whether that is news.
+// merge adds what another box knows about the same suspect, and reports whether anything changed.
 func (s *Suspect) merge(t *Suspect) bool {
 	old := *s
 	s.Cleared = s.Cleared || t.Cleared
--- a/internal/policy/evacuation.go
+++ b/internal/policy/evacuation.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// shortestNotice is the shortest notice that engines were seen to give: 1.5 s.
+// shortestNotice is the shortest time observed between an engine's notice that it is leaving and
+// its end.
 const shortestNotice = 1500 * time.Millisecond
 
-// CompareRuns orders runs that are to be moved away from an engine that is
-// leaving: the more urgent first; then those that will not end by themselves
-// within a notice; of these the smaller first, since more of them get away before
-// the engine goes; of the others those with most left first.
+// CompareRuns orders the runs to be moved away from an engine that is leaving. Higher priorities
+// go first. Then come runs that will not complete within the notice, the smaller ones first because
+// more of them can be moved before the engine ends, and after them the other runs, those with
+// the most output left first. The duration of a decoding step is step.
 func CompareRuns(a, b *Run, step time.Duration) int {
 	outlastsNotice := func(r *Run) bool { return time.Duration(r.Left)*step > shortestNotice }
 	if c := cmp.Compare(b.Priority, a.Priority); c != 0 {
--- a/internal/policy/fingerprint.go
+++ b/internal/policy/fingerprint.go
@@ -2,10 +2,10 @@
 
 import "strconv"
 
-// Fingerprint stands for what a request asks for: a caller's repeats have the same one.
+// Fingerprint is a hash of the content of a request; a caller's retries of a request have the same one.
 type Fingerprint uint64
 
-// String returns the fingerprint as logs show it.
+// String returns the fingerprint in hexadecimal, as logs show it.
 func (p Fingerprint) String() string {
 	return strconv.FormatUint(uint64(p), 16)
 }
--- a/internal/policy/forecast.go
+++ b/internal/policy/forecast.go
@@ -2,25 +2,25 @@
 
 import "math"
 
-// horizons are the times ahead, in tokens, at which memory is forecast. All
-// generations of a batch grow by one token a step, so one grid serves them all.
+// horizons are the steps ahead, in tokens, for which memory is forecast. Every generation of a
+// batch grows by one token a step, so all of them share the same horizons.
 var horizons = [...]int{1, 32, 64, 128, 256, 512, 1024, 2048, 4096, 8192}
 
-// forecast is the memory that generations will hold at each horizon, in
-// tokens: its mean and its variance.
+// forecast is the KV memory that generations will hold at each horizon, in tokens: its mean and
+// its variance.
 type forecast struct {
 	mean     [len(horizons)]float64
 	variance [len(horizons)]float64
 }
 
-// estimate is what is expected of one generation that has not started.
+// estimate describes the expected course of a generation that has not started.
 type estimate struct {
-	tokenSteps float64 // memory held times steps, in tokens times steps
+	tokenSteps float64 // KV memory held, summed over all steps, in tokens times steps
 	forecast   forecast
 	tokens     float64 // output tokens
 }
 
-// add adds g to f, or takes it away where sign is -1.
+// add adds g to f, or subtracts it if sign is -1.
 func (f *forecast) add(g *forecast, sign float64) {
 	for i := range f.mean {
 		f.mean[i] += sign * g.mean[i]
@@ -28,8 +28,8 @@
 	}
 }
 
-// peak returns the largest mean plus z standard deviations over all horizons,
-// with g added, and never less than now.
+// peak returns the maximum over all horizons of the mean plus z standard deviations, with g added;
+// it is at least now.
 func (f *forecast) peak(g *forecast, now, z float64) float64 {
 	p := now
 	for i := range f.mean {
@@ -39,14 +39,15 @@
 	return p
 }
 
-// Forecast returns the memory held in future by a generation that is at token age.
+// forecast returns the forecast of a generation that has produced age tokens and ends at limit
+// tokens at the latest.
 func (l *Lengths) forecast(k Key, prompt, age, limit int) forecast {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return forecastOf(l.curve(k), prompt, age, limit)
 }
 
-// estimate returns what is expected of a generation that has not started.
+// estimate returns the estimate of a generation that ends at limit tokens at the latest.
 func (l *Lengths) estimate(k Key, prompt, limit int) estimate {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -62,8 +63,8 @@
 	return e
 }
 
-// Remaining returns how many output tokens are expected still to come of a generation
-// that is at token age and ends at limit at the latest.
+// Remaining returns the expected number of further output tokens of a generation that has produced
+// age tokens and ends at limit tokens at the latest.
 func (l *Lengths) Remaining(k Key, age, limit int) float64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -78,6 +79,7 @@
 	return left
 }
 
+// forecastOf forecasts the memory of a generation with output lengths distributed as in h.
 func forecastOf(h *hazard, prompt, age, limit int) forecast {
 	var f forecast
 	base := h.integral(age)
--- a/internal/policy/frequent.go
+++ b/internal/policy/frequentruns.go
@@ -8,24 +8,26 @@
 	"time"
 )
 
-// FrequentRuns remembers which requests lately ran to their ends at any box, and prefers those that did so
-// most often: they are the likeliest to run at an upstream as it crashes. It is safe for concurrent use.
+// FrequentRuns records which requests recently ran to completion at any box. If there are too many,
+// it keeps the most frequent ones, as these are the most likely to be running at an upstream that
+// crashes. It is safe for concurrent use.
 type FrequentRuns struct {
 	mutex sync.Mutex
 	runs  map[Fingerprint]runStats
-	// usedForCrashAt is the time of the last crash that a run cleared its request of. A run clears of one crash only.
+	// usedForCrashAt is the time of the last crash of which a request was cleared because of a run.
+	// Each run clears its request of one crash only.
 	usedForCrashAt map[Fingerprint]time.Time
 }
 
-// maxFrequentRuns bounds the requests that are remembered, of some 60 B each.
+// maxFrequentRuns bounds the requests that are recorded; each takes about 60 bytes.
 const maxFrequentRuns = 16_384
 
-// NewFrequentRuns returns a memory of no request.
+// NewFrequentRuns returns an empty record.
 func NewFrequentRuns() *FrequentRuns {
 	return &FrequentRuns{runs: make(map[Fingerprint]runStats), usedForCrashAt: make(map[Fingerprint]time.Time)}
 }
 
-// Add records runs since the last report of the same box.
+// Add adds the runs of one box since its last report.
 func (f *FrequentRuns) Add(l []CompletedRun, now time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -34,8 +36,8 @@
 	}
 }
 
-// LastRunAt returns when a request last ran to its end, the zero time where that is not known, long ago, or
-// was used already.
+// LastRunAt returns when a request last ran to completion, or the zero time if that is unknown, more
+// than completedRunTTL ago, or not after the last crash of which it was cleared.
 func (f *FrequentRuns) LastRunAt(p Fingerprint, now time.Time) time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -46,43 +48,43 @@
 	return x.lastAt
 }
 
-// Merge merges what another Frequent knows, of which some may be known already.
-func (f *FrequentRuns) Merge(l []CompletedRun, now time.Time) {
+// MarkUsed records that a request was cleared of the crash at crashedAt because of an earlier run.
+func (f *FrequentRuns) MarkUsed(p Fingerprint, crashedAt, now time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	for _, x := range l {
-		f.set(x.Fingerprint, runStats{x.At, max(f.runs[x.Fingerprint].times, x.Times)}, now)
+	if len(f.usedForCrashAt) >= maxFrequentRuns {
+		maps.DeleteFunc(f.usedForCrashAt, func(_ Fingerprint, t time.Time) bool { return now.Sub(t) >= completedRunTTL })
+	}
+	if len(f.usedForCrashAt) < maxFrequentRuns && crashedAt.After(f.usedForCrashAt[p]) {
+		f.usedForCrashAt[p] = crashedAt
 	}
 }
 
-// Top returns up to so many requests, the most frequent ones first.
-func (f *FrequentRuns) Top(count int, now time.Time) []CompletedRun {
+// Merge adds what another FrequentRuns has recorded. Runs may be in both, so the larger count is kept.
+func (f *FrequentRuns) Merge(l []CompletedRun, now time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	l := f.ranked(now)
-	return l[:min(count, len(l))]
+	for _, x := range l {
+		f.set(x.Fingerprint, runStats{x.At, max(f.runs[x.Fingerprint].times, x.Times)}, now)
+	}
 }
 
-// Size returns how many requests are remembered.
+// Size returns the number of recorded requests.
 func (f *FrequentRuns) Size() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return len(f.runs)
 }
 
-// MarkUsed records that a request was cleared of a crash at a time, by a run before it.
-func (f *FrequentRuns) MarkUsed(p Fingerprint, crashedAt, now time.Time) {
+// Top returns up to count requests, the most frequent first.
+func (f *FrequentRuns) Top(count int, now time.Time) []CompletedRun {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if len(f.usedForCrashAt) >= maxFrequentRuns {
-		maps.DeleteFunc(f.usedForCrashAt, func(_ Fingerprint, t time.Time) bool { return now.Sub(t) >= completedRunTTL })
-	}
-	if len(f.usedForCrashAt) < maxFrequentRuns && crashedAt.After(f.usedForCrashAt[p]) {
-		f.usedForCrashAt[p] = crashedAt
-	}
+	l := f.ranked(now)
+	return l[:min(count, len(l))]
 }
 
-// prune makes room by dropping the less frequent half; the lock is held.
+// prune drops the less frequent half to make room; the lock is held.
 func (f *FrequentRuns) prune(now time.Time) {
 	l := f.ranked(now)
 	clear(f.runs)
@@ -91,7 +93,7 @@
 	}
 }
 
-// ranked returns the requests that ran lately, the most frequent ones first; the lock is held.
+// ranked returns the requests with a usable run, the most frequent first; the lock is held.
 func (f *FrequentRuns) ranked(now time.Time) []CompletedRun {
 	l := make([]CompletedRun, 0, len(f.runs))
 	for p, x := range f.runs {
@@ -103,10 +105,10 @@
 	return l
 }
 
-// set records a request's runs, the last of which may be known to be later; the lock is held.
+// set records the stats of a request, keeping the later of the old and the new time; the lock is held.
 func (f *FrequentRuns) set(p Fingerprint, x runStats, now time.Time) {
 	if x.lastAt.After(now) {
-		x.lastAt = now // by another clock
+		x.lastAt = now // times from other boxes may be ahead of the local clock
 	}
 	old, known := f.runs[p]
 	if old.lastAt.After(x.lastAt) {
@@ -123,7 +125,7 @@
 	return now.Sub(x.lastAt) < completedRunTTL && x.lastAt.After(f.usedForCrashAt[p])
 }
 
-// compareCompletedRuns orders requests by how often and then by how lately they ran.
+// compareCompletedRuns orders requests by decreasing count, then by most recent run.
 func compareCompletedRuns(a, b CompletedRun) int {
 	return cmp.Or(cmp.Compare(b.Times, a.Times), b.At.Compare(a.At), cmp.Compare(a.Fingerprint, b.Fingerprint))
 }
--- a/internal/policy/frequent_test.go
+++ b/internal/policy/frequentruns_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestFrequentPrefersWhatRunsOften checks that requests which run often outlast any number of those that
-// run once, and that old ones go.
+// TestFrequentPrefersWhatRunsOften checks that requests which run often are kept however many others run
+// once, and that runs expire.
 func TestFrequentPrefersWhatRunsOften(t *testing.T) {
 	now, f := time.Now(), NewFrequentRuns()
 	for i := range 100 {
@@ -16,7 +16,7 @@
 		f.Add([]CompletedRun{{now, Fingerprint(1000 + i), 1}}, now)
 	}
 	if got := f.Size(); got > maxFrequentRuns {
-		t.Errorf("remembered: got %d, want at most %d", got, maxFrequentRuns)
+		t.Errorf("recorded requests: got %d, want at most %d", got, maxFrequentRuns)
 	}
 	l := f.Top(100, now)
 	if got, want := len(l), 100; got != want {
@@ -28,18 +28,18 @@
 		}
 	}
 	if got := f.LastRunAt(1, now); !got.Equal(now) {
-		t.Errorf("when it ran: got %v, want %v", got, now)
+		t.Errorf("last run: got %v, want %v", got, now)
 	}
 	later := now.Add(completedRunTTL)
 	if got := f.LastRunAt(1, later); !got.IsZero() {
-		t.Errorf("when it ran, long after: got %v, want the zero time", got)
+		t.Errorf("last run after its TTL: got %v, want the zero time", got)
 	}
 	if got := f.Top(100, later); len(got) != 0 {
-		t.Errorf("most frequent, long after: got %d, want none", len(got))
+		t.Errorf("most frequent after their TTL: got %d, want none", len(got))
 	}
 }
 
-// TestFrequentLearnsAgain checks that what is learned twice counts once.
+// TestFrequentLearnsAgain checks that merging the same runs repeatedly counts them once.
 func TestFrequentLearnsAgain(t *testing.T) {
 	now, f := time.Now(), NewFrequentRuns()
 	f.Add([]CompletedRun{{now, 1, 3}}, now)
@@ -51,8 +51,9 @@
 	}
 }
 
-// TestRunClearsOfOneCrash guards against a request that turns poison and crashes an upstream every few
-// minutes: a run before the first crash cleared it of each, since the crashes before were forgotten.
+// TestRunClearsOfOneCrash guards against a request that becomes poisonous and crashes an upstream every
+// few minutes without ever being quarantined: one run before the first crash used to clear it of every
+// crash, since each earlier crash had expired when the next one came.
 func TestRunClearsOfOneCrash(t *testing.T) {
 	const p, other = Fingerprint(1), Fingerprint(2)
 	now, f, q := time.Now(), NewFrequentRuns(), NewQuarantine()
@@ -85,8 +86,7 @@
 	}
 }
 
-// BenchmarkFrequent measures the cost of adding a report of 32 requests, and of ranking as many requests
-// as are remembered.
+// BenchmarkFrequent measures adding a report of 32 requests, and ranking a full record.
 func BenchmarkFrequent(b *testing.B) {
 	now, f, p := time.Now(), NewFrequentRuns(), Fingerprint(0)
 	report := func() []CompletedRun {
--- a/internal/policy/large_test.go
+++ b/internal/policy/large_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// TestLargeWorkGoesFirstWhileItCanBeInTime asks for work of two routes: what is large goes
-// before both, a higher priority of its workspace before it, and once it is late it goes last.
+// TestLargeWorkGoesFirstWhileItCanBeInTime queues work of two routes. Large work ranks ahead of both
+// routes while it can meet its target, behind work of a higher priority, and last once it is late.
 func TestLargeWorkGoesFirstWhileItCanBeInTime(t *testing.T) {
 	o := newTestOwner()
 	fill(t, o, testStart)
 	ask := func(id string, change func(w *Work)) {
 		w := testWork(id)
 		w.TargetAt, w.Deadline = testStart.Add(2*time.Second), testStart.Add(time.Hour)
-		w.Workspace = id // or its share would decide
+		w.Workspace = id // otherwise the fair share would decide
 		change(w)
 		o.Ask(w, testStart)
 	}
@@ -36,15 +36,15 @@
 	}
 }
 
-// TestNothingStartsPastLargeWork has large work wait for room that small work would fit into:
-// that waits, too, until the room has come together.
+// TestNothingStartsPastLargeWork queues large work that waits for memory. Small work that would fit must
+// wait, too, until enough memory is free for the large work.
 func TestNothingStartsPastLargeWork(t *testing.T) {
 	o := newTestOwner()
 	fill(t, o, testStart)
 	large := testWork("large")
 	large.Large, large.Prompt, large.TargetAt, large.Deadline = true, o.capacity.KVTokens/2, testStart.Add(time.Minute), testStart.Add(time.Hour)
 	if got := o.Ask(large, testStart).Verdict; got != VerdictQueue {
-		t.Fatalf("large work: got %s, want it to wait", got)
+		t.Fatalf("large work: got %s, want it queued", got)
 	}
 	ids := make([]string, 0, len(o.running))
 	for id := range o.running {
@@ -58,7 +58,7 @@
 		small := testWork("small-" + id)
 		small.TargetAt, small.Deadline = testStart.Add(time.Minute), testStart.Add(time.Hour)
 		if v := o.Ask(small, testStart).Verdict; v == VerdictStart && started == "" {
-			t.Fatalf("after %d ends: got a small one started, want the large one first", i+1)
+			t.Fatalf("after %d ended generations: small work started, want the large work first", i+1)
 		}
 		for _, a := range o.Dispatch(testStart) {
 			if started == "" {
@@ -70,6 +70,6 @@
 		}
 	}
 	if started != "large" {
-		t.Errorf("first to start: got %q, want the large one", started)
+		t.Errorf("first to start: got %q, want the large work", started)
 	}
 }
--- a/internal/policy/late_test.go
+++ b/internal/policy/late_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// crowd is a load under which an engine can serve some two thirds of what comes: long
-// streams of 3,000 tokens of prompt and 740 of output, two a second, as where the engines of
-// a hall are gone and the others get their callers. Their targets and their callers'
-// patience are those that operators of such streams declare.
+// crowd is a load of which an engine can serve about two thirds: two long streams a second, with prompts
+// of 3,000 tokens and outputs of 740, as when other engines of a hall have failed and their callers
+// arrive here. The targets and the time until callers give up are those that operators declare for such
+// streams.
 const (
 	crowdInterval        = 500 * time.Millisecond
 	crowdOutput          = 740
@@ -19,13 +19,13 @@
 	crowdTarget          = 1800 * time.Millisecond
 )
 
-// crowdResult tells what became of a crowd.
+// crowdResult is the outcome of a crowd.
 type crowdResult struct {
 	onTime, late, refused int
-	longestRefusedWait    time.Duration // that work waited which was refused
+	longestRefusedWait    time.Duration // longest time in the queue of refused work
 }
 
-// runCrowd plays a crowd of so many streams against an owner.
+// runCrowd simulates an owner under a crowd of n streams, with or without targets.
 func runCrowd(n int, targets bool) crowdResult {
 	l := NewLengths()
 	for range 40 {
@@ -100,35 +100,35 @@
 	return left
 }
 
-// TestLateWorkYieldsUnderACrowd plays a crowd of 200 streams. With targets known more of
-// them are in time than without, and those that are refused hear it sooner.
+// TestLateWorkYieldsUnderACrowd simulates a crowd of 200 streams. With targets, more of them are on time
+// than without, and refusals come sooner.
 func TestLateWorkYieldsUnderACrowd(t *testing.T) {
 	with, without := runCrowd(200, true), runCrowd(200, false)
 	t.Logf("with targets %+v, without %+v", with, without)
 	if 100*with.onTime < 115*without.onTime {
-		t.Errorf("in time: got %d, want at least 15 in 100 more than %d", with.onTime, without.onTime)
+		t.Errorf("on time: got %d, want at least 15 percent more than %d", with.onTime, without.onTime)
 	}
 	if got, most := with.longestRefusedWait, crowdTarget+sweepInterval; got > most {
-		t.Errorf("the longest wait of a refused stream: got %v, want at most %v", got, most)
+		t.Errorf("longest wait of a refused stream: got %v, want at most %v", got, most)
 	}
 	if got, want := with.onTime+with.late+with.refused, 200; got != want {
-		t.Errorf("streams that had an answer: got %d, want %d", got, want)
+		t.Errorf("answered streams: got %d, want %d", got, want)
 	}
 }
 
-// TestLateWorkWaitsWhereNothingElseDoes has one stream wait beyond its target at an engine
-// that is full: nothing else waits, so it goes on waiting, and starts once there is room.
+// TestLateWorkWaitsWhereNothingElseDoes has the only queued stream miss its target at a full engine: it
+// stays queued, and starts once there is room.
 func TestLateWorkWaitsWhereNothingElseDoes(t *testing.T) {
 	o := newTestOwner()
 	fill(t, o, testStart)
 	w := testWork("late")
 	w.TargetAt, w.FirstBy, w.Deadline = testStart.Add(time.Second), testStart.Add(10*time.Second), testStart.Add(time.Minute)
 	if got := o.Ask(w, testStart).Verdict; got != VerdictQueue {
-		t.Fatalf("got %s, want it to wait", got)
+		t.Fatalf("got %s, want it queued", got)
 	}
 	now := testStart.Add(3 * time.Second)
 	if a := o.Dispatch(now); len(a) != 0 {
-		t.Errorf("beyond its target: got %+v, want it to wait on", a)
+		t.Errorf("after its target: got %+v, want it to stay queued", a)
 	}
 	ids := make([]string, 0, len(o.running))
 	for id := range o.running {
@@ -139,12 +139,12 @@
 	}
 	o.SetReport(Report{AsOf: now, StepSeconds: 0.02}, now)
 	if a := o.Dispatch(now.Add(sweepInterval)); len(a) != 1 || a[0].Verdict != VerdictStart {
-		t.Errorf("once there is room: got %+v, want it to start", a)
+		t.Errorf("with room: got %+v, want it to start", a)
 	}
 }
 
-// TestLateWorkThatAsksAgainStaysLate has late work come again to an engine, as it does while
-// it looks around: it goes behind all that can be in time, whichever came first.
+// TestLateWorkThatAsksAgainStaysLate has late work ask an owner again, as it does while it tries several
+// upstreams: it ranks behind all work that can meet its target, whichever came first.
 func TestLateWorkThatAsksAgainStaysLate(t *testing.T) {
 	late := func() *Work {
 		w := testWork("late")
@@ -158,11 +158,11 @@
 	w.TargetAt, w.Deadline = testStart.Add(5*time.Second), testStart.Add(time.Minute)
 	o.Ask(w, testStart)
 	if got := o.queue.first().work.ID; got != "in time" {
-		t.Errorf("goes first: got %s, want what can be in time", got)
+		t.Errorf("first: got %q, want the work that can meet its target", got)
 	}
 	o.Cancel("late", testStart)
 	o.Ask(late(), testStart)
 	if got := o.queue.first().work.ID; got != "in time" {
-		t.Errorf("goes first as the late one asks again: got %s, want what can be in time", got)
+		t.Errorf("first after the late work asked again: got %q, want the work that can meet its target", got)
 	}
 }
--- a/internal/policy/lengths.go
+++ b/internal/policy/lengths.go
@@ -8,52 +8,52 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Lengths learns how long outputs are, as a hazard: the chance that a
-// generation which has reached token t ends there.
+// Lengths learns the distribution of output lengths as a hazard rate: the probability that a
+// generation that has produced t tokens ends there.
 //
-// It counts, for buckets of t, the tokens generated (running generations
-// included, so that the long ones which have not ended yet are not forgotten)
-// and the ends. Counts are kept for a model, for a model and kind, and for a
-// workspace, model and kind; a thin one leans on the one above it. Old counts
-// fade, so that it follows drift. It is safe for concurrent use.
+// For buckets of t it counts the generated tokens and the generations that ended. Tokens of running
+// generations count, too; without them, long generations that have not ended yet would be missed
+// and estimates would be too short. Counts are kept per model, per model and kind, and per
+// workspace, model and kind; keys with few observations use the next coarser key as their prior.
+// Old counts decay, so that estimates follow drift. It is safe for concurrent use.
 type Lengths struct {
 	mutex    sync.Mutex
-	recent   map[uint64]*hazard // keys seen lately
-	previous map[uint64]*hazard // keys of the time before, dropped at the next turn
-	maxKeys  int                // keys in young
+	recent   map[uint64]*hazard // keys used since the last rotation
+	previous map[uint64]*hazard // keys used before that, dropped at the next rotation
+	maxKeys  int                // in recent, before a rotation
 }
 
-// Key names what a generation's length is learned under, from coarse to fine.
+// Key identifies the distributions that a generation counts towards, from coarse to fine.
 type Key [3]uint64
 
-// hazard holds the counts of one key and the curve made from them.
+// hazard holds the counts of one key and the hazard curve derived from them.
 type hazard struct {
-	cumulative   [buckets + 1]float64 // the integral of rate up to each bucket's start
-	ends         [buckets]float64
-	rate         [buckets]float64
-	sinceRefresh int // observations since the curve was made; -1 before the first
-	tokens       [buckets]float64
-	totalTokens  float64
+	cumulative   [buckets + 1]float64 // integral of rate up to the start of each bucket
+	ends         [buckets]float64     // generations that ended in each bucket
+	rate         [buckets]float64     // per token
+	sinceRefresh int                  // observations since the curve was computed; -1 before the first time
+	tokens       [buckets]float64     // generated in each bucket
+	totalTokens  float64              // over all buckets
 }
 
 const (
-	buckets            = 49 // up to 65,536 tokens
-	defaultRate        = 1.0 / 400
-	firstBucket        = 16    // tokens in the first bucket
-	decayThreshold     = 400e3 // tokens of a key at which its counts are halved
+	buckets            = 49        // up to 65,536 tokens
+	defaultRate        = 1.0 / 400 // ends per token, the prior of the coarsest key
+	firstBucket        = 16        // tokens in the first bucket
+	decayThreshold     = 400e3     // tokens of a key at which its counts are halved
 	maxLengthKeys      = 20_000
-	refreshInterval    = 32  // observations between two makings of a curve
-	priorStrength      = 3.0 // generations that the coarser key counts for
-	bucketsPerDoubling = 4   // buckets per doubling
+	refreshInterval    = 32  // observations between two computations of a curve
+	priorStrength      = 3.0 // weight of the coarser key, in generations
+	bucketsPerDoubling = 4
 )
 
-// NewLengths returns an estimator that has seen nothing.
+// NewLengths returns an estimator without observations.
 func NewLengths() *Lengths {
 	return &Lengths{recent: make(map[uint64]*hazard), previous: make(map[uint64]*hazard), maxKeys: maxLengthKeys}
 }
 
-// KeyOf returns the key of w. Where w names no kind, what it shows stands in
-// for it: the sizes of its prompt and of its bound.
+// KeyOf returns the key of w. If w has no kind, the magnitudes of its prompt and of its token limit
+// take its place.
 func KeyOf(w *Work) Key {
 	k := w.Kind
 	if k == "" {
@@ -66,8 +66,8 @@
 	}
 }
 
-// Observe takes in that a generation went from token from to token to, and
-// whether it ended there.
+// Observe records that a generation has gone from output token from to output token to, and whether
+// it ended there.
 func (l *Lengths) Observe(k Key, from, to int, ended bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -76,22 +76,8 @@
 	}
 }
 
-// curve returns the curve of the finest key, made afresh where it is stale;
-// the lock is held.
-func (l *Lengths) curve(k Key) *hazard {
-	var coarser *hazard
-	for _, x := range k {
-		h := l.countsOf(x)
-		if h.sinceRefresh < 0 || h.sinceRefresh > refreshInterval {
-			h.refresh(coarser)
-		}
-		coarser = h
-	}
-	return coarser
-}
-
-// countsOf returns the counts of one key. Keys that were not asked for during a whole
-// turn are dropped, which bounds the memory.
+// countsOf returns the counts of one key. Keys that were not used during a whole rotation are
+// dropped, which bounds the memory; the lock is held.
 func (l *Lengths) countsOf(x uint64) *hazard {
 	if h := l.recent[x]; h != nil {
 		return h
@@ -107,6 +93,19 @@
 	return h
 }
 
+// curve returns the hazard curve of the finest key, recomputed if it is outdated; the lock is held.
+func (l *Lengths) curve(k Key) *hazard {
+	var coarser *hazard
+	for _, x := range k {
+		h := l.countsOf(x)
+		if h.sinceRefresh < 0 || h.sinceRefresh > refreshInterval {
+			h.refresh(coarser)
+		}
+		coarser = h
+	}
+	return coarser
+}
+
 func (h *hazard) observe(from, to int, ended bool) {
 	for t := from; t < to; {
 		b := bucketOf(t)
@@ -126,6 +125,7 @@
 	}
 }
 
+// decay halves all counts.
 func (h *hazard) decay() {
 	for b := range buckets {
 		h.tokens[b] /= 2
@@ -134,7 +134,7 @@
 	h.totalTokens /= 2
 }
 
-// refresh makes the curve, leaning on the coarser key's.
+// refresh recomputes the curve with that of the coarser key as its prior.
 func (h *hazard) refresh(coarser *hazard) {
 	h.sinceRefresh = 0
 	for b := range buckets {
--- a/internal/policy/lengths_test.go
+++ b/internal/policy/lengths_test.go
@@ -13,7 +13,7 @@
 	}
 }
 
-// TestBucketsCoverEveryToken checks that buckets follow one another without a gap.
+// TestBucketsCoverEveryToken checks that there are no gaps between buckets.
 func TestBucketsCoverEveryToken(t *testing.T) {
 	for b := range buckets - 1 {
 		if got, want := bucketOf(bucketStart(b)), b; got != want {
@@ -25,9 +25,8 @@
 	}
 }
 
-// TestLengthsCountRunningGenerations checks that an estimate is not biased short
-// by long generations that have not ended: learned from ended ones alone, the
-// mean here would be 50.
+// TestLengthsCountRunningGenerations checks that estimates are not biased towards short outputs
+// because long generations have not ended yet. From ended generations alone the mean here would be 50.
 func TestLengthsCountRunningGenerations(t *testing.T) {
 	l := NewLengths()
 	k := KeyOf(testWork("a"))
@@ -40,8 +39,8 @@
 	}
 }
 
-// TestLengthsAgainstExactMean compares the learned mean with that of the
-// distribution it was drawn from, whole and given an age.
+// TestLengthsAgainstExactMean compares the learned mean with that of the observed lengths, and the
+// probability of continuing at a given age.
 func TestLengthsAgainstExactMean(t *testing.T) {
 	l := NewLengths()
 	k := KeyOf(testWork("a"))
@@ -71,11 +70,11 @@
 	}
 	f := l.forecast(k, 0, 512, 1<<16)
 	if got, want := f.mean[5]/(512+512), running/total; math.Abs(got-want) > 0.05 {
-		t.Errorf("chance of running on from 512 to 1024: got %.2f, want %.2f within 0.05", got, want)
+		t.Errorf("probability of reaching 1024 tokens from 512: got %.2f, want %.2f within 0.05", got, want)
 	}
 }
 
-// TestLengthsFollowDrift checks that outputs which double are believed.
+// TestLengthsFollowDrift checks that estimates follow outputs whose length doubles.
 func TestLengthsFollowDrift(t *testing.T) {
 	l := NewLengths()
 	k := KeyOf(testWork("a"))
@@ -92,8 +91,7 @@
 	}
 }
 
-// TestLengthsLeanOnCoarserKeys checks that a workspace seen for the first time
-// is expected to be like the others.
+// TestLengthsLeanOnCoarserKeys checks that a new workspace gets the estimates of the others.
 func TestLengthsLeanOnCoarserKeys(t *testing.T) {
 	l := NewLengths()
 	w := testWork("a")
@@ -106,8 +104,7 @@
 	}
 }
 
-// TestLengthsBoundMemory checks that no number of workspaces grows the tables
-// beyond their limit.
+// TestLengthsBoundMemory checks that the number of keys is bounded, however many workspaces there are.
 func TestLengthsBoundMemory(t *testing.T) {
 	l := NewLengths()
 	w := testWork("a")
--- a/internal/policy/naive.go
+++ b/internal/policy/naive.go
@@ -1,18 +1,18 @@
 package policy
 
-// Naive is the baseline of every measurement: each box alone sends straight to
-// the upstream with the least reported load, and tries another at once.
+// Naive is the baseline for measurements: each box on its own sends to the upstream with the least
+// reported load, and tries another one at once if that fails.
 type Naive struct {
 	reports map[string]Report
 	seed    uint64
 }
 
-// NewNaive returns a baseline that has heard no report.
+// NewNaive returns a baseline without reports.
 func NewNaive(seed uint64) *Naive {
 	return &Naive{reports: make(map[string]Report), seed: seed | 1}
 }
 
-// Choose returns the upstream with the least reported load, or "".
+// Choose returns the allowed upstream with the least reported load, ties broken at random, or "".
 func (n *Naive) Choose(c []Candidate, allow func(name string) bool) string {
 	best, minLoad := "", 0.0
 	for _, x := range c {
@@ -32,7 +32,7 @@
 	return best
 }
 
-// SetReport takes in the late report of an upstream.
+// SetReport stores the report of an upstream, which is already out of date when it arrives.
 func (n *Naive) SetReport(name string, r Report) {
 	n.reports[name] = r
 }
--- a/internal/policy/owner.go
+++ b/internal/policy/owner.go
@@ -4,21 +4,20 @@
 	"time"
 )
 
-// Owner decides what may start at one upstream, and in which order.
+// Owner decides which work may start at one upstream, and in which order.
 //
-// It is kept by the box that owns the upstream. It keeps no durable state: a
-// new owner is told of running work by the boxes that hold it, counts what the
-// upstream's report shows beyond that, and admits nothing until it has a report
-// or its grace has passed.
+// It belongs to the box that owns the upstream, and keeps no durable state. A new owner learns of
+// running work from the boxes that hold it, and counts memory in the upstream's report that this
+// work does not account for. It starts nothing until it has a report or its grace period has passed.
 type Owner struct {
-	// Evacuated refuses all new work, until the hall is taken back.
+	// Evacuated makes the owner refuse all new work while the upstream's hall is evacuated.
 	Evacuated bool
-	// StartedAtMS is when the upstream started, in Unix milliseconds; 0 where that is not told.
+	// StartedAtMS is when the upstream started, in Unix milliseconds; 0 if unknown.
 	StartedAtMS int64
-	// Leaving refuses all new work.
+	// Leaving makes the owner refuse all new work because the upstream is leaving.
 	Leaving bool
-	// LeavingReported tells that the upstream said itself that it is leaving: boxes that hear of it from
-	// here believe it, whatever its entry says.
+	// LeavingReported is whether the upstream itself reported that it is leaving. Boxes that learn of
+	// it from this owner trust that over the upstream's entry.
 	LeavingReported bool
 	// Upstream is the upstream's name.
 	Upstream string
@@ -26,23 +25,23 @@
 	capacity          Capacity
 	batchLimit        float64   // generations that keep the time between tokens at its target
 	forecast          forecast  // of all running generations
-	forecastAt        time.Time // when it was made from scratch
-	unaccountedTokens int       // tokens in use that no known generation accounts for
-	graceEnds         time.Time
+	forecastAt        time.Time // when forecast was last recomputed
+	unaccountedTokens int       // tokens in use according to the report, but not by known generations
+	graceEnds         time.Time // until then nothing starts without a report
 	lengths           *Lengths
 	maxQueued         int
-	lastSequence      uint64
+	lastSequence      uint64 // of queue entries
 	queue             *queue
-	prefilling        int // tokens of prompts of generations that have no token yet
+	prefilling        int // prompt tokens of generations without a token
 	report            Report
-	running           map[string]*runningWork
+	running           map[string]*runningWork // by id
 	shares            *shares
-	stalled           int
-	recentStarts      []time.Time // of the last second, where they are bounded
+	stalled           int         // number of stalled generations
+	recentStarts      []time.Time // within the last second, if starts are limited
 	tune              Tuning
-	usedTokens        int // by known generations
-	z                 float64
-	zAt               time.Time
+	usedTokens        int       // by known generations
+	z                 float64   // standard deviations of the forecast that are kept free
+	zAt               time.Time // when z last decayed
 	lastSweep         time.Time
 }
 
@@ -50,26 +49,28 @@
 	maxForecastAge     = 250 * time.Millisecond
 	gracePeriod        = 3 * time.Second
 	defaultMaxQueued   = 10_000
-	minSlackShare      = 0.25 // of the time to its deadline that work may wait, however long it is
-	reservationTimeout = 2 * time.Second
-	silenceTimeout     = 10 * time.Second
-	stallSteps         = 12 // steps without a token after which a generation counts as stalled
-	minStallTimeout    = 700 * time.Millisecond
-	// firstTokenStallTimeout is the same before the first token: under mixed load half of
-	// the prompts were read within 0.6 s, 99 in 100 within 2 s.
+	minSlackShare      = 0.25                   // share of the time to its deadline that work may wait, however long its generation
+	reservationTimeout = 2 * time.Second        // until a start must be confirmed
+	silenceTimeout     = 10 * time.Second       // until a running generation without news is dropped
+	stallSteps         = 12                     // steps without a token after which a generation counts as stalled
+	minStallTimeout    = 700 * time.Millisecond // lower bound of the time for stallSteps
+	// firstTokenStallTimeout applies before the first token instead: under mixed load, half of the
+	// prompts were prefilled within 0.6 s and 99 in 100 within 2 s.
 	firstTokenStallTimeout = 2 * time.Second
 	sweepInterval          = 200 * time.Millisecond
-	urgentClassBoost       = 2    // by which urgent work goes before its class: what is cheaper still goes first
-	urgentDurations        = 2    // expected durations before it must start, and
-	urgentSlackShare       = 0.18 // of the time to its deadline, before it must start, that makes work urgent
-	urgentReserveFactor    = 0.5  // of the memory kept free of costly work that is kept free of it once it is urgent
-	usableShare            = 0.9  // of memory that is in use on a crowded engine
+	urgentClassBoost       = 2 // classes by which urgent work moves ahead; cheaper work still precedes it
+	// Work becomes urgent before the latest start that meets its deadline, by urgentDurations times
+	// its expected duration plus urgentSlackShare of the time from its arrival to its deadline.
+	urgentDurations     = 2
+	urgentSlackShare    = 0.18
+	urgentReserveFactor = 0.5 // share of the reserve against costly work that still applies to urgent work
+	usableShare         = 0.9 // of KV memory in use at a busy engine
 )
 
-// OwnerOption sets one thing of an Owner.
+// OwnerOption sets an option of an Owner.
 type OwnerOption func(*Owner)
 
-// NewOwner returns the owner of an upstream, as of now.
+// NewOwner returns the owner of an upstream whose grace period begins now.
 func NewOwner(upstream string, c Capacity, l *Lengths, now time.Time, options ...OwnerOption) *Owner {
 	o := &Owner{
 		Upstream: upstream, capacity: c, batchLimit: float64(c.MaxBatch), graceEnds: now.Add(gracePeriod),
@@ -83,13 +84,13 @@
 	return o
 }
 
-// WithMaxQueued bounds the work that waits.
+// WithMaxQueued bounds the length of the queue.
 func WithMaxQueued(n int) OwnerOption {
 	return func(o *Owner) { o.maxQueued = n }
 }
 
-// WithPredecessor has the owner assume that another box has just started as many generations as are
-// allowed in a second.
+// WithPredecessor makes the owner assume that another box has just started as many generations as
+// are allowed within a second.
 func WithPredecessor() OwnerOption {
 	return func(o *Owner) {
 		for range int(o.capacity.MaxStartsPerSecond) {
@@ -98,15 +99,15 @@
 	}
 }
 
-// WithTuning sets the constants of the decisions.
+// WithTuning replaces the default tuning.
 func WithTuning(t Tuning) OwnerOption {
 	return func(o *Owner) { o.tune = t }
 }
 
-// Ask asks for a place for w.
+// Ask requests a place for w.
 //
-// A second question about the same work gets the same answer while the first
-// one stands, so a lost answer is settled by asking again.
+// It is idempotent: asking again about the same work gets the same verdict while that stands, so a
+// caller that lost an answer asks again.
 func (o *Owner) Ask(w *Work, now time.Time) Answer {
 	if r := o.running[w.ID]; r != nil {
 		r.expiresAt = now.Add(reservationTimeout)
@@ -130,13 +131,34 @@
 	return Answer{ID: w.ID, Verdict: VerdictQueue}
 }
 
-// Backlog returns the seconds of the engine's time that wait.
+// Backlog returns the queued work, in seconds of engine time.
 func (o *Owner) Backlog() float64 {
 	return o.queue.totalCost()
 }
 
-// Finish says that a generation has ended, and where; ended is false where it
-// was cut off before its own end.
+// Cancel removes work from the queue that its caller has given up, and refunds its workspace.
+func (o *Owner) Cancel(id string, now time.Time) {
+	if e := o.queue.remove(id); e != nil {
+		o.shares.refund(e.work, e.charge)
+		o.shares.leave(e.work, now)
+	}
+}
+
+// Dispatch returns start and refuse verdicts for queued work that are due now.
+func (o *Owner) Dispatch(now time.Time) []Answer {
+	o.releaseExpired(now)
+	l := o.sweep(now)
+	for e := o.queue.first(); e != nil && o.fits(e, now); e = o.queue.first() {
+		o.queue.remove(e.work.ID)
+		o.shares.leave(e.work, now)
+		o.start(e, now)
+		l = append(l, Answer{ID: e.work.ID, Verdict: VerdictStart})
+	}
+	return l
+}
+
+// Finish records that a generation has ended after so many tokens; ended is false if it was cut off
+// before its natural end, which must not count as an output length.
 func (o *Owner) Finish(id string, produced int, ended bool, now time.Time) {
 	r := o.running[id]
 	if r == nil {
@@ -149,20 +171,22 @@
 	o.release(id, r)
 }
 
-// IsRunning reports whether the owner knows a generation that runs.
-func (o *Owner) IsRunning(id string) bool {
-	return o.running[id] != nil
+// HandleRestart drops the confirmed generations after a restart of the upstream, which lost them.
+func (o *Owner) HandleRestart() {
+	for id, r := range o.running {
+		if r.confirmed {
+			o.release(id, r)
+		}
+	}
+	o.report = Report{}
 }
 
-// Cancel takes waiting work out of the queue; the caller has given up on it.
-func (o *Owner) Cancel(id string, now time.Time) {
-	if e := o.queue.remove(id); e != nil {
-		o.shares.refund(e.work, e.charge)
-		o.shares.leave(e.work, now)
-	}
+// IsRunning reports whether a generation holds a reservation or runs.
+func (o *Owner) IsRunning(id string) bool {
+	return o.running[id] != nil
 }
 
-// Load returns what is told with every answer.
+// Load returns the load of the upstream that is sent along with every answer.
 func (o *Owner) Load(now time.Time) Load {
 	l := Load{
 		AsOf: now, StartedAtMS: o.StartedAtMS, UsedTokens: o.usedTokens, Leaving: o.LeavingReported, PeakShare: o.peak(&forecast{}) / float64(o.capacity.KVTokens),
@@ -177,32 +201,19 @@
 	return l
 }
 
-// Dispatch returns the waiting work that may start now, or that is refused now.
-func (o *Owner) Dispatch(now time.Time) []Answer {
-	o.releaseExpired(now)
-	l := o.sweep(now)
-	for e := o.queue.first(); e != nil && o.fits(e, now); e = o.queue.first() {
-		o.queue.remove(e.work.ID)
-		o.shares.leave(e.work, now)
-		o.start(e, now)
-		l = append(l, Answer{ID: e.work.ID, Verdict: VerdictStart})
-	}
-	return l
-}
-
-// Progress says how many tokens a running generation has produced.
+// Progress records how many tokens a running generation has produced.
 func (o *Owner) Progress(id string, produced int, now time.Time) {
 	if r := o.running[id]; r != nil {
 		o.advance(r, produced, now)
 	}
 }
 
-// Queued returns how much work waits.
+// Queued returns the length of the queue.
 func (o *Owner) Queued() int {
 	return o.queue.len()
 }
 
-// Register tells a new owner of work that already runs.
+// Register adds work to a new owner that is already running.
 func (o *Owner) Register(w *Work, produced int, now time.Time) {
 	if o.running[w.ID] == nil {
 		o.Cancel(w.ID, now)
@@ -220,7 +231,12 @@
 	o.advance(o.running[w.ID], produced, now)
 }
 
-// SetReport takes in the upstream's own report.
+// Running returns how many generations hold a reservation or run.
+func (o *Owner) Running() int {
+	return len(o.running)
+}
+
+// SetReport stores the upstream's own report. Preemptions since the last one raise the safety margin.
 func (o *Owner) SetReport(r Report, now time.Time) {
 	if n := r.Preemptions - o.report.Preemptions; n > 0 && !o.report.AsOf.IsZero() {
 		o.decayZ(now)
@@ -231,23 +247,8 @@
 	o.unaccountedTokens = max(0, r.UsedTokens-o.usedTokensAt(r.AsOf, now))
 }
 
-// HandleRestart says that the upstream runs anew and has lost all it ran.
-func (o *Owner) HandleRestart() {
-	for id, r := range o.running {
-		if r.confirmed {
-			o.release(id, r)
-		}
-	}
-	o.report = Report{}
-}
-
-// Running returns how many generations hold a reservation or run.
-func (o *Owner) Running() int {
-	return len(o.running)
-}
-
-// adjustBatchLimit lowers the cap on the batch where steps take longer than their
-// target, and raises it again slowly.
+// adjustBatchLimit lowers the batch limit if steps take longer than their target, and otherwise
+// raises it by one generation a report.
 func (o *Owner) adjustBatchLimit(r Report) {
 	if r.StepSeconds > o.tune.TargetStepSeconds && r.Running > 0 {
 		o.batchLimit = min(o.batchLimit, max(1, float64(r.Running)*o.tune.TargetStepSeconds/r.StepSeconds))
@@ -256,12 +257,14 @@
 	o.batchLimit = min(float64(o.capacity.MaxBatch), o.batchLimit+1)
 }
 
+// decayZ lets z fall back towards its minimum for the time since the last call.
 func (o *Owner) decayZ(now time.Time) {
 	s := now.Sub(o.zAt).Seconds()
 	o.zAt = now
 	o.z = max(o.tune.ZMin, o.z-(o.z-o.tune.ZMin)*min(1, s*o.tune.ZDecayPerSecond))
 }
 
+// stepSeconds returns the reported duration of a step, or a default.
 func (o *Owner) stepSeconds() float64 {
 	if o.report.StepSeconds > 0 {
 		return o.report.StepSeconds
--- a/internal/policy/owner_refusal_test.go
+++ b/internal/policy/owner_refusal_test.go
@@ -26,12 +26,12 @@
 		t.Errorf("reason: got %s, want %s", got, want)
 	}
 	if !a.RetryAt.After(testStart) {
-		t.Errorf("time to come back: got %v, want one after %v", a.RetryAt, testStart)
+		t.Errorf("retry time: got %v, want one after %v", a.RetryAt, testStart)
 	}
 }
 
-// TestOwnerRefusesAtOnceWhatItGivesUp checks that work whose deadline has become
-// out of reach is answered at the next sweep, and not held until its deadline.
+// TestOwnerRefusesAtOnceWhatItGivesUp checks that queued work which can no longer meet its deadline is
+// refused at the next sweep, and not kept until its deadline.
 func TestOwnerRefusesAtOnceWhatItGivesUp(t *testing.T) {
 	o := newTestOwner()
 	fill(t, o, testStart)
@@ -53,7 +53,7 @@
 		}
 	}
 	if refusedAfter == 0 || refusedAfter > 36*time.Second {
-		t.Errorf("given up after: got %v, want well before the deadline at 40s", refusedAfter)
+		t.Errorf("refused after: got %v, want well before the deadline at 40s", refusedAfter)
 	}
 }
 
@@ -67,7 +67,7 @@
 	}
 	a := o.Dispatch(testStart.Add(time.Second))
 	if len(a) != 1 || a[0].ID != "waits" || a[0].Reason != ReasonLeaving {
-		t.Errorf("waiting work: got %v, want a refusal of it", a)
+		t.Errorf("queued work: got %v, want its refusal", a)
 	}
 	if got, want := o.Running(), n; got != want {
 		t.Errorf("running work: got %d, want %d", got, want)
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestRouteDecidesAmongEqualPriorities asks for work of one workspace by routes of different
-// priority: the dearer one goes first where its route does, and what comes late after both.
+// TestRouteDecidesAmongEqualPriorities queues work of one workspace on routes of different priority: the
+// costlier work goes first if its route does, and late work goes after both.
 func TestRouteDecidesAmongEqualPriorities(t *testing.T) {
 	o := newTestOwner()
 	fill(t, o, testStart)
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestLooksAreNotCharged has a workspace ask and give up many times, as work does that looks
-// for a place at many upstreams: its share is as if it had not.
+// TestLooksAreNotCharged has a workspace ask and cancel many times, as work does that tries several
+// upstreams: it must not lose any of its fair share.
 func TestLooksAreNotCharged(t *testing.T) {
 	o := newTestOwner()
 	fill(t, o, testStart)
@@ -137,12 +137,12 @@
 	}
 	a, b := o.queue.byID["looks"].order.time, o.queue.byID["others"].order.time
 	if got := time.Duration(a - b).Abs(); got > time.Millisecond {
-		t.Errorf("the workspace that looked around goes %v later, want no later", got)
+		t.Errorf("the workspace that cancelled ranks %v apart from the other, want equal ranks", got)
 	}
 }
 
-// TestLargeWorkspaceDoesNotCrowdOutSmallOne checks that a workspace that asks
-// for little goes before the backlog of one that asks for much.
+// TestLargeWorkspaceDoesNotCrowdOutSmallOne checks that a workspace with little work ranks ahead of the
+// backlog of one with much work.
 func TestLargeWorkspaceDoesNotCrowdOutSmallOne(t *testing.T) {
 	o := newTestOwner()
 	fill(t, o, testStart)
@@ -156,14 +156,14 @@
 	o.Ask(w, testStart.Add(time.Second))
 	e := o.queue.byID["small"]
 	if got, want := o.queue.costBefore(e.order), 0.5*o.queue.totalCost(); got > want {
-		t.Errorf("backlog before the small workspace: got %.1f s, want at most %.1f s", got, want)
+		t.Errorf("backlog ahead of the small workspace: got %.1f s, want at most %.1f s", got, want)
 	}
 }
 
-// TestOwnerRefusesAtOnceWhatItsCallerWillNotAwait checks that work whose caller goes unless
-// its first token has come is refused as it is asked for where it would wait longer, though
-// its deadline is far; that work which waits is refused before its caller goes; and that
-// neither holds for a run that is moved, which has had its first token.
+// TestOwnerRefusesAtOnceWhatItsCallerWillNotAwait checks work with a distant deadline whose caller gives
+// up unless its first token has come by some time. It is refused at once if it would wait longer, and
+// refused from the queue before its caller gives up. Neither applies to a moved run, which has had its
+// first token.
 func TestOwnerRefusesAtOnceWhatItsCallerWillNotAwait(t *testing.T) {
 	for _, x := range []struct {
 		name    string
@@ -189,7 +189,7 @@
 			t.Errorf("%s: verdict: got %s, want %s", x.name, got, x.want)
 		}
 		if a.Verdict == VerdictRefuse && !a.RetryAt.After(testStart) {
-			t.Errorf("%s: time to come back: got %v, want one after %v", x.name, a.RetryAt, testStart)
+			t.Errorf("%s: retry time: got %v, want one after %v", x.name, a.RetryAt, testStart)
 		}
 		if x.want != VerdictQueue || x.moved {
 			continue
@@ -204,7 +204,7 @@
 			}
 		}
 		if refusedAfter == 0 || refusedAfter > 7*time.Second {
-			t.Errorf("%s: given up after: got %v, want before its caller goes at 7s", x.name, refusedAfter)
+			t.Errorf("%s: refused after: got %v, want before its caller gives up at 7s", x.name, refusedAfter)
 		}
 	}
 }
--- a/internal/policy/owner_test.go
+++ b/internal/policy/owner_test.go
@@ -10,14 +10,14 @@
 
 var testStart = time.Unix(1000, 0)
 
-// newTestOwner returns an owner that has heard an idle upstream's report.
+// newTestOwner returns an owner that has the report of an idle upstream.
 func newTestOwner() *Owner {
 	o := NewOwner("u", Capacity{KVTokens: 10_000, MaxBatch: 32}, NewLengths(), testStart)
 	o.SetReport(Report{AsOf: testStart, StepSeconds: 0.02}, testStart)
 	return o
 }
 
-// fill starts work until something has to wait, and returns how much started.
+// fill starts work until some is queued, and returns how much started.
 func fill(t *testing.T, o *Owner, now time.Time) int {
 	t.Helper()
 	for n := 0; ; n++ {
@@ -29,7 +29,7 @@
 			o.Cancel(w.ID, now)
 			return n
 		case VerdictRefuse:
-			t.Fatalf("refused for %s", a.Reason)
+			t.Fatalf("refused with reason %s", a.Reason)
 		}
 	}
 }
@@ -59,9 +59,8 @@
 	}
 }
 
-// TestOwnerBoundsThePromptsThatAreRead checks that a prompt waits while those being read
-// are enough, and that a run whose memory comes from another engine neither waits for
-// them nor counts as one.
+// TestOwnerBoundsThePromptsThatAreRead checks that a prompt waits while the prefill limit is reached, and
+// that a moved run neither waits for it nor counts towards it, as its KV memory is copied.
 func TestOwnerBoundsThePromptsThatAreRead(t *testing.T) {
 	o := NewOwner("u", Capacity{KVTokens: 30_000, MaxBatch: 32, MaxPrefillTokens: 7000}, NewLengths(), testStart)
 	o.SetReport(Report{AsOf: testStart, StepSeconds: 0.02}, testStart)
@@ -79,36 +78,35 @@
 	ask("second", 3000, false, VerdictQueue)
 	o.Progress("moved", 1, testStart)
 	if got := o.Dispatch(testStart); len(got) != 0 {
-		t.Errorf("while the first prompt is read: got %v, want nothing", got)
+		t.Errorf("while the first prompt is prefilled: got %v, want no verdicts", got)
 	}
 	o.Progress("first", 1, testStart)
 	if got := o.Dispatch(testStart); len(got) != 1 || got[0].ID != "second" {
-		t.Errorf("once it is read: got %v, want the second", got)
+		t.Errorf("once it is prefilled: got %v, want a start of the second", got)
 	}
 	o.Finish("second", 0, false, testStart)
 	if got := o.Load(testStart).UsedTokens; got != 15_002 {
-		t.Errorf("tokens held in the end: got %d, want 15002", got)
+		t.Errorf("used tokens in the end: got %d, want 15002", got)
 	}
 }
 
-// TestOwnerIsConservativeUntilItKnows checks that a new owner starts nothing
-// before a report, or before its grace has passed where none comes.
+// TestOwnerIsConservativeUntilItKnows checks that a new owner starts nothing before its first report, or
+// before its grace period has passed without one.
 func TestOwnerIsConservativeUntilItKnows(t *testing.T) {
 	o := NewOwner("u", Capacity{KVTokens: 10_000, MaxBatch: 32}, NewLengths(), testStart)
 	if got, want := o.Ask(testWork("a"), testStart).Verdict, VerdictQueue; got != want {
 		t.Fatalf("verdict: got %s, want %s", got, want)
 	}
 	if got := o.Dispatch(testStart.Add(gracePeriod - time.Millisecond)); len(got) != 0 {
-		t.Errorf("before the grace has passed: got %v, want nothing", got)
+		t.Errorf("within the grace period: got %v, want no verdicts", got)
 	}
 	if got, want := len(o.Dispatch(testStart.Add(gracePeriod))), 1; got != want {
-		t.Errorf("after the grace: got %d places, want %d", got, want)
+		t.Errorf("after the grace period: got %d starts, want %d", got, want)
 	}
 }
 
-// TestOwnerCountsWhatItDoesNotKnow checks that a new owner of a busy upstream
-// counts the memory in the report that no known generation accounts for, and
-// that registration takes generations out of that count.
+// TestOwnerCountsWhatItDoesNotKnow checks that a new owner of a busy upstream counts reported memory that
+// no known generation accounts for, and stops doing so as generations are registered.
 func TestOwnerCountsWhatItDoesNotKnow(t *testing.T) {
 	o := NewOwner("u", Capacity{KVTokens: 10_000, MaxBatch: 32}, NewLengths(), testStart)
 	o.SetReport(Report{AsOf: testStart, Running: 10, StepSeconds: 0.02, UsedTokens: 9900}, testStart)
@@ -121,16 +119,15 @@
 		o.Register(w, 100, testStart)
 	}
 	if got, want := o.unaccountedTokens, 0; got != want {
-		t.Errorf("memory not accounted for: got %d, want %d", got, want)
+		t.Errorf("unaccounted tokens: got %d, want %d", got, want)
 	}
 	if got, want := o.usedTokens, 9900; got != want {
-		t.Errorf("memory of known generations: got %d, want %d", got, want)
+		t.Errorf("tokens of known generations: got %d, want %d", got, want)
 	}
 }
 
-// TestTwoOwnersOvercommitForAMomentOnly checks what two owners at once may do:
-// together they admit more than fits until the next report, which shows each
-// what the other started, and then neither admits more.
+// TestTwoOwnersOvercommitForAMomentOnly checks that two simultaneous owners of an upstream overcommit it
+// only until the next report, which shows each of them what the other one has started.
 func TestTwoOwnersOvercommitForAMomentOnly(t *testing.T) {
 	a, b := newTestOwner(), newTestOwner()
 	n := fill(t, a, testStart) + fill(t, b, testStart)
@@ -155,7 +152,7 @@
 	}
 	o.Progress("a", 6, later)
 	if got, want := len(o.Dispatch(later)), 1; got != want {
-		t.Errorf("once a goes on: got %d places, want %d", got, want)
+		t.Errorf("once a continues: got %d starts, want %d", got, want)
 	}
 }
 
@@ -165,7 +162,7 @@
 	p := newTestOwner()
 	p.SetReport(Report{AsOf: testStart, Preemptions: 100, StepSeconds: 0.02}, testStart)
 	if got := fill(t, p, testStart); got >= before {
-		t.Errorf("admitted after preemptions: got %d, want fewer than %d", got, before)
+		t.Errorf("started after preemptions: got %d, want fewer than %d", got, before)
 	}
 }
 
@@ -173,7 +170,7 @@
 	o := newTestOwner()
 	o.SetReport(Report{AsOf: testStart, Running: 20, StepSeconds: 0.08}, testStart)
 	if got, want := o.batchLimit, 10.0; got != want {
-		t.Errorf("batch: got %v, want %v", got, want)
+		t.Errorf("batch limit: got %v, want %v", got, want)
 	}
 }
 
@@ -186,9 +183,9 @@
 	}
 }
 
-// TestOwnerAccounts drives an owner through random schedules and checks, after
-// each step, that its sums are those of what it holds, that it conserves work,
-// that nothing idle is refused, and that every ask gets exactly one final answer.
+// TestOwnerAccounts drives an owner through random schedules. After each step its sums must match the
+// work that it tracks, no work may be lost, an idle upstream must accept work, and each request for a
+// place must get exactly one final answer.
 func TestOwnerAccounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newTestOwner()
@@ -250,7 +247,7 @@
 				}
 				for id := range produced {
 					if !o.IsRunning(id) {
-						delete(produced, id) // a reservation that lapsed
+						delete(produced, id) // its reservation has expired
 					}
 				}
 			},
@@ -276,8 +273,8 @@
 	})
 }
 
-// BenchmarkOwnerAsk decides on one piece of work with 200 generations running
-// and 10,000 queued; BenchmarkOwnerAskQueue shows how that grows with the queue.
+// BenchmarkOwnerAsk measures a decision with 200 generations running and 10,000 queued.
+// BenchmarkOwnerAskQueue shows how its cost grows with the queue.
 func BenchmarkOwnerAsk(b *testing.B) { benchmarkAsk(b, 10_000) }
 
 func BenchmarkOwnerAskQueue(b *testing.B) {
--- a/internal/policy/prompts.go
+++ b/internal/policy/prompts.go
@@ -1,41 +1,41 @@
 package policy
 
-// Prompts learns which prompts are large for their kind of work. It is guarded by its
-// caller.
+// Prompts learns which prompts are large for their kind of work. Callers must guard it.
 type Prompts struct{ kinds map[uint64]*promptSizes }
 
-// promptSizes follows the sizes of one kind's prompts, in tokens.
+// promptSizes tracks the sizes of the prompts of one kind, in tokens.
 type promptSizes struct {
-	bound float64 // which largeShare of them exceeds
-	mean  float64
-	count int
+	bound float64 // exceeded by largeShare of the prompts
+	mean  float64 // moving average
+	count int     // of observed prompts
 }
 
 const (
-	// largeShare is the share of each kind's prompts that count as large. What goes first
-	// because of its size is then bounded, however the sizes lie. Under a crowd 0.40 of the
-	// largest tenth of short answers are served and 0.45 of the fifth below, of all 0.50; with
-	// 0.08 in its place 0.40 and 0.31, with 0.25 0.23 and 0.45 (by the same test as prefersLarge).
+	// largeShare is the share of each kind's prompts that count as large. It limits how much work
+	// goes first because of its size, whatever the distribution of sizes. In the test named at
+	// prefersLarge, the served shares of the largest tenth of short answers, of the fifth below it
+	// and of all were 0.40, 0.45 and 0.50. With 0.08 instead the first two were 0.40 and 0.31, with
+	// 0.25 they were 0.23 and 0.45.
 	largeShare = 0.15
-	// maxPromptKinds bounds the kinds that are known, since callers name them.
+	// maxPromptKinds bounds the memory, as callers choose the names of kinds.
 	maxPromptKinds = 4096
-	// boundStep is the step of the bound for one prompt, as a share of the mean: it follows
-	// sizes that grow fivefold over 4,000 prompts (TestLargePromptsAreFew).
+	// boundStep is how far one prompt moves the bound, as a share of the mean. It is large enough to
+	// follow sizes that grow fivefold over 4,000 prompts (TestLargePromptsAreFew).
 	boundStep = 0.03
-	// meanWeight is the weight of a new prompt in the mean.
+	// meanWeight is the weight of a new prompt in the moving average.
 	meanWeight = 1.0 / 32
-	// minPromptsSeen is how many prompts of a kind tell its mean, and initialBoundFactor at how many
-	// times that the bound begins.
+	// The first minPromptsSeen prompts of a kind are never large. The bound then starts at
+	// initialBoundFactor times their mean.
 	minPromptsSeen     = 4
 	initialBoundFactor = 1.3
 )
 
-// NewPrompts returns prompts of which nothing is known.
+// NewPrompts returns a Prompts without observations.
 func NewPrompts() *Prompts {
 	return &Prompts{kinds: make(map[uint64]*promptSizes)}
 }
 
-// Observe takes in the prompt of w, and reports whether it is large for its kind.
+// Observe records the prompt of w, and reports whether it is large for its kind.
 func (p *Prompts) Observe(w *Work) bool {
 	k := KeyOf(w)[1]
 	s := p.kinds[k]
@@ -49,7 +49,8 @@
 	return s.observe(float64(w.Prompt))
 }
 
-// observe takes in a prompt, and reports whether it is above the bound.
+// observe records a prompt, and reports whether it exceeds the bound. The steps up and down balance
+// when largeShare of the prompts exceed the bound.
 func (s *promptSizes) observe(tokens float64) bool {
 	s.count++
 	s.mean += (tokens - s.mean) * max(meanWeight, 1/float64(s.count))
--- a/internal/policy/prompts_test.go
+++ b/internal/policy/prompts_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestLargePromptsAreFew learns prompts whose sizes lie in different ways: about the share
-// that is meant counts as large, and of sizes that differ they are the largest.
+// TestLargePromptsAreFew observes prompts with different distributions of sizes: about largeShare of them
+// must count as large, and those must be the largest ones if sizes differ.
 func TestLargePromptsAreFew(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for _, x := range []struct {
@@ -30,28 +30,28 @@
 			}
 		}
 		if got, want := float64(large)/n, largeShare; math.Abs(got-want) > 0.4*want {
-			t.Errorf("%s: got %.3f of the prompts large, want about %.3f", x.name, got, want)
+			t.Errorf("%s: share of large prompts: got %.3f, want about %.3f", x.name, got, want)
 		}
 		if got, least := sizes/float64(large), 1.3*all/n; got < least {
-			t.Errorf("%s: got a mean of %.0f of the large ones, want at least %.0f", x.name, got, least)
+			t.Errorf("%s: mean size of the large prompts: got %.0f, want at least %.0f", x.name, got, least)
 		}
 	}
 }
 
-// TestEqualPromptsAreNotLarge learns prompts of one size: none goes before another.
+// TestEqualPromptsAreNotLarge observes prompts of one size, of which none may count as large at first.
 func TestEqualPromptsAreNotLarge(t *testing.T) {
 	p := NewPrompts()
 	for i := range 200 {
 		if p.Observe(&Work{Kind: "k", Model: "m", Prompt: 1000}) && i < 10 {
-			t.Errorf("prompt %d: got large, want none before their spread is known", i)
+			t.Errorf("prompt %d: got large, want none while the spread of sizes is unknown", i)
 		}
 	}
 	if p.Observe(&Work{Kind: "other", Model: "m", Prompt: 9000}) {
-		t.Error("the first prompt of a kind: got large, want it not so")
+		t.Error("first prompt of a kind: got large, want not large")
 	}
 }
 
-// TestKindsOfPromptsAreBounded names more kinds than are kept.
+// TestKindsOfPromptsAreBounded observes more kinds than are kept.
 func TestKindsOfPromptsAreBounded(t *testing.T) {
 	p := NewPrompts()
 	for i := range 3 * maxPromptKinds {
--- a/internal/policy/quarantine.go
+++ b/internal/policy/quarantine.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Quarantine remembers under which requests upstreams crashed. A request is quarantined, and sent
-// to no further upstream, once so many crashes count against it that it is taken for their cause:
-// it would crash one upstream after another.
+// Quarantine records the crashes of upstreams and the requests that were running there. A request
+// with enough crashes against it is taken to be their cause and quarantined: it is sent to no
+// further upstream, as it would crash one after another.
 //
 // It reads no clock and is safe for concurrent use.
 type Quarantine struct {
@@ -17,47 +17,47 @@
 	changed      bool                     // since the digest was computed
 	crashes      []*Crash                 // oldest first
 	digest       uint64                   // of all suspects of all crashes
-	bySuspect    map[Fingerprint][]*Crash // those that a request is a suspect of, oldest first
+	bySuspect    map[Fingerprint][]*Crash // the crashes of which a request is a suspect, oldest first
 	suspectCount int                      // suspects of all crashes
 }
 
 const (
-	// suspectTTL is how long a request stays a suspect: callers come back within their deadlines.
+	// suspectTTL is how long a request stays a suspect. Callers retry within their deadlines.
 	suspectTTL = 2 * time.Minute
-	// quarantineTTL is how long a request stays quarantined after it last returned or crashed
-	// an upstream. Boxes tell each other of returns every renewInterval.
+	// quarantineTTL is how long a request stays quarantined after it was last sent again or crashed
+	// an upstream. Boxes tell each other every renewInterval that it was sent again.
 	quarantineTTL = 24 * time.Hour
 	renewInterval = time.Hour
-	// A quarantined request is let through once after firstTrialDelay, and again after twice as long
-	// each time: what was taken for the cause of crashes by chance is cleared by that run. After
-	// maxTrials it is for as long as it returns.
+	// A quarantined request is let through once after firstTrialDelay, and again after twice as
+	// long each time. A request that was quarantined by chance is cleared by such a trial. After
+	// maxTrials it stays quarantined for as long as it is sent again.
 	firstTrialDelay = 10 * time.Minute
 	maxTrials       = 3
-	// maxMissingSuspects bounds the suspects that a box hears of in one message.
+	// maxMissingSuspects bounds the suspects in one message to another box.
 	maxMissingSuspects = 1024
-	// maxSuspects bounds what is remembered, of some 100 B each.
+	// maxSuspects bounds the memory; a suspect takes about 100 bytes.
 	maxSuspects = 16_384
-	// minCorrelatedCrashes upstreams that crash within correlationWindow of one another may have lost
-	// their rack or its power.
+	// If at least minCorrelatedCrashes upstreams crash within correlationWindow, their rack or its
+	// power may have failed.
 	minCorrelatedCrashes = 3
 	correlationWindow    = 250 * time.Millisecond
 
-	// A request is quarantined at quarantineThreshold: after two crashes, as after one each of the
-	// requests that ran there would be refused. Of crashes that come together it takes three: what
-	// ran in a rack that loses its power twice is not refused, and a caller that sends several poison
-	// requests at once is stopped nonetheless.
+	// A request is quarantined once the weights of its crashes add up to quarantineThreshold. Two
+	// isolated crashes suffice; if one did, every request running at a crashed upstream would be
+	// refused. Correlated crashes take three: requests in a rack that loses power twice are not
+	// refused, while a caller that sends several poison requests at once is still stopped.
 	isolatedCrashWeight   = 3
 	correlatedCrashWeight = 2
 	quarantineThreshold   = 6
 )
 
-// NewQuarantine returns a quarantine of no request.
+// NewQuarantine returns an empty quarantine.
 func NewQuarantine() *Quarantine {
 	return &Quarantine{bySuspect: make(map[Fingerprint][]*Crash)}
 }
 
-// Clear records that a run of a request got further than those that crashed: they crashed for
-// another reason. It reports whether that is news.
+// Clear records that a run of a request got further than those that crashed, so that something else
+// caused the crashes. It reports whether that changed anything.
 func (q *Quarantine) Clear(p Fingerprint) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -71,10 +71,11 @@
 	return changed
 }
 
-// ClearCompleted clears requests that are known to have run to their ends: of the crashes before that, and of
-// the first one after it and of no other, as one that turns poison crashes one upstream more. Served
-// returns when a request last ran to its end, the zero time where that is not known. ClearCompleted returns
-// what it cleared.
+// ClearCompleted clears requests that have run to completion: of the crashes before their last run
+// and of the first one after it. It clears them of no later crash, as a request that has become
+// poisonous would otherwise crash one upstream more each time. The function lastRunAt returns when a
+// request last ran to completion, or the zero time if that is unknown. ClearCompleted returns what it
+// cleared.
 func (q *Quarantine) ClearCompleted(lastRunAt func(p Fingerprint) time.Time) []Crash {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -100,7 +101,7 @@
 	return l
 }
 
-// CrashCount returns how many upstreams crashed under a request that it is a suspect of.
+// CrashCount returns how many upstreams crashed under a request that it was not cleared of.
 func (q *Quarantine) CrashCount(p Fingerprint, now time.Time) int {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -114,7 +115,21 @@
 	return n
 }
 
-// Digest returns a hash of all that is remembered; 0 for nothing.
+// CrashHashes returns the hashes of all recorded crashes, to be passed to Missing at another box.
+func (q *Quarantine) CrashHashes(now time.Time) []uint64 {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	q.expire(now)
+	var l []uint64
+	for _, c := range q.crashes {
+		if len(c.Suspects) > 0 {
+			l = append(l, c.hash())
+		}
+	}
+	return l
+}
+
+// Digest returns a hash of everything recorded; 0 for nothing.
 func (q *Quarantine) Digest(now time.Time) uint64 {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -128,56 +143,15 @@
 	return q.digest
 }
 
-// Empty reports whether nothing is remembered of any request.
+// Empty reports whether no request is a suspect.
 func (q *Quarantine) Empty() bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return len(q.bySuspect) == 0
 }
 
-// QuarantinedCrashes returns the crashes of up to so many quarantined requests, those that returned last, with no other
-// suspects; at most as many crashes, too.
-func (q *Quarantine) QuarantinedCrashes(count int, now time.Time) []Crash {
-	q.mutex.Lock()
-	defer q.mutex.Unlock()
-	q.expire(now)
-	var quarantined []Fingerprint
-	for p := range q.bySuspect {
-		if q.weight(p) >= quarantineThreshold {
-			quarantined = append(quarantined, p)
-		}
-	}
-	slices.SortFunc(quarantined, func(a, b Fingerprint) int {
-		return cmp.Or(q.lastActivity(b).Compare(q.lastActivity(a)), cmp.Compare(a, b))
-	})
-	quarantined = quarantined[:min(count, len(quarantined))]
-	var l []Crash
-	for _, c := range q.crashes {
-		d := *c
-		d.Suspects = slices.DeleteFunc(slices.Clone(c.Suspects), func(s Suspect) bool { return !slices.Contains(quarantined, s.Fingerprint) })
-		if len(d.Suspects) > 0 {
-			l = append(l, d)
-		}
-	}
-	return l[max(0, len(l)-count):]
-}
-
-// CrashHashes returns the hashes of the crashes that are remembered, for Missing at another box.
-func (q *Quarantine) CrashHashes(now time.Time) []uint64 {
-	q.mutex.Lock()
-	defer q.mutex.Unlock()
-	q.expire(now)
-	var l []uint64
-	for _, c := range q.crashes {
-		if len(c.Suspects) > 0 {
-			l = append(l, c.hash())
-		}
-	}
-	return l
-}
-
-// LastCrashBefore returns when an upstream last crashed under a request before a time, the zero time where
-// none is known.
+// LastCrashBefore returns when an upstream last crashed under a request before at, or the zero time
+// if no such crash is recorded.
 func (q *Quarantine) LastCrashBefore(p Fingerprint, at time.Time) time.Time {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -190,8 +164,8 @@
 	return last
 }
 
-// Missing returns the crashes that another box does not know as they are known here: those of
-// quarantined requests and the newest ones, where there are many.
+// Missing returns the crashes that another box does not know, or knows differently. If there are too
+// many for one message, it returns those of quarantined requests and the newest ones.
 func (q *Quarantine) Missing(known []uint64, now time.Time) []Crash {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -219,7 +193,7 @@
 	return l
 }
 
-// Quarantined reports whether a request may be sent to no further upstream.
+// Quarantined reports whether a request must not be sent to any upstream.
 func (q *Quarantine) Quarantined(p Fingerprint, now time.Time) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -227,8 +201,35 @@
 	return q.weight(p) >= quarantineThreshold && q.trialsTaken(p) >= q.trialsDue(p, now)
 }
 
-// Record adds what boxes know of crashes. It returns the requests that are quarantined from now
-// on, and reports whether anything was news.
+// QuarantinedCrashes returns the crashes of up to count quarantined requests, those with the latest
+// activity, without other suspects; it returns at most count crashes, too.
+func (q *Quarantine) QuarantinedCrashes(count int, now time.Time) []Crash {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	q.expire(now)
+	var quarantined []Fingerprint
+	for p := range q.bySuspect {
+		if q.weight(p) >= quarantineThreshold {
+			quarantined = append(quarantined, p)
+		}
+	}
+	slices.SortFunc(quarantined, func(a, b Fingerprint) int {
+		return cmp.Or(q.lastActivity(b).Compare(q.lastActivity(a)), cmp.Compare(a, b))
+	})
+	quarantined = quarantined[:min(count, len(quarantined))]
+	var l []Crash
+	for _, c := range q.crashes {
+		d := *c
+		d.Suspects = slices.DeleteFunc(slices.Clone(c.Suspects), func(s Suspect) bool { return !slices.Contains(quarantined, s.Fingerprint) })
+		if len(d.Suspects) > 0 {
+			l = append(l, d)
+		}
+	}
+	return l[max(0, len(l)-count):]
+}
+
+// Record adds crashes that boxes have announced. It returns the requests that became quarantined,
+// and reports whether anything changed.
 func (q *Quarantine) Record(l []Crash, now time.Time) (quarantined []Fingerprint, changed bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -252,8 +253,8 @@
 	return quarantined, changed
 }
 
-// Renew records that a request returned. It returns its crashes where the other boxes have to know
-// that.
+// Renew records that a request was sent again. It returns the crashes of the request if that has to
+// be announced to the other boxes, or nil.
 func (q *Quarantine) Renew(p Fingerprint, now time.Time) []Crash {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -267,7 +268,7 @@
 	return q.crashesOf(p)
 }
 
-// Size returns how many requests are quarantined.
+// Size returns the number of quarantined requests.
 func (q *Quarantine) Size(now time.Time) int {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -281,8 +282,8 @@
 	return n
 }
 
-// TakeTrial records that a quarantined request is let through, where that is due. It returns its
-// crashes, which the other boxes have to know, or nil.
+// TakeTrial records that a quarantined request is let through, if that is due. It returns the crashes
+// of the request, to be announced to the other boxes, or nil.
 func (q *Quarantine) TakeTrial(p Fingerprint, now time.Time) []Crash {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -298,7 +299,29 @@
 	return q.crashesOf(p)
 }
 
-// crashesOf returns the crashes of a request with itself as their only suspect; the lock is held.
+// correlated reports whether an upstream crashed together with others; the lock is held.
+func (q *Quarantine) correlated(c *Crash) bool {
+	n := 0
+	for _, d := range q.crashes {
+		if d.At.Sub(c.At).Abs() < correlationWindow {
+			n++
+		}
+	}
+	return n >= minCorrelatedCrashes
+}
+
+// crashWeight returns the weight of one crash of a request; the lock is held.
+func (q *Quarantine) crashWeight(p Fingerprint, c *Crash) int {
+	switch {
+	case c.suspect(p).Cleared:
+		return 0
+	case q.correlated(c):
+		return correlatedCrashWeight
+	}
+	return isolatedCrashWeight
+}
+
+// crashesOf returns copies of the crashes of a request with no other suspects; the lock is held.
 func (q *Quarantine) crashesOf(p Fingerprint) []Crash {
 	var l []Crash
 	for _, c := range q.bySuspect[p] {
@@ -309,19 +332,19 @@
 	return l
 }
 
-// removeSuspect removes a request from a crash; the lock is held.
-func (q *Quarantine) removeSuspect(p Fingerprint, c *Crash) {
-	i := slices.IndexFunc(c.Suspects, func(s Suspect) bool { return s.Fingerprint == p })
-	c.Suspects = slices.Delete(c.Suspects, i, i+1)
-	q.suspectCount--
-	l := q.bySuspect[p]
-	q.changed = true
-	i = slices.Index(l, c)
-	if l = slices.Delete(l, i, i+1); len(l) == 0 {
-		delete(q.bySuspect, p)
+// expire drops whatever is too old to count; the lock is held.
+func (q *Quarantine) expire(now time.Time) {
+	old := func(c *Crash) bool { return now.Sub(c.At) >= suspectTTL }
+	if len(q.crashes) == 0 || !old(q.crashes[0]) {
 		return
 	}
-	q.bySuspect[p] = l
+	for p := range q.bySuspect {
+		q.expireSuspect(p, now)
+	}
+	// Crashes outlast their suspects while they may still be correlated with others.
+	q.crashes = slices.DeleteFunc(q.crashes, func(c *Crash) bool {
+		return len(c.Suspects) == 0 && now.Sub(c.At) >= suspectTTL+correlationWindow
+	})
 }
 
 // expireSuspect drops the crashes of a request that are too old to count; the lock is held.
@@ -340,33 +363,7 @@
 	}
 }
 
-// expire drops what is too old to count; the lock is held.
-func (q *Quarantine) expire(now time.Time) {
-	old := func(c *Crash) bool { return now.Sub(c.At) >= suspectTTL }
-	if len(q.crashes) == 0 || !old(q.crashes[0]) {
-		return
-	}
-	for p := range q.bySuspect {
-		q.expireSuspect(p, now)
-	}
-	// Those that crashed with others outlast their suspects.
-	q.crashes = slices.DeleteFunc(q.crashes, func(c *Crash) bool {
-		return len(c.Suspects) == 0 && now.Sub(c.At) >= suspectTTL+correlationWindow
-	})
-}
-
-// quarantinedSuspects returns how many suspects of a crash are quarantined; the lock is held.
-func (q *Quarantine) quarantinedSuspects(c *Crash) int {
-	n := 0
-	for _, s := range c.Suspects {
-		if q.weight(s.Fingerprint) >= quarantineThreshold {
-			n++
-		}
-	}
-	return n
-}
-
-// lastActivity returns when a request last returned or crashed an upstream; the lock is held.
+// lastActivity returns when a request was last sent again or crashed an upstream; the lock is held.
 func (q *Quarantine) lastActivity(p Fingerprint) time.Time {
 	var t time.Time
 	for _, c := range q.bySuspect[p] {
@@ -377,8 +374,8 @@
 	return t
 }
 
-// makeRoom drops the oldest suspects that are not quarantined until there is room for another
-// one, and reports whether there is; the lock is held.
+// makeRoom drops the oldest suspects that are not quarantined until there is room for another one,
+// and reports whether there is; the lock is held.
 func (q *Quarantine) makeRoom() bool {
 	if q.suspectCount < maxSuspects {
 		return true
@@ -396,8 +393,8 @@
 	return false
 }
 
-// quarantinedAt returns when the crash was noticed that put a request into quarantine; the lock is
-// held.
+// quarantinedAt returns the time of the crash that put a request into quarantine, or the zero time;
+// the lock is held.
 func (q *Quarantine) quarantinedAt(p Fingerprint) time.Time {
 	n := 0
 	for _, c := range q.bySuspect[p] {
@@ -408,7 +405,18 @@
 	return time.Time{}
 }
 
-// record adds what is known of one crash, and reports whether that is news; the lock is held.
+// quarantinedSuspects returns how many suspects of a crash are quarantined; the lock is held.
+func (q *Quarantine) quarantinedSuspects(c *Crash) int {
+	n := 0
+	for _, s := range c.Suspects {
+		if q.weight(s.Fingerprint) >= quarantineThreshold {
+			n++
+		}
+	}
+	return n
+}
+
+// record adds one announced crash, and reports whether anything changed; the lock is held.
 func (q *Quarantine) record(d *Crash, now time.Time) (changed bool) {
 	i := slices.IndexFunc(q.crashes, d.sameStart)
 	if i < 0 {
@@ -441,27 +449,22 @@
 	return changed
 }
 
-// correlated reports whether an upstream crashed with others; the lock is held.
-func (q *Quarantine) correlated(c *Crash) bool {
-	n := 0
-	for _, d := range q.crashes {
-		if d.At.Sub(c.At).Abs() < correlationWindow {
-			n++
-		}
-	}
-	return n >= minCorrelatedCrashes
-}
-
-// trialsTaken returns how often a request was let through; the lock is held.
-func (q *Quarantine) trialsTaken(p Fingerprint) int {
-	n := 0
-	for _, c := range q.bySuspect[p] {
-		n = max(n, c.suspect(p).Trials)
+// removeSuspect removes a request from a crash; the lock is held.
+func (q *Quarantine) removeSuspect(p Fingerprint, c *Crash) {
+	i := slices.IndexFunc(c.Suspects, func(s Suspect) bool { return s.Fingerprint == p })
+	c.Suspects = slices.Delete(c.Suspects, i, i+1)
+	q.suspectCount--
+	l := q.bySuspect[p]
+	q.changed = true
+	i = slices.Index(l, c)
+	if l = slices.Delete(l, i, i+1); len(l) == 0 {
+		delete(q.bySuspect, p)
+		return
 	}
-	return n
+	q.bySuspect[p] = l
 }
 
-// trialsDue returns how often a quarantined request was to be let through by now; the lock is held.
+// trialsDue returns how often a quarantined request may have been let through by now; the lock is held.
 func (q *Quarantine) trialsDue(p Fingerprint, now time.Time) int {
 	since := now.Sub(q.quarantinedAt(p))
 	n := 0
@@ -471,28 +474,26 @@
 	return n
 }
 
-// weight returns how much the crashes of a request weigh; the lock is held.
-func (q *Quarantine) weight(p Fingerprint) int {
+// trialsTaken returns how often a request was let through; the lock is held.
+func (q *Quarantine) trialsTaken(p Fingerprint) int {
 	n := 0
 	for _, c := range q.bySuspect[p] {
-		n += q.crashWeight(p, c)
+		n = max(n, c.suspect(p).Trials)
 	}
 	return n
 }
 
-// crashWeight returns how much one crash of a request weighs; the lock is held.
-func (q *Quarantine) crashWeight(p Fingerprint, c *Crash) int {
-	switch {
-	case c.suspect(p).Cleared:
-		return 0
-	case q.correlated(c):
-		return correlatedCrashWeight
+// weight returns the total weight of the crashes of a request; the lock is held.
+func (q *Quarantine) weight(p Fingerprint) int {
+	n := 0
+	for _, c := range q.bySuspect[p] {
+		n += q.crashWeight(p, c)
 	}
-	return isolatedCrashWeight
+	return n
 }
 
-// toMonotonic returns a time that another box told by the clock of now, which does not follow steps of the
-// time of day.
+// toMonotonic returns t with the monotonic clock reading of now, so that the age of an event from
+// another box does not change when the wall clock is set.
 func toMonotonic(t, now time.Time) time.Time {
 	return now.Add(t.Sub(now))
 }
--- a/internal/policy/quarantine_model_test.go
+++ b/internal/policy/quarantine_model_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestQuarantinesAgree has three boxes see random crashes, lose announcements, start again, clear
-// requests and let them through, and then ask each other for what they miss: all know the same
-// then and judge alike, three crashes that any of them knew of quarantine a request unless it was
-// cleared or is due to be let through, and nothing more is missing.
+// TestQuarantinesAgree has three boxes record random crashes, lose announcements, restart, clear requests
+// and let them through. After they have exchanged what they miss, nothing may be missing and all boxes
+// must decide alike. A request with three crashes known to any box must be quarantined, unless it was
+// cleared or a trial is due.
 func TestQuarantinesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_800_000_000, 0)
@@ -44,7 +44,7 @@
 				}
 			}
 		}
-		most := make(map[Fingerprint]int) // crashes that any box counts
+		most := make(map[Fingerprint]int) // maximum number of crashes recorded at one box
 		for _, b := range boxes {
 			for p := Fingerprint(1); p <= 4; p++ {
 				most[p] = max(most[p], b.CrashCount(p, now))
@@ -62,22 +62,22 @@
 				t.Errorf("box %d: got digest %x, want %x", i, got, want)
 			}
 			if got := b.Missing(boxes[0].CrashHashes(now), now); len(got) != 0 {
-				t.Errorf("box %d: got %d crashes that box 0 misses, want none", i, len(got))
+				t.Errorf("box %d: got %d crashes missing at box 0, want none", i, len(got))
 			}
 			for p, n := range most {
 				if got, want := b.Quarantined(p, now), boxes[0].Quarantined(p, now); got != want {
 					t.Errorf("box %d: %v: got quarantined %v, want %v", i, p, got, want)
 				}
 				if n >= 3 && !cleared[p] && !b.Quarantined(p, now) && b.TakeTrial(p, now) == nil {
-					t.Errorf("box %d: %v is sent on, although a box knows %d crashes", i, p, n)
+					t.Errorf("box %d: %v is not quarantined, although a box had recorded %d crashes", i, p, n)
 				}
 			}
 		}
 	})
 }
 
-// TestMissingIsBounded checks what a box hears of in one message where there are many suspects: of
-// the quarantined requests first, and of all of them once it has asked again.
+// TestMissingIsBounded checks that a message to another box is bounded if there are many suspects, that it
+// contains the quarantined requests first, and that repeated messages transfer everything.
 func TestMissingIsBounded(t *testing.T) {
 	const quarantined = Fingerprint(1)
 	now := time.Now()
@@ -106,10 +106,10 @@
 		}
 		b.Record(l, now)
 		if !b.Quarantined(quarantined, now) {
-			t.Errorf("message %d: the quarantined request is not known", i)
+			t.Errorf("message %d: the quarantined request was not transferred", i)
 		}
 	}
 	if a.Digest(now) != b.Digest(now) {
-		t.Error("not all was told")
+		t.Error("digests differ after the last message")
 	}
 }
--- a/internal/policy/quarantine_test.go
+++ b/internal/policy/quarantine_test.go
@@ -7,13 +7,12 @@
 	"time"
 )
 
-// TestTwoCrashesQuarantineARequest checks when a request is sent to no further upstream: once two
-// starts of upstreams crashed under it apart in time from others, or three in any way, and for as
-// long as they are remembered.
+// TestTwoCrashesQuarantineARequest checks when a request is quarantined: after two isolated crashes of
+// different incarnations of upstreams, or three of any kind, and only until they expire.
 func TestTwoCrashesQuarantineARequest(t *testing.T) {
 	now := time.Now()
 	at := now.Add
-	type fact struct {
+	type announcement struct {
 		after        time.Duration
 		upstream     string
 		born         int64
@@ -22,34 +21,34 @@
 	const own, other = Fingerprint(1), Fingerprint(2)
 	both := []Fingerprint{own, other}
 	for _, x := range []struct {
-		name  string
-		facts []fact
-		later time.Duration
-		want  bool
+		name          string
+		announcements []announcement
+		later         time.Duration
+		want          bool
 	}{
-		{"one", []fact{{0, "a", 1, both}}, time.Second, false},
-		{"two", []fact{{0, "a", 1, both}, {time.Second, "b", 1, both}}, 2 * time.Second, true},
-		{"the second was another's", []fact{{0, "a", 1, both}, {time.Second, "b", 1, []Fingerprint{other}}}, 2 * time.Second, false},
-		{"one that several boxes tell of", []fact{{0, "a", 1, both}, {time.Second, "a", 1, both}}, 2 * time.Second, false},
-		{"one that has started again", []fact{{0, "a", 1, both}, {time.Second, "a", 2, both}}, 2 * time.Second, true},
-		{"one that has started again and does not tell when", []fact{{0, "a", 0, both}, {4 * time.Second, "a", 0, both}}, 5 * time.Second, true},
-		{"one that does not tell when it started, told of twice", []fact{{0, "a", 0, both}, {time.Second, "a", 0, both}}, 2 * time.Second, false},
-		{"two long ago", []fact{{0, "a", 1, both}, {time.Second, "b", 1, both}}, time.Hour, false},
-		{"a rack with one more after it", []fact{
+		{"one crash", []announcement{{0, "a", 1, both}}, time.Second, false},
+		{"two crashes", []announcement{{0, "a", 1, both}, {time.Second, "b", 1, both}}, 2 * time.Second, true},
+		{"second crash of another request only", []announcement{{0, "a", 1, both}, {time.Second, "b", 1, []Fingerprint{other}}}, 2 * time.Second, false},
+		{"one crash announced twice", []announcement{{0, "a", 1, both}, {time.Second, "a", 1, both}}, 2 * time.Second, false},
+		{"two incarnations of one upstream", []announcement{{0, "a", 1, both}, {time.Second, "a", 2, both}}, 2 * time.Second, true},
+		{"two incarnations without start times", []announcement{{0, "a", 0, both}, {4 * time.Second, "a", 0, both}}, 5 * time.Second, true},
+		{"one crash without a start time announced twice", []announcement{{0, "a", 0, both}, {time.Second, "a", 0, both}}, 2 * time.Second, false},
+		{"two expired crashes", []announcement{{0, "a", 1, both}, {time.Second, "b", 1, both}}, time.Hour, false},
+		{"one of three correlated crashes, then an isolated one", []announcement{
 			{0, "a", 1, both}, {time.Millisecond, "b", 1, nil}, {2 * time.Millisecond, "c", 1, nil}, {time.Second, "d", 1, both},
 		}, 2 * time.Second, false},
-		{"all that crashed together", []fact{
+		{"three correlated crashes", []announcement{
 			{0, "a", 1, both}, {time.Millisecond, "b", 1, both}, {2 * time.Millisecond, "c", 1, both},
 		}, 2 * time.Second, true},
-		{"two of three that crashed together, and one of three again", []fact{
+		{"two of three correlated crashes, then one of three", []announcement{
 			{0, "a", 1, both}, {0, "b", 1, both}, {0, "c", 1, nil}, {time.Second, "d", 1, both}, {time.Second, "e", 1, nil}, {time.Second, "f", 1, nil},
 		}, 2 * time.Second, true},
-		{"a rack twice", []fact{
+		{"one of three correlated crashes, twice", []announcement{
 			{0, "a", 1, both}, {0, "b", 1, nil}, {0, "c", 1, nil}, {time.Second, "d", 1, both}, {time.Second, "e", 1, nil}, {time.Second, "f", 1, nil},
 		}, 2 * time.Second, false},
 	} {
 		q := NewQuarantine()
-		for _, f := range x.facts {
+		for _, f := range x.announcements {
 			q.Record([]Crash{crashOf(f.upstream, f.born, at(f.after), f.fingerprints...)}, at(f.after))
 		}
 		if got := q.Quarantined(own, at(x.later)); got != x.want {
@@ -57,12 +56,12 @@
 		}
 		q.Clear(own)
 		if q.Quarantined(own, at(x.later)) {
-			t.Errorf("%s: quarantined although it ran to its end", x.name)
+			t.Errorf("%s: quarantined although it ran to completion", x.name)
 		}
 	}
 }
 
-// crashOf returns a crash with its suspects.
+// crashOf returns a crash with the given suspects.
 func crashOf(upstream string, born int64, at time.Time, l ...Fingerprint) Crash {
 	c := Crash{At: at, StartedAtMS: born, Upstream: upstream}
 	for _, p := range l {
@@ -71,8 +70,8 @@
 	return c
 }
 
-// TestCrashesAreBounded has more requests than are remembered be running as upstreams end, over
-// days: what is old goes.
+// TestCrashesAreBounded records more suspects than are kept: the oldest are dropped, and everything
+// expires later.
 func TestCrashesAreBounded(t *testing.T) {
 	now, q := time.Now(), NewQuarantine()
 	for i := range 10 {
@@ -88,12 +87,12 @@
 	}
 	q.Record([]Crash{crashOf("later", 0, now.Add(time.Hour))}, now.Add(time.Hour))
 	if got := len(q.bySuspect) + len(q.crashes) + q.suspectCount; got != 1 {
-		t.Errorf("remembered an hour later: got %d, want 1, the crash itself", got)
+		t.Errorf("recorded an hour later: got %d, want 1, the new crash", got)
 	}
 }
 
-// BenchmarkQuarantine measures what a request pays for a look: while nothing is remembered, and while
-// 16 upstreams ended under 64 requests each. The third takes in such an end.
+// BenchmarkQuarantine measures the lookup for a request with nothing recorded, and after 16 crashes with
+// 64 suspects each, for a suspect and for another request; and recording a crash.
 func BenchmarkQuarantine(b *testing.B) {
 	now := time.Now()
 	fingerprints := make([]Fingerprint, 64)
@@ -134,8 +133,8 @@
 	})
 }
 
-// TestQuarantineLastsWhileTheRequestReturns has a poison request return every 20 s for three days,
-// at boxes that tell each other what they learn: it is let through three times and no more.
+// TestQuarantineLastsWhileTheRequestReturns sends a poison request every 20 s for three days to two boxes
+// that exchange their records: exactly three trials let it through.
 func TestQuarantineLastsWhileTheRequestReturns(t *testing.T) {
 	const p = Fingerprint(1)
 	start := time.Now()
@@ -147,7 +146,7 @@
 	}
 	var trials []time.Duration
 	for now := start; now.Sub(start) < 72*time.Hour; now = now.Add(20 * time.Second) {
-		a, b = b, a // it returns to one after the other
+		a, b = b, a // it is sent to both in turn
 		if l := a.Renew(p, now); l != nil {
 			b.Record(l, now)
 		}
@@ -156,12 +155,12 @@
 		}
 		trials = append(trials, now.Sub(start))
 		if l := a.TakeTrial(p, now); l == nil {
-			t.Fatalf("after %v: sent on without a trial", now.Sub(start))
+			t.Fatalf("after %v: let through without a trial", now.Sub(start))
 		} else {
 			b.Record(l, now)
 		}
 		if !a.Quarantined(p, now) || !b.Quarantined(p, now) {
-			t.Fatalf("after %v: not quarantined beside a trial", now.Sub(start))
+			t.Fatalf("after %v: not quarantined after its trial was taken", now.Sub(start))
 		}
 		l := []Crash{crashOf(fmt.Sprint("u-", now.Sub(start)), 1, now, p)}
 		a.Record(l, now)
@@ -172,8 +171,8 @@
 	}
 }
 
-// TestQuarantineEnds checks that a request is forgotten some time after it has last returned, and
-// that a trial which ends well frees one that was quarantined by chance.
+// TestQuarantineEnds checks that a quarantine expires some time after the request was last sent, and that
+// a successful trial clears a request that was quarantined by chance.
 func TestQuarantineEnds(t *testing.T) {
 	const p = Fingerprint(1)
 	now := time.Now()
@@ -193,22 +192,22 @@
 	}
 	q.Clear(p)
 	if q.Quarantined(p, now) {
-		t.Error("quarantined although its trial ended well")
+		t.Error("quarantined although its trial succeeded")
 	}
 	now = now.Add(time.Hour)
 	quarantine()
 	now = now.Add(quarantineTTL - time.Second)
 	q.TakeTrial(p, now)
 	if !q.Quarantined(p, now) {
-		t.Errorf("forgotten before %v", quarantineTTL)
+		t.Errorf("expired before %v", quarantineTTL)
 	}
 	if now = now.Add(time.Second); q.Quarantined(p, now) || !q.Empty() {
-		t.Errorf("remembered after %v", quarantineTTL)
+		t.Errorf("not expired after %v", quarantineTTL)
 	}
 }
 
-// TestFloodDoesNotPushOutAQuarantine has more suspects than are remembered after a request was
-// quarantined, and before another one is.
+// TestFloodDoesNotPushOutAQuarantine records more suspects than are kept after one request was quarantined
+// and before another one is: both must be quarantined in the end.
 func TestFloodDoesNotPushOutAQuarantine(t *testing.T) {
 	const first, second = Fingerprint(1), Fingerprint(2)
 	now, q := time.Now(), NewQuarantine()
@@ -235,16 +234,16 @@
 		}
 	}
 	if got := q.CrashCount(3, now); got != 0 {
-		t.Errorf("crashes of an old suspect: got %d, want none remembered", got)
+		t.Errorf("crashes of an old suspect: got %d, want none recorded", got)
 	}
 }
 
-// TestCrashesDoNotFollowTheTimeOfDay records a crash that another box told, whose time is that of the
-// day: its age must not change where the time of day steps afterwards.
+// TestCrashesDoNotFollowTheTimeOfDay records a crash announced by another box, whose time has no monotonic
+// clock reading: its age must not change when the wall clock is set afterwards.
 func TestCrashesDoNotFollowTheTimeOfDay(t *testing.T) {
 	now, q := time.Now(), NewQuarantine()
 	q.Record([]Crash{crashOf("u", 1, now.Add(-time.Second).Round(0), 1)}, now)
 	if got := q.crashes[0].At; !strings.Contains(got.String(), " m=") || now.Sub(got) != time.Second {
-		t.Errorf("got %v, want a second before %v by the steady clock", got, now)
+		t.Errorf("got %v, want a second before %v with a monotonic clock reading", got, now)
 	}
 }
--- a/internal/policy/queue.go
+++ b/internal/policy/queue.go
@@ -4,40 +4,39 @@
 	"time"
 )
 
-// queue holds waiting work in order, with the cost of all that stands before
-// any place. It is a treap: every operation takes logarithmic time.
+// queue holds waiting work in order, and sums up the cost of all work ahead of any position. It is a
+// treap, so that every operation takes logarithmic time.
 type queue struct {
 	byID map[string]*entry
 	root *entry
-	seed uint64
+	seed uint64 // of the heap priorities
 }
 
-// entry is one piece of waiting work.
+// entry is one piece of queued work.
 type entry struct {
-	cost        float64       // seconds of the engine's time
-	charge      time.Duration // to the share of its workspace
+	cost        float64       // seconds of engine time
+	charge      time.Duration // charged to its workspace
 	estimate    estimate
-	targetStart time.Time // when it must start for its first token to come by its target; zero where it has none
+	targetStart time.Time // latest start that meets its target; zero if it has none
 	key         Key
-	latestStart time.Time // when it must start to meet its deadline
-	urgentAt    time.Time // when it goes before other costly work
+	latestStart time.Time // latest start that meets its deadline, and its caller's limit for the first token
+	urgentAt    time.Time // when it moves ahead of other costly work
 	order       order
 	work        *Work
 
 	heapPriority uint64
 	left, right  *entry
-	subtreeCost  float64 // of cost over the subtree
-	subtreeCount int     // of entries in the subtree
+	subtreeCost  float64 // sum of cost over the subtree
+	subtreeCount int     // entries in the subtree
 }
 
-// order is the rank of an entry: what can still be in time first, then higher priority, then
-// what is large for its kind, then the priority of its route, then the cheaper
-// class, then what is urgent, then the lower time.
+// order is the rank of an entry. It compares, in this sequence: can it still meet its target, higher
+// priority, large for its kind, higher priority of its route, cheaper class, urgent, lower time.
 type order struct {
-	late     bool   // its first token comes after its target
+	late     bool   // it has missed its target
 	class    int    // of cost
 	large    bool   // see prefersLarge
-	sequence uint64 // of arrival, so that no two are equal
+	sequence uint64 // of arrival, unique
 	priority int
 	route    int   // priority of its route
 	time     int64 // nanoseconds
@@ -48,7 +47,7 @@
 	return &queue{byID: make(map[string]*entry), seed: 0x9e3779b97f4a7c15}
 }
 
-// costBefore returns the cost of all entries before o.
+// costBefore returns the total cost of the entries that rank before o.
 func (q *queue) costBefore(o order) float64 {
 	s := 0.0
 	for e := q.root; e != nil; {
@@ -86,7 +85,7 @@
 	return len(q.byID)
 }
 
-// remove takes out the work of that id and returns it, or nil.
+// remove removes the entry with that work id and returns it, or nil.
 func (q *queue) remove(id string) *entry {
 	e := q.byID[id]
 	if e == nil {
@@ -101,11 +100,12 @@
 	return e
 }
 
-// totalCost returns the cost of all entries.
+// totalCost returns the total cost of the queue.
 func (q *queue) totalCost() float64 {
 	return subtreeCostOf(q.root)
 }
 
+// before reports whether o ranks before p.
 func (o order) before(p order) bool {
 	if o.late != p.late {
 		return p.late
@@ -136,13 +136,7 @@
 	e.subtreeCount = 1 + subtreeCountOf(e.left) + subtreeCountOf(e.right)
 }
 
-func subtreeCountOf(e *entry) int {
-	if e == nil {
-		return 0
-	}
-	return e.subtreeCount
-}
-
+// merge joins two trees; all entries of a rank before those of b.
 func merge(a, b *entry) *entry {
 	switch {
 	case a == nil:
@@ -159,7 +153,7 @@
 	return b
 }
 
-// split parts the tree into the entries before o and the rest.
+// split divides a tree into the entries that rank before o and the rest.
 func split(e *entry, o order) (a, b *entry) {
 	if e == nil {
 		return nil, nil
@@ -180,3 +174,10 @@
 	}
 	return e.subtreeCost
 }
+
+func subtreeCountOf(e *entry) int {
+	if e == nil {
+		return 0
+	}
+	return e.subtreeCount
+}
--- a/internal/policy/queue_test.go
+++ b/internal/policy/queue_test.go
@@ -7,8 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestQueueAgainstSortedList drives the treap and a sorted list with the same
-// operations.
+// TestQueueAgainstSortedList compares the treap with a sorted list under random operations.
 func TestQueueAgainstSortedList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := newQueue()
--- a/internal/policy/rendezvous.go
+++ b/internal/policy/rendezvous.go
@@ -8,13 +8,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rendezvous holds names with their hashes, for many choices among the same names.
+// Rendezvous caches the hashes of names, for many lookups among the same names.
 type Rendezvous struct {
 	hashes []uint64
 	names  []string
 }
 
-// NewRendezvous returns a Rendezvous of names, which must not be changed afterwards.
+// NewRendezvous returns a Rendezvous over names, which must not be changed afterwards.
 func NewRendezvous(names []string) *Rendezvous {
 	r := &Rendezvous{names: names}
 	for _, n := range names {
@@ -23,7 +23,7 @@
 	return r
 }
 
-// First returns the name that Rank puts first for key, or "" where there is no name.
+// First returns the name that Rank puts first for key, or "" if there are no names.
 func (r *Rendezvous) First(key string) string {
 	k := xxhash.Sum64String(key)
 	best, bestScore := "", uint64(0)
@@ -36,8 +36,7 @@
 	return best
 }
 
-// First returns the name that Rank puts first, without sorting, or "" where there is no
-// name.
+// First returns the name that Rank puts first, without sorting, or "" if there are no names.
 func First(key string, names []string) string {
 	k := xxhash.Sum64String(key)
 	best, bestScore := "", uint64(0)
@@ -50,8 +49,8 @@
 	return best
 }
 
-// Rank returns the names in order of their rendezvous hash with key: the first
-// is the choice, and the removal of any other name does not change it.
+// Rank returns the names in descending order of their rendezvous hash with key. Removing one name
+// does not change the order of the others, so only keys of the removed name get a new first choice.
 func Rank(key string, names []string) []string {
 	type scored struct {
 		name  string
@@ -70,8 +69,9 @@
 	return r
 }
 
-// mix returns the rendezvous hash of a key's and a name's hashes: the finalizer of
-// splitmix64 over both. Hashing them apart lets one hash of a name serve many keys.
+// mix combines the hashes of a key and a name into their rendezvous hash, with the finalizer of
+// splitmix64. Hashing key and name separately allows for the hash of a name to be reused for many
+// keys.
 func mix(key, name uint64) uint64 {
 	x := key ^ bits.RotateLeft64(name, 32)
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/policy/rendezvous_test.go
+++ b/internal/policy/rendezvous_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestRendezvousAgrees checks that the three ways to choose agree, and that the
-// removal of a name moves only what had fallen to it.
+// TestRendezvousAgrees checks that the three ways to choose agree, and that removing a name does not change
+// the order of the others.
 func TestRendezvousAgrees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-c]{1,3}-[0-9]{1,2}`), 1, 20, rapid.ID[string]).Draw(t, "names")
@@ -31,8 +31,8 @@
 	})
 }
 
-// TestRendezvousSpreads checks that keys spread evenly over names that differ in one
-// place, as those of boxes and upstreams do.
+// TestRendezvousSpreads checks that keys are distributed evenly over names that differ in few characters,
+// as those of boxes and upstreams do.
 func TestRendezvousSpreads(t *testing.T) {
 	const keys, names = 20_000, 50
 	var l []string
--- a/internal/policy/retries.go
+++ b/internal/policy/retrybudget.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// RetryBudget is a budget of retries: each request adds a share of a retry, up to
-// a bound, and each retry takes a whole one. Where it is spent, a failure is
-// told to the caller in place of being added to.
+// RetryBudget limits retries to a share of the requests: each request adds a fraction of a retry to
+// the balance, up to a bound, and each retry takes one. When the balance is spent, failures are
+// reported to the caller instead of adding load with retries.
 type RetryBudget struct {
-	balance float64
+	balance float64 // retries
 }
 
 const (
-	retryBurst        = 20
+	retryBurst        = 20 // maximum balance
 	retriesPerRequest = 0.1
 )
 
 // Backoff bounds, doubled at each try and spread by a random share.
 const (
+	// Bounds of Backoff.
 	initialBackoff = 20 * time.Millisecond
 	maxBackoff     = 2 * time.Second
 )
@@ -25,12 +26,12 @@
 	return &RetryBudget{balance: retryBurst}
 }
 
-// RecordRequest adds the share of one request.
+// RecordRequest adds the share of one request to the balance.
 func (r *RetryBudget) RecordRequest() {
 	r.balance = min(retryBurst, r.balance+retriesPerRequest)
 }
 
-// Take takes one retry and reports whether there was one.
+// Take takes one retry from the balance and reports whether there was one.
 func (r *RetryBudget) Take() bool {
 	if r.balance < 1 {
 		return false
@@ -39,8 +40,8 @@
 	return true
 }
 
-// Backoff returns when the try after failure number n (from 1) may go; spread
-// is a random number in [0, 1).
+// Backoff returns when to retry after the n-th failure in a row (from 1): exponential back-off with
+// jitter over the upper half of the delay, where spread is a random number in [0, 1).
 func Backoff(now time.Time, n int, spread float64) time.Time {
 	d := min(maxBackoff, initialBackoff<<min(n-1, 10))
 	return now.Add(d/2 + time.Duration(spread*float64(d/2)))
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -4,62 +4,62 @@
 	"time"
 )
 
-// Router chooses the upstream at which a box asks for a place, from the loads
-// that owners told with their answers.
+// Router chooses the upstream at which a box asks for a place, based on the loads that owners sent
+// along with their answers.
 type Router struct {
 	lengths     *Lengths
 	loads       map[string]*upstreamLoad
-	lastMovedAt map[string]time.Time // by upstream: when work last moved away from it
-	seed        uint64
+	lastMovedAt map[string]time.Time // by upstream: when work was last moved away from it
+	seed        uint64               // state of the pseudo-random sequence
 }
 
-// upstreamLoad is the last load heard of an upstream, with what was sent there since.
+// upstreamLoad is the last known load of an upstream, and what this box has placed there since.
 type upstreamLoad struct {
-	placedTokens        int // tokens of memory placed there by this box since
+	placedTokens        int // of KV memory
 	load                Load
-	placedPrefillTokens int     // tokens of prompts placed there by this box since
-	placedBacklog       float64 // seconds of the engine's time placed there by this box since
+	placedPrefillTokens int     // of prompts
+	placedBacklog       float64 // seconds of engine time
 }
 
 // Candidate is an upstream that may be chosen.
 type Candidate struct {
 	Capacity Capacity
-	Penalty  float64 // seconds of backlog that the way to it counts for
+	Penalty  float64 // seconds of backlog added for the distance to another hall; 0 in the work's own hall
 	Name     string
 }
 
 const (
-	loadTTL      = 5 * time.Second // of a load, from the moment of which it tells
-	moveInterval = time.Second     // between two moves away from one upstream
-	minMoveGain  = 2.0             // seconds of backlog by which another upstream must be better
-	maxMoveRatio = 0.5             // and the share of the present backlog that it may have
-	// movedRunHallPenalty is how many more seconds of backlog another hall counts for where a
-	// run is moved: the copy takes twice as long, and its engine's link meanwhile serves no
-	// other run that has to leave.
+	loadTTL      = 5 * time.Second // after Load.AsOf
+	moveInterval = time.Second     // minimum time between two moves away from the same upstream
+	// Another upstream must be better by minMoveGain seconds of backlog, and have at most
+	// maxMoveRatio of the current backlog.
+	minMoveGain  = 2.0
+	maxMoveRatio = 0.5
+	// movedRunHallPenalty is the further backlog, in seconds, added for another hall if a run is
+	// moved. Copying takes twice as long, and occupies the engine's link meanwhile, which other
+	// runs that must be moved need.
 	movedRunHallPenalty = 10.0
-	peakCost            = 1.0 // seconds of backlog that a full memory counts for
-	// prefillCost is how many seconds of backlog each second counts for that prompts take
-	// to be read which are being read already: a new one waits for them, and all of them
-	// hold up those who have their tokens.
+	peakCost            = 1.0 // seconds of backlog added for a full KV memory
+	// prefillCost is the backlog, in seconds, added for each second that current prefills will take.
+	// A new prompt has to wait for them, and they delay all generations that are decoding.
 	prefillCost = 2.0
-	// copyBudgetSeconds is how much copying an engine should hold: half of the shortest
-	// notice that engines give, 1.5 s, since several that leave together share the links
-	// of those that stay. copyOverrunCost is how many seconds of backlog each second beyond
-	// it counts for: what does not fit is lost where the engine is reclaimed.
+	// copyBudgetSeconds is the copying time for the KV memory that an engine should hold at most. It
+	// is about half of shortestNotice, as several engines that leave together share the links of
+	// those that stay. copyOverrunCost is the backlog, in seconds, added for each second beyond it:
+	// memory that can not be copied in time is lost when the engine is reclaimed.
 	copyBudgetSeconds = 0.7
 	copyOverrunCost   = 3.0
-	unknownBacklog    = 0.5 // seconds, assumed where nothing is known
-	tieBreakSeconds   = 1e-3
+	unknownBacklog    = 0.5  // seconds, assumed if no load is known
+	tieBreakSeconds   = 1e-3 // upper bound of the random part of a score
 )
 
-// NewRouter returns a router that knows no load. The seed parts the boxes, so
-// that they do not all choose alike.
+// NewRouter returns a router without loads. Each box needs its own seed, so that boxes do not all
+// make the same choices.
 func NewRouter(l *Lengths, seed uint64) *Router {
 	return &Router{lengths: l, loads: make(map[string]*upstreamLoad), lastMovedAt: make(map[string]time.Time), seed: seed | 1}
 }
 
-// BetterUpstream returns an upstream at which w would wait much less than where it
-// waits now, or "".
+// BetterUpstream returns an upstream at which w would wait much less than at the current one, or "".
 func (r *Router) BetterUpstream(w *Work, at string, c []Candidate, now time.Time) string {
 	here := r.loads[at]
 	if here == nil || now.Sub(r.lastMovedAt[at]) < moveInterval {
@@ -81,8 +81,8 @@
 	return best
 }
 
-// Choose returns the upstream at which to ask for a place for w, among the
-// candidates that allow lets through, or "" where there is none.
+// Choose returns the upstream at which to ask for a place for w, among the candidates for which allow
+// returns true, or "" if there is none.
 func (r *Router) Choose(w *Work, c []Candidate, now time.Time, allow func(name string) bool) string {
 	warm := warmNames(w, c)
 	c = r.sample(c, warm, allow)
@@ -106,12 +106,12 @@
 	return best
 }
 
-// Forget drops what is known of an upstream.
+// Forget drops the load of an upstream.
 func (r *Router) Forget(name string) {
 	delete(r.loads, name)
 }
 
-// Load returns the load last heard of an upstream, and whether there is one.
+// Load returns the last known load of an upstream, and whether there is one.
 func (r *Router) Load(name string) (Load, bool) {
 	k := r.loads[name]
 	if k == nil {
@@ -120,7 +120,7 @@
 	return k.load, true
 }
 
-// UpdateLoad takes in a load that an owner told.
+// UpdateLoad stores a load received from an owner, unless a newer one is known.
 func (r *Router) UpdateLoad(l Load) {
 	k := r.loads[l.Upstream]
 	if k == nil {
@@ -134,8 +134,7 @@
 	k.placedBacklog, k.placedTokens, k.placedPrefillTokens = 0, 0, 0
 }
 
-// backlog returns the seconds that work of a class would wait at an upstream, as far as
-// is known.
+// backlog returns how long, in seconds, work of a class is expected to wait at an upstream.
 func (r *Router) backlog(name string, class int, now time.Time) float64 {
 	k := r.freshLoad(name, now)
 	if k == nil {
@@ -144,9 +143,9 @@
 	return k.load.Backlog[class] + k.placedBacklog
 }
 
-// classify returns the class of w and its cost, in seconds of an engine's time.
-// The cost is added to what was sent to an upstream since its load was told, so
-// that one box does not send everything to the same place until then.
+// classify returns the class of w and its cost, in seconds of engine time. Choose adds that cost to
+// the backlog of the chosen upstream until its next load arrives, so that one box does not send
+// everything to the same upstream meanwhile.
 func (r *Router) classify(w *Work, c []Candidate) (class int, cost float64) {
 	if len(c) == 0 {
 		return 0, 0
@@ -156,8 +155,8 @@
 	return costClass(cost), cost
 }
 
-// copyPenalty returns what the copying counts for that would not fit into a notice of
-// the upstream, if w ran there, too.
+// copyPenalty returns the backlog, in seconds, added for KV memory that could not be copied away within
+// a notice of the upstream if w ran there, too.
 func (r *Router) copyPenalty(w *Work, c Candidate, now time.Time) float64 {
 	k := r.freshLoad(c.Name, now)
 	if k == nil || c.Capacity.CopyTimePerToken == 0 {
@@ -167,7 +166,7 @@
 	return copyOverrunCost * max(0, s-copyBudgetSeconds)
 }
 
-// freshLoad returns the load last heard of an upstream, or nil where it is too old.
+// freshLoad returns the last known load of an upstream, or nil if it is older than loadTTL.
 func (r *Router) freshLoad(name string, now time.Time) *upstreamLoad {
 	k := r.loads[name]
 	if k == nil || now.Sub(k.load.AsOf) > loadTTL {
@@ -176,7 +175,13 @@
 	return k
 }
 
-// random returns a number in [0, 1) from the router's own sequence.
+// prefillSecondsLeft returns the time from now, in seconds, to prefill the prompts that the load
+// reported and those placed since.
+func (k *upstreamLoad) prefillSecondsLeft(now time.Time) float64 {
+	return max(0, prefillSecondsPerToken*float64(k.load.PrefillTokens+k.placedPrefillTokens)-now.Sub(k.load.AsOf).Seconds())
+}
+
+// random returns a number in [0, 1) from the router's pseudo-random sequence.
 func (r *Router) random() float64 {
 	r.seed ^= r.seed << 13
 	r.seed ^= r.seed >> 7
@@ -184,14 +189,8 @@
 	return float64(r.seed>>11) / (1 << 53)
 }
 
-// prefillSecondsLeft returns the seconds that the prompts which were being read, and those placed
-// since, will take to be read from now on.
-func (k *upstreamLoad) prefillSecondsLeft(now time.Time) float64 {
-	return max(0, prefillSecondsPerToken*float64(k.load.PrefillTokens+k.placedPrefillTokens)-now.Sub(k.load.AsOf).Seconds())
-}
-
-// score returns the seconds of backlog that a candidate counts for: what waits there, the
-// way to it, the prompts being read and the memory that its running generations will need.
+// score returns the cost of a candidate in seconds of backlog: its queue, its distance, the prompts
+// being prefilled there and the KV memory that its running generations will need.
 func (r *Router) score(w *Work, c Candidate, class int, now time.Time) float64 {
 	s := r.backlog(c.Name, class, now) + c.Penalty
 	if w.Moved && c.Penalty > 0 {
--- a/internal/policy/router_test.go
+++ b/internal/policy/router_test.go
@@ -29,7 +29,7 @@
 		used[r.Choose(w, c, testStart, allowAny)]++
 	}
 	if got, want := len(used), affinityUpstreams; got > want {
-		t.Errorf("upstreams of one prefix at eight boxes: got %v, want at most %d", used, want)
+		t.Errorf("upstreams chosen for one prefix by eight boxes: got %v, want at most %d", used, want)
 	}
 }
 
@@ -41,12 +41,12 @@
 	warm := warmNames(w, c)
 	setBacklogs(r, c, warm, 30)
 	if got := r.Choose(w, c, testStart, allowAny); warm[got] {
-		t.Errorf("got %s, want one that is not crowded", got)
+		t.Errorf("got crowded upstream %s, want another one", got)
 	}
 }
 
-// TestRouterWeighsAPrefixByItsSize checks that a prefix counts for the time that reading
-// it takes: one of 80 tokens is not worth a wait of 100 ms, one of 4,000 is.
+// TestRouterWeighsAPrefixByItsSize checks that affinity to a prefix counts for the time to prefill it: 80
+// tokens are not worth a wait of 100 ms, 4,000 are.
 func TestRouterWeighsAPrefixByItsSize(t *testing.T) {
 	c := testCandidates(10)
 	for tokens, want := range map[int]bool{80: false, 4000: true} {
@@ -56,25 +56,25 @@
 		warm := warmNames(w, c)
 		setBacklogs(r, c, warm, 0.1)
 		if got := warm[r.Choose(w, c, testStart, allowAny)]; got != want {
-			t.Errorf("a prefix of %d tokens: kept to its places: got %v, want %v", tokens, got, want)
+			t.Errorf("prefix of %d tokens: routed by affinity: got %v, want %v", tokens, got, want)
 		}
 	}
 }
 
-// TestRouterKeepsRoomForANotice checks that what could not be copied away within a notice
-// counts against an engine: more for one whose runs would have to go to another hall, and
-// less than the way to another hall itself.
+// TestRouterKeepsRoomForANotice checks that KV memory which could not be copied away within a notice counts
+// against an engine: more if its runs would have to move to another hall, and less than the distance to
+// another hall itself.
 func TestRouterKeepsRoomForANotice(t *testing.T) {
 	const token = 50 * time.Microsecond
 	for _, x := range []struct {
 		name string
-		held []int // tokens at each of three engines, the third in another hall
+		held []int // tokens at three engines, of which the third is in another hall
 		want string
 	}{
-		{"the emptier one", []int{20_000, 5000, 0}, "u1"},
-		{"all fits at both", []int{9000, 1000, 20_000}, ""},
-		{"another hall is further than some copying", []int{30_000, 30_000, 0}, ""},
-		{"another hall is nearer than none that fits", []int{60_000, 60_000, 0}, "u2"},
+		{"less KV memory in use", []int{20_000, 5000, 0}, "u1"},
+		{"both within the copy budget", []int{9000, 1000, 20_000}, ""},
+		{"overrun below the distance penalty", []int{30_000, 30_000, 0}, ""},
+		{"overrun above the distance penalty", []int{60_000, 60_000, 0}, "u2"},
 	} {
 		far := 0
 		for seed := range uint64(40) {
@@ -94,13 +94,13 @@
 			}
 		}
 		if x.want == "" && far > 0 {
-			t.Errorf("%s: got another hall %d times of 40, want never", x.name, far)
+			t.Errorf("%s: another hall chosen %d times of 40, want never", x.name, far)
 		}
 	}
 }
 
-// TestRouterMovesRunsWithinTheirHall checks that a run is moved to another hall only where
-// its own is far more crowded than would send new work there.
+// TestRouterMovesRunsWithinTheirHall checks that runs are moved to another hall only if their own is far
+// more crowded than it must be for new work to go there.
 func TestRouterMovesRunsWithinTheirHall(t *testing.T) {
 	c := testCandidates(2)
 	c[1].Penalty = 5
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestRouterPassesOverEnginesThatRead checks that work goes where the fewest prompts are
-// being read, that this counts less as time goes by, and that moved work adds none.
+// TestRouterPassesOverEnginesThatRead checks that work goes to the upstream with the least prefill left,
+// that this counts less as time passes, and that moved work adds none.
 func TestRouterPassesOverEnginesThatRead(t *testing.T) {
 	c := testCandidates(2)
 	learn := func() *Router {
@@ -130,22 +130,22 @@
 		return r
 	}
 	if got := learn().Choose(testWork("a"), c, testStart, allowAny); got != "u1" {
-		t.Errorf("while u0 reads: got %s, want u1", got)
+		t.Errorf("while u0 prefills: got %s, want u1", got)
 	}
 	if got := learn().Choose(testWork("a"), c, testStart.Add(time.Second), allowAny); got != "u0" {
-		t.Errorf("once u0 has read: got %s, want u0", got)
+		t.Errorf("once u0 has prefilled: got %s, want u0", got)
 	}
 	r := learn()
 	w := testWork("a")
 	w.Prompt, w.Moved = 100_000, true
 	r.Choose(w, c[1:], testStart, allowAny)
 	if got := r.loads["u1"].placedPrefillTokens; got != 0 {
-		t.Errorf("tokens to be read after moved work was placed: got %d, want none", got)
+		t.Errorf("tokens to prefill after moved work was placed: got %d, want none", got)
 	}
 }
 
-// setBacklogs tells the router that work of every class would wait for so many seconds at
-// the upstreams named, and nowhere else.
+// setBacklogs gives the router loads with a backlog of so many seconds, for work of every class, at the
+// named upstreams, and no backlog at the others.
 func setBacklogs(r *Router, c []Candidate, at map[string]bool, seconds float64) {
 	for _, x := range c {
 		l := Load{AsOf: testStart, Upstream: x.Name}
@@ -158,8 +158,8 @@
 	}
 }
 
-// TestRouterSpreadsBetweenLoads checks that a box which heard one load does not
-// send everything there until the next one is told.
+// TestRouterSpreadsBetweenLoads checks that a box does not send everything to the same upstream between two
+// loads.
 func TestRouterSpreadsBetweenLoads(t *testing.T) {
 	c := testCandidates(4)
 	r := NewRouter(NewLengths(), 1)
@@ -202,13 +202,13 @@
 			r.UpdateLoad(l)
 		}
 		if got := r.BetterUpstream(w, "u0", c, testStart); got != x.want {
-			t.Errorf("from %v to %v seconds: got %q, want %q", x.here, x.there, got, x.want)
+			t.Errorf("from a backlog of %v s to %v s: got %q, want %q", x.here, x.there, got, x.want)
 		}
 	}
 }
 
-// TestRankMovesLittle checks the property that ownership rests on: a box that
-// goes changes the owner only of what it owned.
+// TestRankMovesLittle checks the property on which ownership depends: when a box leaves, only the upstreams
+// that it owned get another owner.
 func TestRankMovesLittle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-z]{1,4}`), 2, 12, rapid.ID[string]).Draw(t, "names")
@@ -230,8 +230,8 @@
 	})
 }
 
-// TestOwnershipSpreads checks that 909 upstreams of a hall of 300 boxes fall to
-// them evenly enough for each to carry its part.
+// TestOwnershipSpreads checks that the 909 upstreams of a hall are distributed evenly enough over its 300
+// boxes.
 func TestOwnershipSpreads(t *testing.T) {
 	var boxes []string
 	for i := range 300 {
@@ -246,7 +246,7 @@
 		most = max(most, n)
 	}
 	if got, want := most, 12; got > want {
-		t.Errorf("upstreams of the busiest owner: got %d, want at most %d", got, want)
+		t.Errorf("maximum number of upstreams per owner: got %d, want at most %d", got, want)
 	}
 }
 
@@ -260,7 +260,7 @@
 		}
 	}
 	if got, want := taken, retryBurst+1000*retriesPerRequest+1; float64(got) > want {
-		t.Errorf("retries for 1,000 failed requests: got %d, want at most %v", got, want)
+		t.Errorf("retries of 1,000 failed requests: got %d, want at most %v", got, want)
 	}
 }
 
@@ -275,7 +275,7 @@
 	}
 }
 
-// TestWarmNamesAreTheFirstOfTheRanking compares the choice in one pass with sorting.
+// TestWarmNamesAreTheFirstOfTheRanking compares the selection in one pass with the sorted ranking.
 func TestWarmNamesAreTheFirstOfTheRanking(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := testCandidates(rapid.IntRange(affinityUpstreams+1, 40).Draw(t, "candidates"))
@@ -294,8 +294,8 @@
 	})
 }
 
-// TestSampleIsMostlyNear checks how many candidates are looked at where there are
-// thousands, and that each has the same chance among those of its kind.
+// TestSampleIsMostlyNear checks how many of thousands of candidates are sampled, and that all of those in
+// the work's own hall have the same chance.
 func TestSampleIsMostlyNear(t *testing.T) {
 	const n, times = 3000, 2000
 	c := testCandidates(n)
@@ -325,8 +325,7 @@
 	}
 }
 
-// TestSampleFindsTheFewThatAreAllowed allows few of many candidates: each of them is
-// looked at.
+// TestSampleFindsTheFewThatAreAllowed allows few of many candidates: all of them must be sampled.
 func TestSampleFindsTheFewThatAreAllowed(t *testing.T) {
 	c := testCandidates(3000)
 	allowed := map[string]bool{"u7": true, "u1500": true, "u2999": true}
--- a/internal/policy/running.go
+++ b/internal/policy/running.go
@@ -4,18 +4,18 @@
 
 // runningWork is a generation that holds a reservation or runs.
 type runningWork struct {
-	confirmed     bool
-	expiresAt     time.Time // by which the next word of it must come
+	confirmed     bool      // its box has reported it running
+	expiresAt     time.Time // when it is dropped without further news
 	forecast      forecast
 	key           Key
-	lastTokenAt   time.Time // when it last produced a token
-	produced      int
-	prefillTokens int // tokens of its prompt that the engine reads before its first token
+	lastTokenAt   time.Time // when it last produced a token, or started
+	produced      int       // output tokens
+	prefillTokens int       // prompt tokens still to be prefilled
 	stalled       bool
 	work          *Work
 }
 
-// advance takes in how far a generation is.
+// advance records how many tokens a generation has produced, and extends its timeout.
 func (o *Owner) advance(r *runningWork, produced int, now time.Time) {
 	r.expiresAt = now.Add(silenceTimeout)
 	if produced > r.produced {
@@ -31,32 +31,13 @@
 	r.confirmed = true
 }
 
-// release forgets a generation and gives back what it holds.
-func (o *Owner) release(id string, r *runningWork) {
-	o.setStalled(r, false)
-	o.markPrefilled(r)
-	o.usedTokens -= r.work.Prompt + r.produced
-	o.forecast.add(&r.forecast, -1)
-	delete(o.running, id)
-}
-
-// releaseExpired drops reservations that were not used and generations of which
-// nothing was heard; what still runs of them shows in the upstream's report.
-func (o *Owner) releaseExpired(now time.Time) {
-	for id, r := range o.running {
-		if now.After(r.expiresAt) {
-			o.release(id, r)
-		}
-	}
-}
-
-// markPrefilled notes that the prompt of a generation has been read.
+// markPrefilled records that the prompt of a generation has been prefilled.
 func (o *Owner) markPrefilled(r *runningWork) {
 	o.prefilling -= r.prefillTokens
 	r.prefillTokens = 0
 }
 
-// refreshForecast makes the forecast from scratch once it has aged.
+// refreshForecast recomputes the forecast if it is older than maxForecastAge.
 func (o *Owner) refreshForecast(now time.Time) {
 	if now.Sub(o.forecastAt) < maxForecastAge {
 		return
@@ -69,7 +50,26 @@
 	}
 }
 
-// setStalled notes whether a generation stands still, and counts those that do.
+// release drops a generation and releases its memory.
+func (o *Owner) release(id string, r *runningWork) {
+	o.setStalled(r, false)
+	o.markPrefilled(r)
+	o.usedTokens -= r.work.Prompt + r.produced
+	o.forecast.add(&r.forecast, -1)
+	delete(o.running, id)
+}
+
+// releaseExpired drops reservations that were not confirmed and generations without news. If they
+// still run, their memory shows in the upstream's report.
+func (o *Owner) releaseExpired(now time.Time) {
+	for id, r := range o.running {
+		if now.After(r.expiresAt) {
+			o.release(id, r)
+		}
+	}
+}
+
+// setStalled records whether a generation is stalled, and counts the stalled ones.
 func (o *Owner) setStalled(r *runningWork, stalled bool) {
 	if r.stalled == stalled {
 		return
@@ -82,8 +82,8 @@
 	o.stalled--
 }
 
-// stallAfter returns after how long without a token a generation counts as stalled.
-// Before its first token its prompt is being read, which takes longer.
+// stallAfter returns how long a generation may go without a token before it counts as stalled. That
+// is longer before the first token, while its prompt is prefilled.
 func (o *Owner) stallAfter(r *runningWork) time.Duration {
 	if r.produced == 0 {
 		return firstTokenStallTimeout
@@ -91,7 +91,7 @@
 	return max(minStallTimeout, seconds(stallSteps*o.stepSeconds()))
 }
 
-// start reserves a place for work that was taken in.
+// start reserves a place for e.
 func (o *Owner) start(e *entry, now time.Time) {
 	r := &runningWork{
 		expiresAt: now.Add(reservationTimeout), forecast: e.estimate.forecast, key: e.key, lastTokenAt: now,
@@ -106,7 +106,8 @@
 	o.forecast.add(&r.forecast, 1)
 }
 
-// usedTokensAt returns the tokens that known generations held at time t.
+// usedTokensAt returns the tokens that confirmed generations held at t, from what they hold now and
+// the growth of one token a step since.
 func (o *Owner) usedTokensAt(t, now time.Time) int {
 	grown := int(now.Sub(t).Seconds() / o.stepSeconds())
 	n := 0
@@ -118,7 +119,7 @@
 	return n
 }
 
-// prefillTokens returns how many tokens of prompt an engine reads of w.
+// prefillTokens returns how many prompt tokens an engine has to prefill for w.
 func prefillTokens(w *Work) int {
 	if w.Moved {
 		return 0
--- a/internal/policy/sample.go
+++ b/internal/policy/sample.go
@@ -6,19 +6,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// sampler takes a number of things at random from a sequence, each with the same chance.
+// sampler selects a fixed number of items at random from a sequence of known length, each with the same
+// probability.
 type sampler struct {
-	remaining int // things still to come
-	wanted    int // things still to be taken
+	remaining int // items still to come
+	wanted    int // items still to be selected
 }
 
 const (
-	affinityUpstreams = 2  // the upstreams that a prefix keeps to while they are not crowded
-	sampleFar         = 4  // upstreams of other halls looked at where there are many
+	affinityUpstreams = 2  // upstreams to which a prefix is routed unless they are crowded
+	sampleFar         = 4  // upstreams of other halls that are sampled from many
 	sampleNear        = 12 // and of the work's own hall
 )
 
-// take reports whether the next thing is taken, by a random number in [0, 1).
+// take reports whether the next item is selected, given a random number in [0, 1).
 func (s *sampler) take(random float64) bool {
 	taken := random*float64(s.remaining) < float64(s.wanted)
 	s.remaining--
@@ -28,8 +29,8 @@
 	return taken
 }
 
-// sample returns the allowed candidates, or, where they are many, those that
-// the prefix keeps to and some at random, most of them near.
+// sample returns the allowed candidates or, if there are many, a random sample, most of it from the
+// work's own hall, and the upstreams with affinity to the prefix.
 func (r *Router) sample(c []Candidate, warm map[string]bool, allow func(name string) bool) []Candidate {
 	near, far := newSamplers(c, allow)
 	if near.remaining+far.remaining <= sampleNear+sampleFar {
@@ -51,8 +52,7 @@
 	return l
 }
 
-// newSamplers returns the draws from the allowed candidates of the work's own hall and from
-// those of others.
+// newSamplers returns samplers of the allowed candidates in the work's own hall and in other halls.
 func newSamplers(c []Candidate, allow func(name string) bool) (near, far sampler) {
 	near.wanted, far.wanted = sampleNear, sampleFar
 	for i := range c {
@@ -67,8 +67,8 @@
 	return near, far
 }
 
-// warmNames returns the upstreams that w's prefix keeps to: those that a rendezvous
-// with it ranks first.
+// warmNames returns the upstreams with affinity to w's prefix, whose caches are likely to hold it:
+// those that rendezvous hashing ranks first for it.
 func warmNames(w *Work, c []Candidate) map[string]bool {
 	if w.Prefix == 0 || len(c) <= affinityUpstreams {
 		return nil
--- a/internal/policy/seed_test.go
+++ b/internal/policy/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// The random schedules are the same at every run.
+// Property tests run the same random schedules each time.
 func init() {
 	_ = flag.Set("rapid.seed", "20261202")
 	_ = flag.Set("rapid.nofailfile", "true")
--- a/internal/policy/shares.go
+++ b/internal/policy/shares.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// shares keeps, for each workspace that waits at an upstream, the time up to
-// which it has used its share: work beyond the share is ordered later.
+// shares implements weighted fair queueing between the workspaces with work at an upstream. For each it
+// keeps the virtual time up to which the workspace has used its share; work beyond that is ranked later.
 type shares struct {
 	workspaces  map[string]*workspaceShare
-	totalWeight float64 // of all workspaces with work waiting
+	totalWeight float64 // of all workspaces with queued work
 }
 
 type workspaceShare struct {
 	usedUntil time.Time
-	waiting   int
+	waiting   int // pieces of queued work
 	weight    float64
 }
 
-// maxShareLead bounds how far beyond its share a workspace's order is moved back.
+// maxShareLead bounds how much later a workspace beyond its share is ranked.
 const maxShareLead = 20 * time.Second
 
 func newShares() *shares {
 	return &shares{workspaces: make(map[string]*workspaceShare)}
 }
 
-// enter charges work of that cost (seconds of the engine) to its workspace and
-// returns the time from which it counts in the queue's order, and what was charged.
+// enter charges queued work of that cost, in seconds of engine time, to its workspace. It returns the
+// time by which the work is ranked, and the charge.
 func (s *shares) enter(w *Work, cost float64, now time.Time) (at time.Time, charge time.Duration) {
 	c := s.workspaces[w.Workspace]
 	if c == nil {
@@ -48,15 +48,15 @@
 	return w.Arrived.Add(lead), charge
 }
 
-// refund gives back what was charged for work that was given up before it started: it may
-// ask here again, and at many upstreams.
+// refund returns the charge of work that was refused or cancelled before it started. Such work may
+// ask again here, and at many other upstreams.
 func (s *shares) refund(w *Work, charge time.Duration) {
 	if c := s.workspaces[w.Workspace]; c != nil {
 		c.usedUntil = c.usedUntil.Add(-charge)
 	}
 }
 
-// leave says that work of a workspace no longer waits.
+// leave records that work of a workspace is no longer queued.
 func (s *shares) leave(w *Work, now time.Time) {
 	c := s.workspaces[w.Workspace]
 	if c == nil {
--- a/internal/policy/tuning.go
+++ b/internal/policy/tuning.go
@@ -1,20 +1,19 @@
 package policy
 
-// Tuning holds the constants of the decisions, so that a measurement can vary
-// them; DefaultTuning tells the values that measurements chose.
+// Tuning holds the parameters of the decisions, so that measurements can vary them.
 type Tuning struct {
-	CostReserve       float64 // share of memory kept free of costly work
-	NewestFirstCost   float64 // seconds of cost above which the newest goes first
-	ReserveHalfCost   float64 // seconds of cost at which half of that is kept
-	MaxUsedShare      float64 // share of memory in use above which nothing starts
-	TargetStepSeconds float64 // seconds between tokens
-	ZMax              float64 // largest number of standard deviations kept free
-	ZMin              float64 // smallest
-	ZPreemption       float64 // added per preemption seen
-	ZDecayPerSecond   float64 // share by which z falls back to ZMin each second
+	CostReserve       float64 // maximum share of KV memory kept free of costly work
+	NewestFirstCost   float64 // seconds of cost above which the newest work goes first
+	ReserveHalfCost   float64 // seconds of cost at which half of CostReserve is kept free
+	MaxUsedShare      float64 // share of KV memory in use above which nothing starts
+	TargetStepSeconds float64 // target time between tokens
+	ZMax              float64 // maximum number of standard deviations of the forecast kept free
+	ZMin              float64 // minimum, and the initial value
+	ZPreemption       float64 // added for each preemption
+	ZDecayPerSecond   float64 // share of the distance to ZMin that is lost each second
 }
 
-// DefaultTuning returns the values that measurements chose.
+// DefaultTuning returns the values chosen by measurements.
 func DefaultTuning() Tuning {
 	return Tuning{
 		CostReserve: 0.2, NewestFirstCost: 1, ReserveHalfCost: 2, MaxUsedShare: 0.98, TargetStepSeconds: 0.04,
