--- a/assemble.go
+++ b/assemble.go
@@ -100,7 +100,7 @@
 	m.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { b.metrics.Write(w) })
 	b.entry[0].server = b.httpServer(i)
 	b.entry[0].server.ConnState = idle.NewCloser(b.idleTimeout).Track
-	b.entry[1].server = b.httpServer(platform.Readiness(func() bool { return b.isReady() && b.relay.Known() }))
+	b.entry[1].server = b.httpServer(platform.Readiness(func() bool { return b.isReady() && b.relay.HasConfiguration() }))
 	b.entry[2].server = b.httpServer(m)
 }
 
@@ -136,20 +136,20 @@
 func (b *Box) assembleRelay(l *policy.Lengths) {
 	g := b.settings.Budget
 	b.relay = relay.New(b.view, b.tracker, l, b.settings.Hall, b.metrics, b.log,
-		relay.WithBudget(g.Ratio, g.Extra, g.Window.Duration, b.members.Count), relay.WithCold(b.coldBears, b.coldMost), relay.WithLimiter(b.limits.limiter), relay.WithRests(b.rests))
-	b.relay.Cleared = func(p policy.Fingerprint) {
+		relay.WithRetryBudget(g.Ratio, g.Extra, g.Window.Duration, b.members.Count), relay.WithCold(b.coldBears, b.coldMost), relay.WithLimiter(b.limits.limiter), relay.WithBackoffs(b.rests))
+	b.relay.AnnounceCleared = func(p policy.Fingerprint) {
 		b.broadcast("", box.Request{Kind: box.KindCleared, Fingerprints: []policy.Fingerprint{p}})
 	}
-	b.relay.Crashed = b.announceCrashes
-	b.relay.Fresh = b.fresh
-	b.relay.Guess = b.reserved.Guess
-	b.relay.Limited = b.announceLimit
-	b.relay.Leaving = func(u *resource.Upstream) { b.announceLeaving(u, "its answer") }
+	b.relay.AnnounceCrashes = b.announceCrashes
+	b.relay.RefreshViews = b.fresh
+	b.relay.ChooseLocally = b.reserved.Guess
+	b.relay.AnnounceLimit = b.announceLimit
+	b.relay.RecordLeaving = func(u *resource.Upstream) { b.announceLeaving(u, "its answer") }
 	b.relay.Place = b.reserved.Place
-	b.relay.Others = b.hasOthers
+	b.relay.HasOtherBoxes = b.hasOthers
 	b.relay.Turn = b.takeTurn
 	b.relay.ViewAge = b.follower.Age
-	b.relay.Upstreams = relay.Upstreams{Gone: b.routed.Gone, Migrate: b.routed.Migrate, Release: b.routed.Release, Send: b.routed.Send}
+	b.relay.Upstreams = relay.UpstreamCalls{ProcessEnded: b.routed.Gone, Migrate: b.routed.Migrate, Release: b.routed.Release, Send: b.routed.Send}
 }
 
 func (b *Box) assembleServers() {
--- a/crashes.go
+++ b/crashes.go
@@ -58,9 +58,9 @@
 func (b *Box) answerCrashes(q *box.Request) *box.Reply {
 	switch q.Kind { //nolint:exhaustive // The others are answered elsewhere.
 	case box.KindCleared:
-		b.relay.NoteCleared(q.Fingerprints, q.From.Name)
+		b.relay.RecordCleared(q.Fingerprints, q.From.Name)
 	case box.KindReportCrashes:
-		b.relay.NoteCrashes(q.Crashes, q.From.Name)
+		b.relay.RecordCrashes(q.Crashes, q.From.Name)
 	case box.KindListCrashes:
 		return &box.Reply{Crashes: b.relay.Quarantine().Missing(q.KnownCrashes, time.Now())}
 	}
@@ -78,7 +78,7 @@
 	if err != nil {
 		return // the next heartbeat tries again
 	}
-	if b.relay.NoteCrashes(r.Crashes, m.Name) {
+	if b.relay.RecordCrashes(r.Crashes, m.Name) {
 		b.pushCrashes()
 	}
 }
--- a/crashes_test.go
+++ b/crashes_test.go
@@ -75,7 +75,7 @@
 			ends := func(upstream string) {
 				p := relay.FingerprintOf(&relay.Request{Body: []byte(body), Host: routedHost, Method: http.MethodPost, Target: "/call/x"})
 				for _, b := range r.boxes {
-					b.relay.NoteCrashes([]policy.Crash{{At: time.Now(), Suspects: []policy.Suspect{{Fingerprint: p}}, Upstream: fmt.Sprint(upstream, round)}}, "")
+					b.relay.RecordCrashes([]policy.Crash{{At: time.Now(), Suspects: []policy.Suspect{{Fingerprint: p}}, Upstream: fmt.Sprint(upstream, round)}}, "")
 				}
 				time.Sleep(time.Second)
 			}
@@ -126,7 +126,7 @@
 		p := relay.FingerprintOf(&relay.Request{Body: []byte(body), Host: routedHost, Method: http.MethodPost, Target: "/call/x"})
 		for _, u := range []string{"one", "two"} {
 			for _, b := range r.boxes {
-				b.relay.NoteCrashes([]policy.Crash{{At: time.Now(), Suspects: []policy.Suspect{{Fingerprint: p}}, Upstream: u}}, "")
+				b.relay.RecordCrashes([]policy.Crash{{At: time.Now(), Suspects: []policy.Suspect{{Fingerprint: p}}, Upstream: u}}, "")
 			}
 		}
 		if got := r.post("box-a1", "at once", body); got != http.StatusBadGateway {
--- a/innocent_test.go
+++ b/innocent_test.go
@@ -50,15 +50,17 @@
 }
 
 // crashable returns a box's calls to upstreams, which crash while crashAll says so.
-func (r *region) crashable(name string, u relay.Upstreams) relay.Upstreams {
+func (r *region) crashable(name string, u relay.UpstreamCalls) relay.UpstreamCalls {
 	crashed := func() *atomic.Int64 {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
 		return r.crashing[name]
 	}
 	v := u
-	v.Gone = func(ctx context.Context, x *resource.Upstream) bool { return crashed() != nil || u.Gone(ctx, x) }
-	v.Send = func(ctx context.Context, x *resource.Upstream, q *relay.Request, o *relay.Offer) (*relay.Answer, error) {
+	v.ProcessEnded = func(ctx context.Context, x *resource.Upstream) bool {
+		return crashed() != nil || u.ProcessEnded(ctx, x)
+	}
+	v.Send = func(ctx context.Context, x *resource.Upstream, q *relay.Request, o *relay.SendOptions) (*relay.Answer, error) {
 		if n := crashed(); n != nil {
 			n.Add(1)
 			return nil, io.ErrUnexpectedEOF
--- a/internal/relay/away.go
+++ b/internal/relay/away.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	// arrivePeriod bounds the wait for the turn at an engine to move to: a copy takes
+	// arrivalTurnTimeout bounds the wait for the turn at an engine to move to: a copy takes
 	// about 190 ms, and another engine may be free.
-	arrivePeriod = 40 * time.Millisecond
-	// arriveTries bounds the engines whose turn is waited for.
-	arriveTries = 3
-	// copyPeriod bounds one copy: a notice lasts about two seconds.
-	copyPeriod = 3 * time.Second
-	// moveTries bounds the engines that a move is tried to.
-	moveTries = 4
-	// movePlacePeriod bounds the wait for a place at an engine to move to: notices
+	arrivalTurnTimeout = 40 * time.Millisecond
+	// maxArrivalTurns bounds the engines whose turn is waited for.
+	maxArrivalTurns = 3
+	// copyTimeout bounds one copy: a notice lasts about two seconds.
+	copyTimeout = 3 * time.Second
+	// maxMoveAttempts bounds the engines that a move is tried to.
+	maxMoveAttempts = 4
+	// movePlacementTimeout bounds the wait for a place at an engine to move to: notices
 	// are short, and an owner answers within milliseconds.
-	movePlacePeriod = 150 * time.Millisecond
-	// moveRetry is the wait before a move is tried again.
-	moveRetry = 20 * time.Millisecond
+	movePlacementTimeout = 150 * time.Millisecond
+	// moveRetryDelay is the wait before a move is tried again.
+	moveRetryDelay = 20 * time.Millisecond
 )
 
-// moveAway starts the moves of all generations whose engines are leaving. Those of a hall
+// startMoves starts the moves of all generations whose engines are leaving. Those of a hall
 // that is evacuated go on where they run.
-func (x *Relay) moveAway() {
+func (x *Relay) startMoves() {
 	now := time.Now()
 	x.mutex.Lock()
 	l := make([]*stream, 0, len(x.streams))
@@ -42,7 +42,7 @@
 	}
 	x.mutex.Unlock()
 	for _, s := range l {
-		u := s.at()
+		u := s.upstream()
 		v := x.view.Upstream(u.Name)
 		if v != nil && v.KeepsWork(now) {
 			continue
@@ -54,32 +54,32 @@
 	}
 }
 
-// takes reports whether an upstream may be given work, as far as is known now.
-func (x *Relay) takes(u *resource.Upstream) bool {
+// acceptsWork reports whether an upstream may be given work, as far as is known now.
+func (x *Relay) acceptsWork(u *resource.Upstream) bool {
 	v, now := x.view.Upstream(u.Name), time.Now()
-	return v != nil && v.AcceptsWork(now) && x.rests.Until(u.Name, now).IsZero()
+	return v != nil && v.AcceptsWork(now) && x.backoffs.Until(u.Name, now).IsZero()
 }
 
-// arrive takes the turn at the engine to move to, or at another one where that is
+// takeArrivalTurn takes the turn at the engine to move to, or at another one where that is
 // taken for long, and returns the engine, or nil where none is left. Without a turn
 // the copy may wait behind another one, which is better than to wait here.
-func (s *stream) arrive(ctx context.Context, m *move, to *resource.Upstream, avoid map[string]bool, r *policy.Run) (at *resource.Upstream, release func()) {
+func (s *stream) takeArrivalTurn(ctx context.Context, m *move, to *resource.Upstream, avoid map[string]bool, r *policy.Run) (at *resource.Upstream, release func()) {
 	x := s.exchange.relay
 	busy := maps.Clone(avoid)
-	for range arriveTries {
+	for range maxArrivalTurns {
 		if to == nil {
 			break
 		}
-		turn, cancel := context.WithTimeout(ctx, arrivePeriod)
+		turn, cancel := context.WithTimeout(ctx, arrivalTurnTimeout)
 		release, err := x.Turn(turn, to, true, r)
 		cancel()
 		if err == nil {
 			return to, release
 		}
 		busy[to.Name] = true
-		m.drop(x)
-		if to = s.placeMove(ctx, m, busy); to == nil {
-			to = s.placeMove(ctx, m, avoid)
+		m.releaseReservation(x)
+		if to = s.reserveMoveTarget(ctx, m, busy); to == nil {
+			to = s.reserveMoveTarget(ctx, m, avoid)
 		}
 	}
 	return to, func() {}
@@ -93,20 +93,20 @@
 		return fail.New(fail.Unavailable, fail.Place{Peer: "upstreams", Step: "choose"}, "no_room", "no engine is left to move to")
 	}
 	began := time.Now()
-	event.MoveStarted.Log(x.log, "request", e.request.ID, "from", m.from.Name, "to", to.Name, "events", s.eventsPassed())
-	ctx, cancel := context.WithTimeout(ctx, copyPeriod)
+	event.MoveStarted.Log(x.log, "request", e.request.ID, "from", m.from.Name, "to", to.Name, "events", s.eventsDelivered())
+	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
 	c, err := x.Upstreams.Migrate(ctx, m.from, to, e.request.ID, false)
 	if err != nil {
 		avoid[to.Name] = !errorx.IsOfType(err, fail.Conflict)
-		m.drop(x)
+		m.releaseReservation(x)
 		return err
 	}
 	m.mutex.Lock()
 	m.copy, m.to, m.stopped = c, to, true
 	m.mutex.Unlock()
 	first := time.Since(began)
-	if !x.takes(to) {
+	if !x.acceptsWork(to) {
 		return s.withdrawCopy(ctx, m, c, avoid)
 	}
 	c, err = x.Upstreams.Migrate(ctx, m.from, to, e.request.ID, true)
@@ -116,20 +116,20 @@
 		m.copy = c
 	}
 	event.MoveCopied.Log(x.log, "request", e.request.ID, "from", m.from.Name, "to", to.Name, "first_ms", first.Milliseconds(),
-		"rest_ms", (time.Since(began) - first).Milliseconds(), "made", m.copy.Made, "error", errorText(err))
+		"rest_ms", (time.Since(began) - first).Milliseconds(), "made", m.copy.Events, "error", errorText(err))
 	if err != nil && errorx.IsOfType(err, fail.NotFound) {
 		m.stopped = false // it had ended by itself
 	}
 	return nil
 }
 
-// endMove gives back what a move that failed holds, so that another one may be tried.
-func (s *stream) endMove(m *move, err error) {
+// finishMove gives back what a move that failed holds, so that another one may be tried.
+func (s *stream) finishMove(m *move, err error) {
 	x := s.exchange.relay
 	if err == nil {
 		return
 	}
-	m.drop(x)
+	m.releaseReservation(x)
 	s.mutex.Lock()
 	if s.move == m {
 		s.move = nil
@@ -144,22 +144,22 @@
 	event.MoveFailed.Log(x.log, "request", s.exchange.request.ID, "from", m.from.Name, "reason", fail.Reason(err), "step", fail.Step(err), "error", err.Error())
 }
 
-// placeMove finds an engine to move to and reserves a place there. Where no owner
+// reserveMoveTarget finds an engine to move to and reserves a place there. Where no owner
 // answers in time it guesses: the alternative is to lose the generation. It
 // returns nil where no engine is left.
-func (s *stream) placeMove(ctx context.Context, m *move, avoid map[string]bool) *resource.Upstream {
+func (s *stream) reserveMoveTarget(ctx context.Context, m *move, avoid map[string]bool) *resource.Upstream {
 	x := s.exchange.relay
-	w := s.remaining()
+	w := s.remainingWork()
 	w.Hall = m.from.Spec.Hall
 	w.Moved = true
 	now, l := time.Now(), s.exchange.upstreams()
-	avoid = x.withoutLimited(l, x.rests.Avoid(l, avoid, now), now)
-	place, cancel := context.WithTimeout(ctx, movePlacePeriod)
+	avoid = x.avoidAllLimited(l, x.backoffs.Avoid(l, avoid, now), now)
+	place, cancel := context.WithTimeout(ctx, movePlacementTimeout)
 	defer cancel()
 	var to *resource.Upstream
 	if p, err := x.Place(place, w, avoid); err == nil {
 		to = p.Upstream
-	} else if to = x.Guess(w, avoid); to == nil {
+	} else if to = x.ChooseLocally(w, avoid); to == nil {
 		return nil
 	}
 	m.mutex.Lock()
@@ -169,14 +169,14 @@
 	return to
 }
 
-// remaining describes what is left of the generation, to be run elsewhere.
-func (s *stream) remaining() *policy.Work {
+// remainingWork describes what is left of the generation, to be run elsewhere.
+func (s *stream) remainingWork() *policy.Work {
 	w := s.exchange.work()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	made := s.made()
+	made := s.tokensDelivered()
 	w.Hint = max(0, w.Hint-made)
-	w.ID += moveSuffix(s.hops)
+	w.ID += reservationSuffix(s.reassignments)
 	w.MaxTokens = max(1, w.MaxTokens-made)
 	w.Prompt += made
 	return w
@@ -185,53 +185,53 @@
 // runMove makes a move, up to the copy from which the stream goes on.
 func (s *stream) runMove(ctx context.Context, m *move) error {
 	select {
-	case <-s.first:
+	case <-s.firstEvent:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	x := s.exchange.relay
 	s.mutex.Lock()
-	r := s.describe()
+	r := s.currentRun()
 	s.mutex.Unlock()
 	avoid := map[string]bool{m.from.Name: true}
-	to := s.placeMove(ctx, m, avoid) // while others have their turns
+	to := s.reserveMoveTarget(ctx, m, avoid) // while others have their turns
 	release, err := x.Turn(ctx, m.from, false, r)
 	if err != nil {
 		return err
 	}
 	defer release()
 	for try := 1; ; try++ {
-		if to == nil || !x.takes(to) {
-			m.drop(x)
-			to = s.placeMove(ctx, m, avoid)
+		if to == nil || !x.acceptsWork(to) {
+			m.releaseReservation(x)
+			to = s.reserveMoveTarget(ctx, m, avoid)
 		}
-		at, arrived := s.arrive(ctx, m, to, avoid, r)
+		at, arrived := s.takeArrivalTurn(ctx, m, to, avoid, r)
 		err := s.copyTo(ctx, m, at, avoid)
 		arrived()
-		if err == nil || ctx.Err() != nil || try >= moveTries || errorx.IsOfType(err, fail.NotFound) {
+		if err == nil || ctx.Err() != nil || try >= maxMoveAttempts || errorx.IsOfType(err, fail.NotFound) {
 			return err
 		}
 		to = nil
 		select {
 		case <-ctx.Done():
-		case <-time.After(moveRetry):
+		case <-time.After(moveRetryDelay):
 		}
 	}
 }
 
 // startMove starts a move, unless one is under way or the stream is closed.
-func (s *stream) startMove(gone bool) {
+func (s *stream) startMove(entryGone bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.closed || s.move != nil {
 		return
 	}
-	m := &move{done: make(chan struct{}), from: s.seat.upstream}
+	m := &move{done: make(chan struct{}), from: s.assignment.upstream}
 	s.move = m
 	x := s.exchange.relay
-	event.UpstreamLeaving.Log(x.log, "request", s.exchange.request.ID, "upstream", m.from.Name, "entry_gone", gone, "events", s.events)
+	event.UpstreamLeaving.Log(x.log, "request", s.exchange.request.ID, "upstream", m.from.Name, "entry_gone", entryGone, "events", s.events)
 	x.workers.Go(func() {
-		ctx, cancel := context.WithCancel(s.exchange.client)
+		ctx, cancel := context.WithCancel(s.exchange.clientCtx)
 		defer cancel()
 		defer context.AfterFunc(x.ctx, cancel)()
 		go func() {
@@ -243,7 +243,7 @@
 		}()
 		err := s.runMove(ctx, m)
 		close(m.done)
-		s.endMove(m, err)
+		s.finishMove(m, err)
 	})
 }
 
@@ -253,7 +253,7 @@
 	x := s.exchange.relay
 	to := m.target()
 	avoid[to.Name] = true
-	m.drop(x)
+	m.releaseReservation(x)
 	m.mutex.Lock()
 	m.copy, m.stopped = nil, false
 	m.mutex.Unlock()
@@ -271,8 +271,8 @@
 	return err.Error()
 }
 
-// moveSuffix makes the id of a generation that was moved differ from that of the
+// reservationSuffix makes the id of a generation that was moved differ from that of the
 // one before, so that their reservations can be told apart.
-func moveSuffix(hops int) string {
+func reservationSuffix(hops int) string {
 	return "+" + string(rune('1'+hops%9))
 }
--- a/internal/relay/crash_test.go
+++ b/internal/relay/crash_test.go
@@ -19,8 +19,8 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// deadly makes a request one that ends each engine which it reaches.
-func deadly(q *http.Request) *http.Request {
+// poisonRequest makes a request one that ends each engine which it reaches.
+func poisonRequest(q *http.Request) *http.Request {
 	q.Body = http.NoBody
 	r, err := http.NewRequestWithContext(q.Context(), q.Method, q.URL.String(), strings.NewReader(routed.Deadly))
 	if err != nil {
@@ -30,23 +30,23 @@
 	return r
 }
 
-// mortal has upstreams go where a request ends them.
-func (r *rig) mortal() {
+// crashOnPoison has upstreams go where a request ends them.
+func (r *rig) crashOnPoison() {
 	for n, e := range r.engines {
 		e.Crashed = func(string) {
 			r.link.Down(n, true)
 			r.mutex.Lock()
 			defer r.mutex.Unlock()
-			r.ended++
+			r.crashes++
 		}
 	}
 }
 
-// crashed returns how many upstreams a request has ended.
-func (r *rig) crashed() int {
+// crashCount returns how many upstreams a request has ended.
+func (r *rig) crashCount() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.ended
+	return r.crashes
 }
 
 // TestRequestThatCrashesUpstreams sends a request again and again that ends each upstream which it
@@ -58,8 +58,8 @@
 		name string
 		send func(r *rig, id string) *http.Request
 	}{
-		{"a stream", func(r *rig, id string) *http.Request { return plan(r.t.Context(), id, 400) }},
-		{"a stream that may be resumed", func(r *rig, id string) *http.Request { return generation(r.t.Context(), "/checks/x", id, 400) }},
+		{"a stream", func(r *rig, id string) *http.Request { return planRequest(r.t.Context(), id, 400) }},
+		{"a stream that may be resumed", func(r *rig, id string) *http.Request { return generationRequest(r.t.Context(), "/checks/x", id, 400) }},
 		{"a call that may not be repeated", func(r *rig, id string) *http.Request {
 			return request(r.t.Context(), http.MethodPost, "/once/x", id, "")
 		}},
@@ -69,9 +69,9 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			withRig(t, 5, 5, func(t *testing.T, r *rig) {
-				r.mortal()
+				r.crashOnPoison()
 				for i := range 10 {
-					w, body, _ := r.do(deadly(x.send(r, fmt.Sprint("deadly-", i))))
+					w, body, _ := r.do(poisonRequest(x.send(r, fmt.Sprint("deadly-", i))))
 					if w == nil || w.StatusCode == http.StatusOK {
 						t.Fatalf("try %d: got %v, want a failure", i, w)
 					}
@@ -80,13 +80,13 @@
 					}
 					time.Sleep(time.Second)
 				}
-				if got, want := r.ended, 2; got != want {
+				if got, want := r.crashes, 2; got != want {
 					t.Errorf("upstreams that ended: got %d, want %d", got, want)
 				}
 				if got := r.metrics.Value(metric.Refusals, "reason", "ends_upstreams"); got == 0 {
 					t.Error("the counter tells of none")
 				}
-				if s, err := r.read(plan(t.Context(), "other", 40), nil); err != nil || !s.whole {
+				if s, err := r.readStream(planRequest(t.Context(), "other", 40), nil); err != nil || !s.whole {
 					t.Errorf("another stream: got %+v %v, want it whole", s, err)
 				}
 				if w, _, err := r.do(request(t.Context(), http.MethodPost, "/once/y", "other-call", "")); err != nil || w.StatusCode != http.StatusOK {
@@ -107,18 +107,18 @@
 		{"its connections break", func(r *rig, n string) { r.engines[n].SetFaults(routed.Faults{BreakAfter: 10}) }},
 		{"it leaves", func(r *rig, n string) {
 			r.list(n, "llm", true)
-			time.AfterFunc(300*time.Millisecond, func() { r.die(n) })
+			time.AfterFunc(300*time.Millisecond, func() { r.kill(n) })
 		}},
 		{"its entry has gone", func(r *rig, n string) {
 			r.remove(n)
-			time.AfterFunc(300*time.Millisecond, func() { r.die(n) })
+			time.AfterFunc(300*time.Millisecond, func() { r.kill(n) })
 		}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			withRig(t, 4, 0, func(t *testing.T, r *rig) {
 				for i := range 3 { // the same is asked for each time
 					time.AfterFunc(500*time.Millisecond, func() { x.strike(r, fmt.Sprint("u", i+1)) })
-					_, _ = r.read(generation(t.Context(), "/checks/x", fmt.Sprint("id-", i), 400), nil)
+					_, _ = r.readStream(generationRequest(t.Context(), "/checks/x", fmt.Sprint("id-", i), 400), nil)
 					time.Sleep(time.Second)
 				}
 				if got := r.metrics.Value(metric.Refusals, "reason", "ends_upstreams"); got != 0 {
@@ -143,17 +143,17 @@
 		}
 		var g sync.WaitGroup
 		for i := range 8 {
-			g.Go(func() { _, _ = r.read(plan(t.Context(), fmt.Sprint("id-", i), 1200), nil) })
+			g.Go(func() { _, _ = r.readStream(planRequest(t.Context(), fmt.Sprint("id-", i), 1200), nil) })
 		}
 		for _, rack := range [][]string{{"u1", "u2", "u3"}, {"u4", "u5", "u6"}} {
 			time.Sleep(2 * time.Second)
 			first.Add(3)
 			for _, n := range rack {
-				r.die(n)
+				r.kill(n)
 			}
 		}
 		time.Sleep(time.Second) // and none has come to its end meanwhile
-		if s, err := r.read(plan(t.Context(), "again", 1200), nil); err != nil || !s.whole {
+		if s, err := r.readStream(planRequest(t.Context(), "again", 1200), nil); err != nil || !s.whole {
 			t.Errorf("a caller that comes back: got %+v %v, want a whole stream", s, err)
 		}
 		g.Wait()
@@ -168,7 +168,7 @@
 // that upstreams crashed for as long as some of them failed.
 func TestFailureDoesNotClearAPoisonRequest(t *testing.T) {
 	withRig(t, 0, 8, func(t *testing.T, r *rig) {
-		r.mortal()
+		r.crashOnPoison()
 		for i := range 8 {
 			f := routed.Faults{}
 			if i%2 == 1 {
@@ -181,7 +181,7 @@
 			_, _, _ = r.do(q)
 			time.Sleep(time.Second)
 		}
-		if got, want := r.ended, 2; got != want {
+		if got, want := r.crashes, 2; got != want {
 			t.Errorf("upstreams that crashed: got %d, want %d", got, want)
 		}
 	})
@@ -199,9 +199,9 @@
 		var g sync.WaitGroup
 		send := func(i int) {
 			g.Go(func() {
-				_, _ = r.read(plan(t.Context(), fmt.Sprint("id-", i), 1200), func(events int) {
+				_, _ = r.readStream(planRequest(t.Context(), fmt.Sprint("id-", i), 1200), func(events int) {
 					if n := fmt.Sprint("u", i); events == 20 {
-						r.die(n)
+						r.kill(n)
 					}
 				})
 			})
@@ -213,7 +213,7 @@
 			}
 		}
 		g.Wait()
-		if w, _, _ := r.do(plan(t.Context(), "again", 1200)); w.StatusCode != http.StatusBadGateway {
+		if w, _, _ := r.do(planRequest(t.Context(), "again", 1200)); w.StatusCode != http.StatusBadGateway {
 			t.Errorf("a caller that comes back: got status %d, want 502", w.StatusCode)
 		}
 	})
@@ -224,21 +224,21 @@
 func TestPoisonRequestWhoseCallersLeave(t *testing.T) {
 	for _, path := range []string{"/plans/x", "/once/x"} {
 		withRig(t, 8, 8, func(t *testing.T, r *rig) {
-			r.mortal()
+			r.crashOnPoison()
 			for _, e := range r.engines {
 				e.SetFaults(routed.Faults{CrashAfter: 200 * time.Millisecond})
 			}
 			for i := range 6 {
 				ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
-				q := generation(ctx, path, fmt.Sprint("id-", i), 40)
+				q := generationRequest(ctx, path, fmt.Sprint("id-", i), 40)
 				if path == "/once/x" {
 					q = request(ctx, http.MethodPost, path, fmt.Sprint("id-", i), "")
 				}
-				_, _, _ = r.do(deadly(q))
+				_, _, _ = r.do(poisonRequest(q))
 				cancel()
 				time.Sleep(2 * time.Second)
 			}
-			if got, want := r.crashed(), 2; got != want {
+			if got, want := r.crashCount(), 2; got != want {
 				t.Errorf("%s: upstreams that crashed: got %d, want %d", path, got, want)
 			}
 		})
@@ -250,15 +250,15 @@
 func TestCallersThatLeaveCostFewConnections(t *testing.T) {
 	withRig(t, 1, 0, func(t *testing.T, r *rig) {
 		var made atomic.Int32
-		gone := r.relay.Upstreams.Gone
-		r.relay.Upstreams.Gone = func(ctx context.Context, u *resource.Upstream) bool {
+		gone := r.relay.Upstreams.ProcessEnded
+		r.relay.Upstreams.ProcessEnded = func(ctx context.Context, u *resource.Upstream) bool {
 			made.Add(1)
 			return gone(ctx, u)
 		}
 		leave := func(id string, after time.Duration) {
 			ctx, cancel := context.WithTimeout(t.Context(), after)
 			defer cancel()
-			_, _, _ = r.do(plan(ctx, id, 400))
+			_, _, _ = r.do(planRequest(ctx, id, 400))
 			time.Sleep(2 * time.Second)
 		}
 		leave("during", time.Second)
@@ -280,13 +280,13 @@
 	withRig(t, 0, 6, func(t *testing.T, r *rig) {
 		var crashing atomic.Bool
 		send := r.relay.Upstreams.Send
-		r.relay.Upstreams.Send = func(ctx context.Context, u *resource.Upstream, q *relay.Request, o *relay.Offer) (*relay.Answer, error) {
+		r.relay.Upstreams.Send = func(ctx context.Context, u *resource.Upstream, q *relay.Request, o *relay.SendOptions) (*relay.Answer, error) {
 			if crashing.Load() {
 				return nil, io.ErrUnexpectedEOF
 			}
 			return send(ctx, u, q, o)
 		}
-		r.relay.Upstreams.Gone = func(context.Context, *resource.Upstream) bool { return crashing.Load() }
+		r.relay.Upstreams.ProcessEnded = func(context.Context, *resource.Upstream) bool { return crashing.Load() }
 		n := 0
 		ask := func() int {
 			n++
--- a/internal/relay/deliver.go
+++ b/internal/relay/deliver.go
@@ -11,50 +11,50 @@
 	"github.com/linetiller/linetiller/internal/fail"
 )
 
-// wholeAnswer is an answer that was read to its end.
-type wholeAnswer struct {
+// bufferedAnswer is an answer that was read to its end.
+type bufferedAnswer struct {
 	Answer
 	body []byte
 }
 
-// maxWholeBytes bounds an answer that is read to its end before it is passed on;
+// maxBufferedBytes bounds an answer that is read to its end before it is passed on;
 // a larger one is passed on as it comes.
-const maxWholeBytes = 1 << 20
+const maxBufferedBytes = 1 << 20
 
 // errTooLarge says that an answer is too large to be read to its end first.
 var errTooLarge = errors.New("the answer is too large")
 
 // deliver passes an answer on that is no stream. It reports whether another
 // upstream may be tried.
-func (e *exchange) deliver(ctx context.Context, a *Answer) (again bool, err error) {
+func (e *exchange) deliver(ctx context.Context, a *Answer) (retry bool, err error) {
 	p := fail.Place{Peer: "upstream " + e.upstream.Name, Step: "read answer"}
-	b, err := readWhole(ctx, a)
+	b, err := readBody(ctx, a)
 	if errors.Is(err, errTooLarge) {
-		return false, e.passOn(a, b)
+		return false, e.copyAnswer(a, b)
 	}
 	if err != nil {
 		e.relay.health.RecordAnswer(e.upstream.Name, true, nil, time.Now())
 		if ctx.Err() == nil {
-			e.noteCrash(e.upstream, 0)
+			e.checkCrash(e.upstream, 0)
 		}
-		e.noteLeft(e.upstream)
+		e.checkCrashAfterCallerLeft(e.upstream)
 		return true, fail.Wrap(fail.Unknown, p, "answer_cut", err)
 	}
 	if a.Status < http.StatusMultipleChoices {
-		e.cleared()
+		e.recordServed()
 	}
-	w := &wholeAnswer{*a, b}
+	w := &bufferedAnswer{*a, b}
 	if a.Status >= http.StatusInternalServerError {
 		e.fallback = w
 		return true, fail.New(fail.Unknown, p, "upstream_failed", "status %d", a.Status)
 	}
-	return false, e.pass(w)
+	return false, e.writeAnswer(w)
 }
 
-// pass writes a whole answer. A status that promises that nothing ran, from an
+// writeAnswer writes a whole answer. A status that promises that nothing ran, from an
 // upstream that did not say so, is told as a failure.
-func (e *exchange) pass(a *wholeAnswer) error {
-	if promises(a.Status) {
+func (e *exchange) writeAnswer(a *bufferedAnswer) error {
+	if impliesNotRun(a.Status) {
 		p := fail.Place{Peer: "upstream " + e.upstreamName(), Step: "read answer"}
 		return fail.New(fail.Unknown, p, "upstream_failed", "status %d without a word on whether it ran", a.Status)
 	}
@@ -68,10 +68,10 @@
 	return nil
 }
 
-// passOn writes an answer as it comes, after the part of it that was read.
-func (e *exchange) passOn(a *Answer, read []byte) error {
-	if promises(a.Status) {
-		return e.pass(&wholeAnswer{Answer: *a})
+// copyAnswer writes an answer as it comes, after the part of it that was read.
+func (e *exchange) copyAnswer(a *Answer, read []byte) error {
+	if impliesNotRun(a.Status) {
+		return e.writeAnswer(&bufferedAnswer{Answer: *a})
 	}
 	copyHeader(e.writer.Header(), a.Header)
 	if a.Length >= 0 {
@@ -95,8 +95,8 @@
 	}
 }
 
-// promises reports whether a status promises that the request did not run.
-func promises(status int) bool {
+// impliesNotRun reports whether a status promises that the request did not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -104,14 +104,14 @@
 	return false
 }
 
-// readWhole reads an answer's body. With errTooLarge it returns the part read.
-func readWhole(ctx context.Context, a *Answer) ([]byte, error) {
+// readBody reads an answer's body. With errTooLarge it returns the part read.
+func readBody(ctx context.Context, a *Answer) ([]byte, error) {
 	defer context.AfterFunc(ctx, func() { _ = a.Body.Close() })()
-	b, err := io.ReadAll(io.LimitReader(a.Body, maxWholeBytes+1))
+	b, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedBytes+1))
 	switch {
 	case err != nil:
 		return nil, err
-	case len(b) > maxWholeBytes:
+	case len(b) > maxBufferedBytes:
 		return b, errTooLarge
 	case a.Length >= 0 && int64(len(b)) != a.Length:
 		return nil, io.ErrUnexpectedEOF
--- a/internal/relay/evacuation_test.go
+++ b/internal/relay/evacuation_test.go
@@ -19,8 +19,8 @@
 	r.put(resource.SourceEvacuations, resource.KindEvacuation, "evacuate/a", `{"hall":"a"}`, withdrawn)
 }
 
-// reached returns how many requests reached an upstream.
-func (r *rig) reached(name string) int {
+// requestsAt returns how many requests reached an upstream.
+func (r *rig) requestsAt(name string) int {
 	return len(r.engines[name].Requests())
 }
 
@@ -32,7 +32,7 @@
 		r.listAt("s2", "b", "desk", false)
 		ended := make(chan *stream)
 		go func() {
-			s, err := r.read(plan(t.Context(), "running", 1200), nil)
+			s, err := r.readStream(planRequest(t.Context(), "running", 1200), nil)
 			if err != nil {
 				t.Error(err)
 			}
@@ -40,19 +40,19 @@
 		}()
 		time.Sleep(time.Second)
 		r.evacuate(false)
-		engine, service := r.reached("u1"), r.reached("s1")
+		engine, service := r.requestsAt("u1"), r.requestsAt("s1")
 		for i := range 20 {
-			if s, err := r.read(plan(t.Context(), fmt.Sprint("plan-", i), 40), nil); err != nil || !s.whole {
+			if s, err := r.readStream(planRequest(t.Context(), fmt.Sprint("plan-", i), 40), nil); err != nil || !s.whole {
 				t.Errorf("plan %d: got %+v %v, want a whole stream", i, s, err)
 			}
 			if w, _, err := r.do(request(t.Context(), http.MethodPost, "/once/x", fmt.Sprint("once-", i), "")); err != nil || w.StatusCode != http.StatusOK {
 				t.Errorf("call %d: got %v %v, want 200", i, w, err)
 			}
 		}
-		if got := r.reached("u1") - engine; got != 0 {
+		if got := r.requestsAt("u1") - engine; got != 0 {
 			t.Errorf("generations sent to the engine of the hall: got %d, want 0", got)
 		}
-		if got := r.reached("s1") - service; got != 0 {
+		if got := r.requestsAt("s1") - service; got != 0 {
 			t.Errorf("calls sent to the service of the hall: got %d, want 0", got)
 		}
 		if s := <-ended; s == nil || !s.whole {
@@ -65,7 +65,7 @@
 		for i := range 20 {
 			_, _, _ = r.do(request(t.Context(), http.MethodPost, "/once/x", fmt.Sprint("back-", i), ""))
 		}
-		if r.reached("s1") == service {
+		if r.requestsAt("s1") == service {
 			t.Error("the service of the hall that was taken back gets nothing")
 		}
 	})
@@ -75,15 +75,15 @@
 // choice of an upstream and the send, as after a pause of the box.
 func TestEvacuationIsLookedAtJustBeforeTheSend(t *testing.T) {
 	withRig(t, 1, 1, func(t *testing.T, r *rig) {
-		r.fresh = func() { r.evacuate(false) }
-		if w, _, err := r.do(plan(t.Context(), "id", 40)); err != nil || w.StatusCode != http.StatusServiceUnavailable || w.Header.Get("Retry-After") == "" {
+		r.refreshViews = func() { r.evacuate(false) }
+		if w, _, err := r.do(planRequest(t.Context(), "id", 40)); err != nil || w.StatusCode != http.StatusServiceUnavailable || w.Header.Get("Retry-After") == "" {
 			t.Errorf("plan: got %v %v, want 503 with a time to come back", w, err)
 		}
 		r.evacuate(true)
 		if w, _, err := r.do(request(t.Context(), http.MethodPost, "/once/x", "id-2", "")); err != nil || w.StatusCode != http.StatusServiceUnavailable || w.Header.Get("Retry-After") == "" {
 			t.Errorf("call: got %v %v, want 503 with a time to come back", w, err)
 		}
-		if got := r.arrived(); got != 0 {
+		if got := r.requestsArrived(); got != 0 {
 			t.Errorf("requests that arrived: got %d, want 0", got)
 		}
 	})
@@ -96,18 +96,18 @@
 		t.Run(after.String(), func(t *testing.T) {
 			withRig(t, 3, 0, func(t *testing.T, r *rig) {
 				r.listAt("u3", "b", "llm", false)
-				s, err := r.read(plan(t.Context(), "id", 1200), func(events int) {
+				s, err := r.readStream(planRequest(t.Context(), "id", 1200), func(events int) {
 					if events == 20 {
 						r.list("u1", "llm", true)
 						time.AfterFunc(after, func() { r.evacuate(false) })
-						time.AfterFunc(1500*time.Millisecond, func() { r.die("u1") })
+						time.AfterFunc(1500*time.Millisecond, func() { r.kill("u1") })
 					}
 				})
 				if err != nil || !s.whole {
 					t.Errorf("got %+v %v, want a whole stream", s, err)
 				}
-				if after == 0 && r.reached("u2") != 0 {
-					t.Errorf("requests that reached the evacuated hall: got %d, want 0", r.reached("u2"))
+				if after == 0 && r.requestsAt("u2") != 0 {
+					t.Errorf("requests that reached the evacuated hall: got %d, want 0", r.requestsAt("u2"))
 				}
 			})
 		})
@@ -118,24 +118,24 @@
 // hall that was evacuated meanwhile.
 func TestStreamIsNotResumedInAnEvacuatedHall(t *testing.T) {
 	withRig(t, 2, 0, func(t *testing.T, r *rig) {
-		r.fault("u", routed.Faults{BreakAfter: 10})
+		r.setFaults("u", routed.Faults{BreakAfter: 10})
 		r.relay.Place = func(_ context.Context, w *policy.Work, avoid map[string]bool) (*placement.Place, error) {
-			if u := r.guess(w, avoid); u != nil {
+			if u := r.firstFree(w, avoid); u != nil {
 				return &placement.Place{Granted: time.Now(), Upstream: u}, nil
 			}
 			return r.place(t.Context(), w, avoid)
 		}
 		first := 0
-		s, err := r.read(check(t.Context(), 400), func(events int) {
+		s, err := r.readStream(checkRequest(t.Context(), 400), func(events int) {
 			if events == 5 {
-				first = r.arrived()
+				first = r.requestsArrived()
 				r.evacuate(false)
 			}
 		})
 		if err != nil || s.whole {
 			t.Errorf("got %+v %v, want a stream that breaks off", s, err)
 		}
-		if got := r.arrived() - first; got != 0 {
+		if got := r.requestsArrived() - first; got != 0 {
 			t.Errorf("requests that arrived later: got %d, want 0", got)
 		}
 	})
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -18,66 +18,66 @@
 
 // exchange is one request on its way. It is used by one goroutine.
 type exchange struct {
-	client  context.Context // ends when the caller has gone
-	relay   *Relay
-	request *Request
-	writer  http.ResponseWriter
-
-	asked     policy.Fingerprint // what it asks for; 0 before that is needed
-	avoid     map[string]bool    // upstreams not to be tried again
-	deadline  time.Time
-	firstIn   time.Duration // from its arrival to the first event passed on; 0 before
-	fallback  *wholeAnswer  // an upstream's failure, to be passed on where no other upstream does better
-	lastID    string        // of the last event that the caller has, "" where it has none
-	longest   time.Duration // between two events passed on
-	mayRun    bool          // something was sent that may have run
-	ran       int           // upstreams that may have run it
-	route     *resource.Route
-	service   *resource.Service
-	status    int // of the answer passed on
-	tries     int // sends
-	upstream  *resource.Upstream
-	workspace *resource.Workspace
-}
-
-// triesMost bounds the upstreams that are tried while each says that it did not
+	clientCtx context.Context // ends when the caller has gone
+	relay     *Relay
+	request   *Request
+	writer    http.ResponseWriter
+
+	cachedFingerprint policy.Fingerprint // what it asks for; 0 before that is needed
+	avoid             map[string]bool    // upstreams not to be tried again
+	deadline          time.Time
+	firstEventDelay   time.Duration   // from its arrival to the first event passed on; 0 before
+	fallback          *bufferedAnswer // an upstream's failure, to be passed on where no other upstream does better
+	lastEventID       string          // of the last event that the caller has, "" where it has none
+	longestGap        time.Duration   // between two events passed on
+	mayHaveRun        bool            // something was sent that may have run
+	possibleRuns      int             // upstreams that may have run it
+	route             *resource.Route
+	service           *resource.Service
+	status            int // of the answer passed on
+	sends             int // sends
+	upstream          *resource.Upstream
+	workspace         *resource.Workspace
+}
+
+// maxSends bounds the upstreams that are tried while each says that it did not
 // run the request.
-const triesMost = 4
+const maxSends = 4
 
 // admit finds the request's route, workspace and service.
 func (e *exchange) admit() error {
 	x, q := e.relay, e.request
-	if !x.Known() {
-		return fail.WithRetryAt(fail.New(fail.NotRun, clientPlace("route"), "configuration_unknown", "no configuration is known yet"), time.Now().Add(startPeriod))
+	if !x.HasConfiguration() {
+		return fail.WithRetryAt(fail.New(fail.NotRun, clientPlace("route"), "configuration_unknown", "no configuration is known yet"), time.Now().Add(startRetryDelay))
 	}
 	e.route = x.view.Route(resource.HostOf(q.Host), q.Path)
 	if e.route == nil {
-		return e.unknown(fail.New(fail.NotFound, clientPlace("route"), "route_unknown", "no route leads from %s%s", q.Host, q.Path))
+		return e.unknownError(fail.New(fail.NotFound, clientPlace("route"), "route_unknown", "no route leads from %s%s", q.Host, q.Path))
 	}
 	if e.route.Spec.Stream {
-		if err := x.refusesStream(tokensOf(q), q.Arrived); err != nil {
+		if err := x.checkStreamFits(expectedTokens(q), q.Arrived); err != nil {
 			return err
 		}
 	}
 	if !e.route.Spec.Public && x.view.HasWorkspaces() {
-		e.workspace = x.view.WorkspaceByKey(q.Key)
+		e.workspace = x.view.WorkspaceByKey(q.BearerKey)
 		if e.workspace == nil {
-			return e.unknown(fail.New(fail.Unauthorized, clientPlace("authorize"), "key_unknown", "the bearer key opens no workspace"))
+			return e.unknownError(fail.New(fail.Unauthorized, clientPlace("authorize"), "key_unknown", "the bearer key opens no workspace"))
 		}
 	}
 	e.deadline = q.Arrived.Add(e.route.Spec.Timeout.Duration())
 	if !q.Deadline.IsZero() && q.Deadline.Before(e.deadline) {
 		e.deadline = q.Deadline
 	}
-	if err := e.takeLastID(); err != nil {
+	if err := e.readLastEventID(); err != nil {
 		return err
 	}
-	n := serviceOf(&e.route.Spec)
+	n := pickService(&e.route.Spec)
 	e.service = x.view.Service(n)
 	if e.service == nil {
-		return fail.WithRetryAt(fail.New(fail.NotRun, clientPlace("route"), "service_unknown", "service %q is not declared", n), time.Now().Add(startPeriod))
+		return fail.WithRetryAt(fail.New(fail.NotRun, clientPlace("route"), "service_unknown", "service %q is not declared", n), time.Now().Add(startRetryDelay))
 	}
-	x.budget.CountRequest(n, time.Now())
+	x.retryBudget.CountRequest(n, time.Now())
 	return nil
 }
 
@@ -86,23 +86,23 @@
 	return e.service.Name + "/" + e.request.Model
 }
 
-// outcome makes sure that what the caller is told is true: nothing is called not
+// finalError makes sure that what the caller is told is true: nothing is called not
 // run once something may have run.
-func (e *exchange) outcome(ctx context.Context, err error) error {
+func (e *exchange) finalError(ctx context.Context, err error) error {
 	if err == nil {
 		return nil
 	}
-	if e.fallback != nil && e.status == 0 && e.client.Err() == nil {
-		return e.pass(e.fallback)
+	if e.fallback != nil && e.status == 0 && e.clientCtx.Err() == nil {
+		return e.writeAnswer(e.fallback)
 	}
 	p := fail.Place{Peer: fail.Peer(err), Step: fail.Step(err)}
 	if e.status == 0 && ctx.Err() != nil && errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		if e.mayRun {
+		if e.mayHaveRun {
 			return fail.Wrap(errDeadline, p, "deadline", err)
 		}
 		return fail.Wrap(fail.NotRun, p, "deadline", err)
 	}
-	if e.mayRun && errorx.IsOfType(err, fail.NotRun) {
+	if e.mayHaveRun && errorx.IsOfType(err, fail.NotRun) {
 		return fail.Wrap(fail.Unknown, p, fail.Reason(err), err)
 	}
 	return err
@@ -116,15 +116,15 @@
 	return e.route.Priority
 }
 
-// unknown returns the refusal of a request whose route or key is not known: for good only while what
+// unknownError returns the refusal of a request whose route or key is not known: for good only while what
 // this box knows is known to be current.
-func (e *exchange) unknown(err error) error {
+func (e *exchange) unknownError(err error) error {
 	age := e.relay.ViewAge()
 	if age < configuration.ViewStaleAfter {
 		return err
 	}
 	p := fail.Place{Peer: fail.Peer(err), Step: fail.Step(err)}
-	return fail.WithRetryAt(fail.New(fail.NotRun, p, "view_stale", "%s, by what was known %s ago", fail.Reason(err), age.Round(time.Second)), time.Now().Add(stalePeriod))
+	return fail.WithRetryAt(fail.New(fail.NotRun, p, "view_stale", "%s, by what was known %s ago", fail.Reason(err), age.Round(time.Second)), time.Now().Add(staleViewRetryDelay))
 }
 
 func (e *exchange) routeName() string {
@@ -139,14 +139,14 @@
 	if err := e.admit(); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithDeadline(e.client, e.deadline)
+	ctx, cancel := context.WithDeadline(e.clientCtx, e.deadline)
 	defer cancel()
 	defer context.AfterFunc(e.relay.ctx, cancel)()
 	e.avoid = make(map[string]bool)
 	for {
-		again, err := e.attempt(ctx)
-		if err == nil || !again || !e.tryAgain(err) {
-			return e.outcome(ctx, err)
+		retry, err := e.attempt(ctx)
+		if err == nil || !retry || !e.shouldRetry(err) {
+			return e.finalError(ctx, err)
 		}
 	}
 }
@@ -155,9 +155,9 @@
 	return fail.Place{Peer: "service " + e.service.Name, Step: "choose"}
 }
 
-// takeLastID records after which event the caller wants its stream. Of a route whose
+// readLastEventID records after which event the caller wants its stream. Of a route whose
 // streams may not be resumed, it gets the stream from the beginning.
-func (e *exchange) takeLastID() error {
+func (e *exchange) readLastEventID() error {
 	id := e.request.LastEventID
 	if id == "" || e.route.Spec.Repeat != resource.RepeatResume {
 		return nil
@@ -165,25 +165,25 @@
 	if _, ok := eventNumber(id); !ok {
 		return fail.New(fail.BadInput, clientPlace("resume"), "last_event_invalid", "the id of the last event is not a number: %q", id)
 	}
-	e.lastID = id
+	e.lastEventID = id
 	return nil
 }
 
-// tryAgain reports whether another upstream is to be tried after err.
-func (e *exchange) tryAgain(err error) bool {
+// shouldRetry reports whether another upstream is to be tried after err.
+func (e *exchange) shouldRetry(err error) bool {
 	x := e.relay
-	if e.client.Err() != nil || e.tries >= triesMost || !time.Now().Before(e.deadline) || e.quarantined() != nil {
+	if e.clientCtx.Err() != nil || e.sends >= maxSends || !time.Now().Before(e.deadline) || e.quarantineError() != nil {
 		return false
 	}
-	if !errorx.IsOfType(err, fail.NotRun) && (!e.route.Spec.Repeat.Repeatable() || e.ran >= e.route.Spec.Attempts) {
+	if !errorx.IsOfType(err, fail.NotRun) && (!e.route.Spec.Repeat.Repeatable() || e.possibleRuns >= e.route.Spec.Attempts) {
 		return false
 	}
-	if reached(err) && !x.budget.Take(e.service.Name, time.Now()) {
+	if reachedUpstream(err) && !x.retryBudget.Take(e.service.Name, time.Now()) {
 		x.metrics.Count(metric.Refusals, "reason", string(policy.ReasonRetryBudget))
 		return false
 	}
 	x.metrics.Count(metric.Retries, "reason", fail.Reason(err))
-	event.RequestRetried.Log(x.log, "request", e.request.ID, "reason", fail.Reason(err), "peer", fail.Peer(err), "tries", e.tries)
+	event.RequestRetried.Log(x.log, "request", e.request.ID, "reason", fail.Reason(err), "peer", fail.Peer(err), "tries", e.sends)
 	return true
 }
 
@@ -207,7 +207,7 @@
 	q := e.request
 	w := &policy.Work{
 		Arrived: q.Arrived, Deadline: e.deadline, Hint: q.Hint, ID: q.ID, Kind: e.route.Name, MaxTokens: max(1, q.MaxTokens),
-		Model: e.model(), Prefix: q.Prefix, PrefixTokens: q.PrefixTokens, Priority: e.priority(), Prompt: q.Prompt, RoutePriority: e.route.Priority,
+		Model: e.model(), Prefix: q.PrefixKey, PrefixTokens: q.PrefixTokens, Priority: e.priority(), Prompt: q.PromptTokens, RoutePriority: e.route.Priority,
 	}
 	if p := e.route.Spec.FirstEventTimeout.Duration(); p > 0 && e.status == 0 {
 		w.FirstBy = q.Arrived.Add(p)
@@ -228,8 +228,8 @@
 	return e.workspace.Name
 }
 
-// tokensOf returns how many tokens a request's answer is expected to have.
-func tokensOf(q *Request) int {
+// expectedTokens returns how many tokens a request's answer is expected to have.
+func expectedTokens(q *Request) int {
 	if q.Hint > 0 {
 		return min(q.Hint, max(1, q.MaxTokens))
 	}
--- a/internal/relay/failure.go
+++ b/internal/relay/failure.go
@@ -26,9 +26,9 @@
 // errDeadline says that the deadline passed while an upstream may have been at work.
 var errDeadline = fail.Unknown.NewSubtype("deadline")
 
-// fail writes the final answer of a request that failed.
-func (e *exchange) fail(err error) {
-	if e.client.Err() != nil || e.status != 0 {
+// writeFailure writes the final answer of a request that failed.
+func (e *exchange) writeFailure(err error) {
+	if e.clientCtx.Err() != nil || e.status != 0 {
 		// The caller has gone, or it has a part of an answer, which must not look whole.
 		panic(http.ErrAbortHandler)
 	}
@@ -41,8 +41,8 @@
 	_, _ = e.writer.Write([]byte(fail.Reason(err) + "\n"))
 }
 
-// reached reports whether the upstream that err came from got the request.
-func reached(err error) bool {
+// reachedUpstream reports whether the upstream that err came from got the request.
+func reachedUpstream(err error) bool {
 	return fail.Reason(err) != reasonUnreachable && fail.Step(err) != stepCheck
 }
 
--- a/internal/relay/gone_test.go
+++ b/internal/relay/gone_test.go
@@ -12,8 +12,8 @@
 	"github.com/linetiller/linetiller/internal/policy"
 )
 
-// goneBound is how long after a caller has gone an upstream may still hear of its request.
-const goneBound = 500 * time.Millisecond
+// callerGoneTimeout is how long after a caller has gone an upstream may still hear of its request.
+const callerGoneTimeout = 500 * time.Millisecond
 
 // TestNothingIsSentForACallerThatIsGone has callers leave at each point where a request
 // may wait: for a place, for an upstream that says nothing, before another try, and while
@@ -26,32 +26,32 @@
 		request func(ctx context.Context) *http.Request
 		after   time.Duration // when the caller leaves
 	}{
-		{"waiting for a place", func(r *rig) { r.relay.Place = slowPlace(r, 2*time.Second) }, func(ctx context.Context) *http.Request { return plan(ctx, "id", 400) }, time.Second},
-		{"a place comes as it leaves", func(r *rig) { r.relay.Place = slowPlace(r, time.Second) }, func(ctx context.Context) *http.Request { return plan(ctx, "id", 400) }, time.Second},
-		{"a silent service", func(r *rig) { r.fault("s", routed.Faults{Silent: true}) }, often, 300 * time.Millisecond},
-		{"a service that fails", func(r *rig) { r.fault("s", routed.Faults{Status: http.StatusInternalServerError}) }, often, time.Millisecond},
-		{"a silent engine", func(r *rig) { r.fault("u", routed.Faults{Silent: true}) }, func(ctx context.Context) *http.Request { return plan(ctx, "id", 400) }, 300 * time.Millisecond},
-		{"a stream that is taken up", func(r *rig) { r.fault("u", routed.Faults{BreakAfter: 10}) }, func(ctx context.Context) *http.Request { return check(ctx, 2000) }, 700 * time.Millisecond},
-		{"a mute stream", func(r *rig) { r.fault("u", routed.Faults{MuteAfter: 5}) }, func(ctx context.Context) *http.Request { return check(ctx, 2000) }, 1500 * time.Millisecond},
+		{"waiting for a place", func(r *rig) { r.relay.Place = delayedPlace(r, 2*time.Second) }, func(ctx context.Context) *http.Request { return planRequest(ctx, "id", 400) }, time.Second},
+		{"a place comes as it leaves", func(r *rig) { r.relay.Place = delayedPlace(r, time.Second) }, func(ctx context.Context) *http.Request { return planRequest(ctx, "id", 400) }, time.Second},
+		{"a silent service", func(r *rig) { r.setFaults("s", routed.Faults{Silent: true}) }, repeatableCall, 300 * time.Millisecond},
+		{"a service that fails", func(r *rig) { r.setFaults("s", routed.Faults{Status: http.StatusInternalServerError}) }, repeatableCall, time.Millisecond},
+		{"a silent engine", func(r *rig) { r.setFaults("u", routed.Faults{Silent: true}) }, func(ctx context.Context) *http.Request { return planRequest(ctx, "id", 400) }, 300 * time.Millisecond},
+		{"a stream that is taken up", func(r *rig) { r.setFaults("u", routed.Faults{BreakAfter: 10}) }, func(ctx context.Context) *http.Request { return checkRequest(ctx, 2000) }, 700 * time.Millisecond},
+		{"a mute stream", func(r *rig) { r.setFaults("u", routed.Faults{MuteAfter: 5}) }, func(ctx context.Context) *http.Request { return checkRequest(ctx, 2000) }, 1500 * time.Millisecond},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			withRig(t, 2, 2, func(t *testing.T, r *rig) {
 				x.prepare(r)
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				go func() { _, _ = r.read(x.request(ctx), nil) }()
+				go func() { _, _ = r.readStream(x.request(ctx), nil) }()
 				time.Sleep(x.after)
 				cancel()
-				time.Sleep(goneBound)
+				time.Sleep(callerGoneTimeout)
 				synctest.Wait()
-				arrived := r.arrived()
+				arrived := r.requestsArrived()
 				for n, e := range r.engines {
 					if got := e.Running(); got != 0 {
 						t.Errorf("%s: runs at work: got %d, want 0", n, got)
 					}
 				}
 				time.Sleep(10 * time.Second)
-				if got := r.arrived(); got != arrived {
+				if got := r.requestsArrived(); got != arrived {
 					t.Errorf("requests that arrived later: got %d, want 0", got-arrived)
 				}
 			})
@@ -59,13 +59,13 @@
 	}
 }
 
-// often returns a call that may be repeated.
-func often(ctx context.Context) *http.Request {
+// repeatableCall returns a call that may be repeated.
+func repeatableCall(ctx context.Context) *http.Request {
 	return request(ctx, http.MethodGet, "/often/x", "id", "")
 }
 
-// slowPlace returns a placement that takes some time, as where work waits in a queue.
-func slowPlace(r *rig, d time.Duration) func(context.Context, *policy.Work, map[string]bool) (*placement.Place, error) {
+// delayedPlace returns a placement that takes some time, as where work waits in a queue.
+func delayedPlace(r *rig, d time.Duration) func(context.Context, *policy.Work, map[string]bool) (*placement.Place, error) {
 	return func(ctx context.Context, w *policy.Work, avoid map[string]bool) (*placement.Place, error) {
 		select {
 		case <-ctx.Done():
@@ -76,8 +76,8 @@
 	}
 }
 
-// arrived returns how many requests have reached upstreams.
-func (r *rig) arrived() int {
+// requestsArrived returns how many requests have reached upstreams.
+func (r *rig) requestsArrived() int {
 	n := 0
 	for _, e := range r.engines {
 		n += len(e.Requests())
@@ -85,8 +85,8 @@
 	return n
 }
 
-// fault sets the faults of the upstreams whose names begin so.
-func (r *rig) fault(kind string, f routed.Faults) {
+// setFaults sets the faults of the upstreams whose names begin so.
+func (r *rig) setFaults(kind string, f routed.Faults) {
 	for n, e := range r.engines {
 		if n[:1] == kind {
 			e.SetFaults(f)
--- a/internal/relay/leaving_test.go
+++ b/internal/relay/leaving_test.go
@@ -15,7 +15,7 @@
 	withRig(t, 1, 1, func(t *testing.T, r *rig) {
 		var g sync.WaitGroup
 		g.Go(func() {
-			s, err := r.read(plan(t.Context(), "id", 400), nil)
+			s, err := r.readStream(planRequest(t.Context(), "id", 400), nil)
 			if err != nil || !s.whole || s.events != 100 {
 				t.Errorf("got %+v %v, want 100 events and an end", s, err)
 			}
@@ -55,17 +55,17 @@
 	} {
 		withRig(t, 1, 0, func(t *testing.T, r *rig) {
 			for i := range 3 { // so that the pace is known: 8 ms a token
-				if s, err := r.read(plan(t.Context(), fmt.Sprint("before-", i), 200), nil); err != nil || !s.whole {
+				if s, err := r.readStream(planRequest(t.Context(), fmt.Sprint("before-", i), 200), nil); err != nil || !s.whole {
 					t.Fatalf("before: got %+v %v, want a whole stream", s, err)
 				}
 			}
-			r.relay.Others = func() bool { return x.others }
+			r.relay.HasOtherBoxes = func() bool { return x.others }
 			r.relay.EndStreamsBy(time.Now().Add(7500*time.Millisecond), time.Now().Add(3*time.Second))
-			w, _, err := r.do(plan(t.Context(), "id", x.tokens))
+			w, _, err := r.do(planRequest(t.Context(), "id", x.tokens))
 			if err != nil || w.StatusCode != x.status || w.Header.Get("Retry-After") != x.again {
 				t.Errorf("%d tokens, others %v: got %v %v, want %d and Retry-After %q", x.tokens, x.others, w, err, x.status, x.again)
 			}
-			if got := r.started("id"); x.status != http.StatusOK && got != 0 {
+			if got := r.startedRuns("id"); x.status != http.StatusOK && got != 0 {
 				t.Errorf("%d tokens: runs of a refused stream: got %d, want none", x.tokens, got)
 			}
 		})
@@ -78,7 +78,7 @@
 	withRig(t, 1, 1, func(t *testing.T, r *rig) {
 		var g sync.WaitGroup
 		g.Go(func() {
-			s, err := r.read(plan(t.Context(), "id", 400), nil)
+			s, err := r.readStream(planRequest(t.Context(), "id", 400), nil)
 			if err != nil || !s.whole || s.events != 100 {
 				t.Errorf("the stream held: got %+v %v, want 100 events and an end", s, err)
 			}
@@ -91,7 +91,7 @@
 		if w, _, err := r.do(request(t.Context(), http.MethodPost, "/once/x", "call", "")); err != nil || w.StatusCode != http.StatusOK {
 			t.Errorf("a call: got %v %v, want 200", w, err)
 		}
-		if w, _, err := r.do(plan(t.Context(), "late", 400)); err != nil || w.StatusCode != http.StatusServiceUnavailable {
+		if w, _, err := r.do(planRequest(t.Context(), "late", 400)); err != nil || w.StatusCode != http.StatusServiceUnavailable {
 			t.Errorf("a new stream: got %v %v, want 503", w, err)
 		}
 		g.Wait()
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	// permitAsks is how many permits one request asks for, at one upstream after another, before it
+	// maxPermitRequests is how many permits one request asks for, at one upstream after another, before it
 	// goes past all upstreams that have limits.
-	permitAsks = 2
-	// permitPatience bounds the wait for the answer to an ask where there may be other upstreams.
-	permitPatience = 100 * time.Millisecond
-	// permitSlack is how much later than waited for a permit may be taken.
-	permitSlack = 10 * time.Millisecond
+	maxPermitRequests = 2
+	// permitTimeout bounds the wait for the answer to an ask where there may be other upstreams.
+	permitTimeout = 100 * time.Millisecond
+	// permitTolerance is how much later than waited for a permit may be taken.
+	permitTolerance = 10 * time.Millisecond
 )
 
 // Limits returns what this box knows of the rate limits of upstreams.
 func (x *Relay) Limits() *ratelimit.Limits { return x.limiter.Limits() }
 
-// NoteLimit records and logs what was heard of the rate limit of an upstream, from itself or from a
+// RecordLimit records and logs what was heard of the rate limit of an upstream, from itself or from a
 // box. It returns nil where that is not news.
-func (x *Relay) NoteLimit(l ratelimit.Limit, from string) *ratelimit.Change {
-	return x.logLimit(x.limiter.Limits().Record(l, time.Now()), from)
+func (x *Relay) RecordLimit(l ratelimit.Limit, from string) *ratelimit.Change {
+	return x.logLimitChange(x.limiter.Limits().Record(l, time.Now()), from)
 }
 
-// logLimit logs a change of a limit, and returns it.
-func (x *Relay) logLimit(c *ratelimit.Change, from string) *ratelimit.Change {
+// logLimitChange logs a change of a limit, and returns it.
+func (x *Relay) logLimitChange(c *ratelimit.Change, from string) *ratelimit.Change {
 	switch {
 	case c == nil:
 	case c.After.Lifted:
@@ -48,41 +48,41 @@
 
 // observeLimit records what an answer of an upstream says of its rate limit.
 func (x *Relay) observeLimit(u *resource.Upstream, a *Answer) {
-	if a.OtherEcho {
+	if a.EchoMismatch {
 		return
 	}
 	now, limits := time.Now(), x.limiter.Limits()
 	switch {
 	case a.LimitError != nil:
-		x.metrics.Count(metric.UpstreamWords, "word", wordLimitInvalid)
+		x.metrics.Count(metric.UpstreamWords, "word", noticeLimitInvalid)
 		if limits.MarkInvalid(u.Name, u.Spec.Born) {
 			event.LimitInvalid.Log(x.log, "upstream", u.Name, "error", a.LimitError.Error())
 		}
 	case a.Limit != nil:
-		x.metrics.Count(metric.UpstreamWords, "word", wordLimit)
-		x.announceLimit(x.NoteLimit(ratelimit.Limit{ReportedAt: now, StartedAt: u.Spec.Born, PerSecond: *a.Limit, Upstream: u.Name}, fromAnswer))
-	case a.Signed || (a.NotRun && a.Status != http.StatusMisdirectedRequest):
-		x.announceLimit(x.logLimit(limits.Lift(u.Name, u.Spec.Born, now), fromAnswer))
+		x.metrics.Count(metric.UpstreamWords, "word", noticeLimit)
+		x.announceLimit(x.RecordLimit(ratelimit.Limit{ReportedAt: now, StartedAt: u.Spec.Born, PerSecond: *a.Limit, Upstream: u.Name}, fromAnswer))
+	case a.Stamped || (a.NotRun && a.Status != http.StatusMisdirectedRequest):
+		x.announceLimit(x.logLimitChange(limits.Lift(u.Name, u.Spec.Born, now), fromAnswer))
 	}
 }
 
 // announceLimit announces a change that an answer brought; nil is none.
 func (x *Relay) announceLimit(c *ratelimit.Change) {
 	if c != nil {
-		x.Limited(c)
+		x.AnnounceLimit(c)
 	}
 }
 
-// withoutLimited adds the upstreams that have limits to those to avoid of a list, where that leaves
+// avoidAllLimited adds the upstreams that have limits to those to avoid of a list, where that leaves
 // another.
-func (x *Relay) withoutLimited(l []*resource.Upstream, avoid map[string]bool, now time.Time) map[string]bool {
+func (x *Relay) avoidAllLimited(l []*resource.Upstream, avoid map[string]bool, now time.Time) map[string]bool {
 	all := make(map[string]bool)
 	maps.Copy(all, avoid)
 	free := false
 	for _, u := range l {
 		switch {
 		case avoid[u.Name] || !u.AcceptsWork(now):
-		case x.limiter.NeedsPermit(x.limitedUpstream(u, now), now):
+		case x.limiter.NeedsPermit(x.limiterUpstream(u, now), now):
 			all[u.Name] = true
 		default:
 			free = true
@@ -94,19 +94,19 @@
 	return avoid
 }
 
-// avoidLimited adds the upstreams to those to avoid of a list for which there is no permit now. Where
+// avoidUnpermitted adds the upstreams to those to avoid of a list for which there is no permit now. Where
 // none is left, it returns the refusal of the request, or, where one has a permit while the request
 // can still be in time, until when it is worth waiting for.
 //
 // Retries, and requests that have asked for permits in vain, go past all upstreams that have limits
 // while there are others.
-func (e *exchange) avoidLimited(l []*resource.Upstream, avoid map[string]bool, asked int, now time.Time) (map[string]bool, time.Time, error) {
+func (e *exchange) avoidUnpermitted(l []*resource.Upstream, avoid map[string]bool, denied int, now time.Time) (map[string]bool, time.Time, error) {
 	x := e.relay
 	if x.limiter.Limits().Empty() && e.service.Spec.Engine != nil { // cold engines have owners
 		return avoid, time.Time{}, nil
 	}
-	if e.tries > 0 || asked >= permitAsks {
-		avoid = x.withoutLimited(l, avoid, now)
+	if e.sends > 0 || denied >= maxPermitRequests {
+		avoid = x.avoidAllLimited(l, avoid, now)
 	}
 	refused, free := x.refusedPermits(l, avoid, now)
 	if len(refused) == 0 {
@@ -116,16 +116,16 @@
 		return avoidRefused(avoid, refused, time.Time{}), time.Time{}, nil
 	}
 	first := slices.MinFunc(slices.Collect(maps.Values(refused)), time.Time.Compare)
-	till := e.limitPatience(now)
-	if first.After(till) {
+	until := e.permitWaitDeadline(now)
+	if first.After(until) {
 		return nil, time.Time{}, fail.WithRetryAt(fail.New(fail.NotRun, e.servicePlace(), string(policy.ReasonLimited), "the upstreams accept no more requests for now"), first)
 	}
-	return avoidRefused(avoid, refused, till), till, nil
+	return avoidRefused(avoid, refused, until), until, nil
 }
 
-// limitPatience returns until when the request may wait for a permit: half of what is left until its
+// permitWaitDeadline returns until when the request may wait for a permit: half of what is left until its
 // answer would be late.
-func (e *exchange) limitPatience(now time.Time) time.Time {
+func (e *exchange) permitWaitDeadline(now time.Time) time.Time {
 	d := e.route.Spec.LatencyTarget.Duration()
 	if d <= 0 || e.status != 0 {
 		return now
@@ -136,27 +136,27 @@
 	return now
 }
 
-// permitted takes a permit to send the request to an upstream, and reports whether there was one or
+// takePermit takes a permit to send the request to an upstream, and reports whether there was one or
 // none is needed. One for a time up to waitTill is of use, too; it is then waited for.
-func (e *exchange) permitted(ctx context.Context, u *resource.Upstream, waitTill time.Time) bool {
+func (e *exchange) takePermit(ctx context.Context, u *resource.Upstream, waitUntil time.Time) bool {
 	x, now := e.relay, time.Now()
-	v := x.limitedUpstream(u, now)
+	v := x.limiterUpstream(u, now)
 	if !x.limiter.NeedsPermit(v, now) {
 		return true
 	}
-	till := waitTill
-	if till.IsZero() {
-		till = now.Add(permitPatience)
+	until := waitUntil
+	if until.IsZero() {
+		until = now.Add(permitTimeout)
 	}
-	ctx, cancel := context.WithDeadline(ctx, till.Add(permitSlack))
+	ctx, cancel := context.WithDeadline(ctx, until.Add(permitTolerance))
 	defer cancel()
-	return x.countPermit(x.limiter.Take(ctx, v, ratelimit.WaitUntil(waitTill)))
+	return x.countPermit(x.limiter.Take(ctx, v, ratelimit.WaitUntil(waitUntil)))
 }
 
-// permittedToResume does so for a run that was stopped for a move, and is lost without a permit.
-func (e *exchange) permittedToResume(ctx context.Context, u *resource.Upstream) bool {
+// takeResumePermit does so for a run that was stopped for a move, and is lost without a permit.
+func (e *exchange) takeResumePermit(ctx context.Context, u *resource.Upstream) bool {
 	x, now := e.relay, time.Now()
-	v := x.limitedUpstream(u, now)
+	v := x.limiterUpstream(u, now)
 	if !x.limiter.NeedsPermit(v, now) {
 		return true
 	}
@@ -173,12 +173,12 @@
 	return granted
 }
 
-// limitedUpstream returns what the permits for an upstream depend on. What a cold engine gets is up to
+// limiterUpstream returns what the permits for an upstream depend on. What a cold engine gets is up to
 // its owner.
-func (x *Relay) limitedUpstream(u *resource.Upstream, now time.Time) ratelimit.Upstream {
+func (x *Relay) limiterUpstream(u *resource.Upstream, now time.Time) ratelimit.Upstream {
 	v := ratelimit.Upstream{StartedAt: u.Spec.Born, Name: u.Name}
 	if u.Engine() == nil && u.Cold(now) {
-		v.ColdRate = x.coldBears(u)
+		v.ColdRate = x.coldRate(u)
 	}
 	return v
 }
@@ -190,7 +190,7 @@
 		if avoid[u.Name] || !u.AcceptsWork(now) {
 			continue
 		}
-		at := x.limiter.RefusedUntil(x.limitedUpstream(u, now), now)
+		at := x.limiter.RefusedUntil(x.limiterUpstream(u, now), now)
 		if at.IsZero() {
 			free = true
 			continue
@@ -204,19 +204,19 @@
 }
 
 // avoidRefused returns the upstreams to avoid and those that are refused until later than a time.
-func avoidRefused(avoid map[string]bool, refused map[string]time.Time, till time.Time) map[string]bool {
+func avoidRefused(avoid map[string]bool, refused map[string]time.Time, until time.Time) map[string]bool {
 	all := make(map[string]bool, len(avoid)+len(refused))
 	maps.Copy(all, avoid)
 	for n, at := range refused {
-		if at.After(till) {
+		if at.After(until) {
 			all[n] = true
 		}
 	}
 	return all
 }
 
-// localPermits returns an Ask of a limiter for a box that sends alone.
-func localPermits() func(context.Context, *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
+// localAsk returns an Ask of a limiter for a box that sends alone.
+func localAsk() func(context.Context, *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
 	a := ratelimit.NewAllocator()
 	return func(_ context.Context, q *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
 		g := a.Allocate(q, 1, 1, time.Now())
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -32,7 +32,7 @@
 			call(l)
 		}
 		for event, want := range map[int64]int{320: 3, 321: 1, 322: 1} {
-			if got := r.lines.count(event); got != want {
+			if got := r.logs.count(event); got != want {
 				t.Errorf("lines %d: got %d, want %d", event, got, want)
 			}
 		}
@@ -56,7 +56,7 @@
 			return &placement.Place{Granted: time.Now(), Upstream: r.view.Upstream(name)}, nil
 		}
 		r.engines["u2"].SetLimit("0.2")
-		if _, err := r.read(plan(t.Context(), "first", 40), nil); err != nil {
+		if _, err := r.readStream(planRequest(t.Context(), "first", 40), nil); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(10 * time.Second)
@@ -64,7 +64,7 @@
 		var whole atomic.Int32
 		for i := range 12 {
 			g.Go(func() {
-				if s, err := r.read(plan(t.Context(), fmt.Sprint("long-", i), 600), nil); err == nil && s.whole {
+				if s, err := r.readStream(planRequest(t.Context(), fmt.Sprint("long-", i), 600), nil); err == nil && s.whole {
 					whole.Add(1)
 				}
 			})
@@ -72,7 +72,7 @@
 		time.Sleep(time.Second)
 		r.list("u1", "llm", true)
 		time.Sleep(1500 * time.Millisecond)
-		r.die("u1")
+		r.kill("u1")
 		g.Wait()
 		if broken := r.engines["u2"].OverLimit(oneBox); broken != "" {
 			t.Error(broken)
--- a/internal/relay/lines_test.go
+++ b/internal/relay/lines_test.go
@@ -6,21 +6,21 @@
 	"sync"
 )
 
-// lineCounter is a slog.Handler that counts lines by the number of their event.
-type lineCounter struct {
+// logCounter is a slog.Handler that counts lines by the number of their event.
+type logCounter struct {
 	lines map[int64]int
 	mutex sync.Mutex
 }
 
-func newLineCounter() *lineCounter {
-	return &lineCounter{lines: make(map[int64]int)}
+func newLogCounter() *logCounter {
+	return &logCounter{lines: make(map[int64]int)}
 }
 
 // Enabled reports true.
-func (c *lineCounter) Enabled(context.Context, slog.Level) bool { return true }
+func (c *logCounter) Enabled(context.Context, slog.Level) bool { return true }
 
 // Handle counts a line.
-func (c *lineCounter) Handle(_ context.Context, r slog.Record) error {
+func (c *logCounter) Handle(_ context.Context, r slog.Record) error {
 	r.Attrs(func(a slog.Attr) bool {
 		if a.Key != "event" {
 			return true
@@ -34,13 +34,13 @@
 }
 
 // WithAttrs returns the counter itself.
-func (c *lineCounter) WithAttrs([]slog.Attr) slog.Handler { return c }
+func (c *logCounter) WithAttrs([]slog.Attr) slog.Handler { return c }
 
 // WithGroup returns the counter itself.
-func (c *lineCounter) WithGroup(string) slog.Handler { return c }
+func (c *logCounter) WithGroup(string) slog.Handler { return c }
 
 // count returns how many lines of an event there were.
-func (c *lineCounter) count(event int64) int {
+func (c *logCounter) count(event int64) int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.lines[event]
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -24,12 +24,12 @@
 	to      *resource.Upstream
 }
 
-// moveWaitPeriod bounds the wait for a move's end once the stream has ended:
+// moveWaitTimeout bounds the wait for a move's end once the stream has ended:
 // callers leave after a pause of two seconds or more.
-const moveWaitPeriod = 2 * time.Second
+const moveWaitTimeout = 2 * time.Second
 
-// releasePeriod bounds the call that gives up a copy, which nobody waits for.
-const releasePeriod = 2 * time.Second
+// releaseTimeout bounds the call that gives up a copy, which nobody waits for.
+const releaseTimeout = 2 * time.Second
 
 // abandon gives up a move whose generation has ended or whose caller has gone.
 func (m *move) abandon(x *Relay) {
@@ -38,11 +38,11 @@
 		m.mutex.Lock()
 		c := m.copy
 		m.mutex.Unlock()
-		m.drop(x)
+		m.releaseReservation(x)
 		if c == nil {
 			return
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), releasePeriod)
+		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
 		if err := x.Upstreams.Release(ctx, m.from, c.Handle); err != nil {
 			event.MoveFailed.Log(x.log, "from", m.from.Name, "reason", "release_failed", "error", err.Error())
@@ -50,15 +50,15 @@
 	})
 }
 
-// copied reports whether the generation can go on from a copy.
-func (m *move) copied() bool {
+// hasCopy reports whether the generation can go on from a copy.
+func (m *move) hasCopy() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.copy != nil && m.to != nil
 }
 
-// drop gives back the place that was reserved at the engine to move to.
-func (m *move) drop(x *Relay) {
+// releaseReservation gives back the place that was reserved at the engine to move to.
+func (m *move) releaseReservation(x *Relay) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.running != nil {
@@ -67,8 +67,8 @@
 	m.running, m.to = nil, nil
 }
 
-// stopping reports whether the source was told to stop.
-func (m *move) stopping() bool {
+// sourceStopped reports whether the source was told to stop.
+func (m *move) sourceStopped() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.stopped
@@ -86,6 +86,6 @@
 	select {
 	case <-m.done:
 	case <-ctx.Done():
-	case <-time.After(moveWaitPeriod):
+	case <-time.After(moveWaitTimeout):
 	}
 }
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -14,17 +14,17 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// pauseAim is the longest pause that keeps a plan in time.
-const pauseAim = 180 * time.Millisecond
+// maxPause is the longest pause that keeps a plan in time.
+const maxPause = 180 * time.Millisecond
 
 // moveCase is a move under one fault.
 type moveCase struct {
-	name   string
-	at     int // events after which fault strikes
-	fault  func(r *rig)
-	events int // that must come at least
-	whole  bool
-	inTime bool
+	name     string
+	at       int // events after which fault strikes
+	fault    func(r *rig)
+	events   int // that must come at least
+	complete bool
+	inTime   bool
 }
 
 // TestMoves moves a generation of 600 tokens from u1 while it streams, under faults
@@ -34,15 +34,15 @@
 	for _, x := range []moveCase{
 		{"notice, then the engine goes", 20, func(r *rig) {
 			notice(r)
-			time.AfterFunc(1500*time.Millisecond, func() { r.die("u1") })
+			time.AfterFunc(1500*time.Millisecond, func() { r.kill("u1") })
 		}, 150, true, true},
 		{"the entry goes without a notice", 20, func(r *rig) {
 			r.remove("u1")
-			time.AfterFunc(1500*time.Millisecond, func() { r.die("u1") })
+			time.AfterFunc(1500*time.Millisecond, func() { r.kill("u1") })
 		}, 150, true, true},
 		{"a notice before the first event", 0, func(r *rig) {
 			notice(r)
-			time.AfterFunc(1500*time.Millisecond, func() { r.die("u1") })
+			time.AfterFunc(1500*time.Millisecond, func() { r.kill("u1") })
 		}, 150, true, true},
 		{"the notice is withdrawn", 20, func(r *rig) {
 			notice(r)
@@ -51,7 +51,7 @@
 		{"no engine has room", 20, func(r *rig) {
 			r.engines["u1"].SetFaults(routed.Faults{FailCopies: http.StatusServiceUnavailable})
 			notice(r)
-			time.AfterFunc(1500*time.Millisecond, func() { r.die("u1") })
+			time.AfterFunc(1500*time.Millisecond, func() { r.kill("u1") })
 		}, 20, false, true},
 		{"the engine ends the generation meanwhile", 20, func(r *rig) {
 			r.engines["u1"].SetFaults(routed.Faults{FailCopies: http.StatusNotFound})
@@ -60,7 +60,7 @@
 		{"the answers to the copies are lost", 20, func(r *rig) {
 			r.engines["u1"].SetFaults(routed.Faults{LoseCopies: true})
 			notice(r)
-			time.AfterFunc(1500*time.Millisecond, func() { r.die("u1") })
+			time.AfterFunc(1500*time.Millisecond, func() { r.kill("u1") })
 		}, 20, false, true},
 		{"the next engine refuses", 20, func(r *rig) {
 			r.engines["u2"].SetFaults(routed.Faults{Refuse: http.StatusServiceUnavailable})
@@ -73,10 +73,10 @@
 		{"the next engine leaves at once, too", 20, func(r *rig) {
 			notice(r)
 			time.AfterFunc(400*time.Millisecond, func() { r.list("u2", "llm", true) })
-			time.AfterFunc(1500*time.Millisecond, func() { r.die("u1") })
-			time.AfterFunc(1900*time.Millisecond, func() { r.die("u2") })
+			time.AfterFunc(1500*time.Millisecond, func() { r.kill("u1") })
+			time.AfterFunc(1900*time.Millisecond, func() { r.kill("u2") })
 		}, 150, true, true},
-		{"the engine crashes", 20, func(r *rig) { r.die("u1") }, 20, false, true},
+		{"the engine crashes", 20, func(r *rig) { r.kill("u1") }, 20, false, true},
 	} {
 		t.Run(x.name, func(t *testing.T) { runMove(t, &x) })
 	}
@@ -88,7 +88,7 @@
 		if x.at == 0 {
 			time.AfterFunc(10*time.Millisecond, func() { x.fault(r) })
 		}
-		s, err := r.read(plan(t.Context(), "id", 600), func(events int) {
+		s, err := r.readStream(planRequest(t.Context(), "id", 600), func(events int) {
 			if events == x.at {
 				x.fault(r)
 			}
@@ -96,13 +96,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s.whole != x.whole || s.events < x.events {
-			t.Errorf("got %+v, want at least %d events, whole %v", s, x.events, x.whole)
+		if s.whole != x.complete || s.events < x.events {
+			t.Errorf("got %+v, want at least %d events, whole %v", s, x.events, x.complete)
 		}
-		if x.inTime && s.longest > pauseAim {
-			t.Errorf("longest pause: got %s, want at most %s", s.longest, pauseAim)
+		if x.inTime && s.longest > maxPause {
+			t.Errorf("longest pause: got %s, want at most %s", s.longest, maxPause)
 		}
-		if got := r.started("id"); got != 1 {
+		if got := r.startedRuns("id"); got != 1 {
 			t.Errorf("runs from the beginning: got %d, want 1", got)
 		}
 	})
@@ -116,15 +116,15 @@
 		var g sync.WaitGroup
 		for i := range runs {
 			g.Go(func() {
-				s, err := r.read(plan(t.Context(), fmt.Sprint("id-", i), 1200), nil)
-				if err != nil || !s.whole || s.longest > pauseAim {
+				s, err := r.readStream(planRequest(t.Context(), fmt.Sprint("id-", i), 1200), nil)
+				if err != nil || !s.whole || s.longest > maxPause {
 					t.Errorf("run %d: got %+v %v, want a whole stream in time", i, s, err)
 				}
 			})
 		}
 		time.Sleep(time.Second)
 		r.list("u1", "llm", true)
-		time.AfterFunc(1600*time.Millisecond, func() { r.die("u1") })
+		time.AfterFunc(1600*time.Millisecond, func() { r.kill("u1") })
 		g.Wait()
 		if got := r.metrics.Value(metric.Moves, "result", "moved"); got != runs {
 			t.Errorf("moves: got %d, want %d", got, runs)
@@ -140,7 +140,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			go func() {
-				_, _ = r.read(plan(ctx, "id", 1200), func(events int) {
+				_, _ = r.readStream(planRequest(ctx, "id", 1200), func(events int) {
 					if events == 20 {
 						r.list("u1", "llm", true)
 						time.AfterFunc(after, cancel)
@@ -165,7 +165,7 @@
 	for at := events - 30; at < events; at++ {
 		withRig(t, 2, 0, func(t *testing.T, r *rig) {
 			r.engines["u1"].SetFaults(routed.Faults{LateStops: 40 * time.Millisecond})
-			s, err := r.read(plan(t.Context(), "id", 4*events), func(n int) {
+			s, err := r.readStream(planRequest(t.Context(), "id", 4*events), func(n int) {
 				if n == at {
 					r.list("u1", "llm", true)
 				}
@@ -192,9 +192,9 @@
 			for r.engines[from.Name].Running() > 0 {
 				time.Sleep(time.Millisecond)
 			}
-			return &relay.Copy{Handle: "of-a-run-that-has-ended", Made: events}, nil
+			return &relay.Copy{Handle: "of-a-run-that-has-ended", Events: events}, nil
 		}
-		s, err := r.read(plan(t.Context(), "id", 4*events), func(n int) {
+		s, err := r.readStream(planRequest(t.Context(), "id", 4*events), func(n int) {
 			if n == events-30 {
 				r.list("u1", "llm", true)
 			}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -104,7 +104,7 @@
 		if w, _, err := r.do(request(t.Context(), http.MethodPost, "/once/x", "id", "")); err != nil || w.StatusCode != http.StatusUnauthorized {
 			t.Errorf("got %v %v, want 401", w, err)
 		}
-		if got := r.started("id"); got != 0 {
+		if got := r.startedRuns("id"); got != 0 {
 			t.Errorf("runs: got %d, want 0", got)
 		}
 	})
@@ -143,14 +143,14 @@
 				if got := time.Since(began); got > 1500*time.Millisecond {
 					t.Errorf("once: answered after %s, want the route's timeout at most", got)
 				}
-				if got := r.started("once"); got != x.runs {
+				if got := r.startedRuns("once"); got != x.runs {
 					t.Errorf("once: got %d runs, want %d", got, x.runs)
 				}
 				w, _, err = r.do(request(t.Context(), http.MethodGet, "/often/x", "often", ""))
 				if err != nil || w.StatusCode != x.often {
 					t.Errorf("often: got %v %v, want %d", w, err, x.often)
 				}
-				if got := r.started("often"); got != x.repeats {
+				if got := r.startedRuns("often"); got != x.repeats {
 					t.Errorf("often: got %d runs, want %d", got, x.repeats)
 				}
 				if got := w.Header.Get("X-Linetiller-Server-Stamp") != ""; got != (x.often == 200 || x.often == 500 || x.often == 400) {
@@ -172,7 +172,7 @@
 			if err != nil || w.StatusCode != http.StatusOK || !strings.HasPrefix(body, "s2 ") {
 				t.Fatalf("got %v %q %v, want 200 of s2", w, body, err)
 			}
-			if got := r.started(id); got != 1 {
+			if got := r.startedRuns(id); got != 1 {
 				t.Errorf("runs: got %d, want 1", got)
 			}
 		}
@@ -190,7 +190,7 @@
 				t.Fatalf("got %v %v, want 200", w, err)
 			}
 		}
-	}, relay.WithBudget(0, 0, 10*time.Second, func() int { return 1 }))
+	}, relay.WithRetryBudget(0, 0, 10*time.Second, func() int { return 1 }))
 }
 
 // TestServiceOutOfReachIsRefusedAtOnce checks that once no upstream of a service answers
@@ -214,7 +214,7 @@
 				tried++
 			}
 		}
-		if tried > 3*(goneTries+5) {
+		if tried > 3*(outOfReachAttempts+5) {
 			t.Errorf("requests sent in 5 s: got %d, want at most one a second to each and a few at first", tried)
 		}
 		r.link.Down("s2", false)
@@ -231,8 +231,8 @@
 	})
 }
 
-// goneTries is how many connections are tried before an upstream counts as out of reach.
-const goneTries = 5
+// outOfReachAttempts is how many connections are tried before an upstream counts as out of reach.
+const outOfReachAttempts = 5
 
 // TestBudgetBoundsTries sends many requests that fail everywhere and counts what
 // reaches the upstreams beyond the first try of each, in any window.
@@ -253,7 +253,7 @@
 		if got, most := arrived-requests, int(ratio*requests)+extra/boxes; got > most || got == 0 {
 			t.Errorf("tries beyond the first: got %d, want 1 to %d", got, most)
 		}
-	}, relay.WithBudget(ratio, extra, 10*time.Second, func() int { return boxes }))
+	}, relay.WithRetryBudget(ratio, extra, 10*time.Second, func() int { return boxes }))
 }
 
 // TestCallerLeaves checks that the upstream's work ends within half a second of
@@ -262,7 +262,7 @@
 	for _, after := range []time.Duration{50 * time.Millisecond, time.Second} {
 		withRig(t, 1, 0, func(t *testing.T, r *rig) {
 			ctx, cancel := context.WithCancel(t.Context())
-			go func() { _, _ = r.read(plan(ctx, "id", 2000), nil) }()
+			go func() { _, _ = r.readStream(planRequest(ctx, "id", 2000), nil) }()
 			time.Sleep(after)
 			if got := r.engines["u1"].Running(); got != 1 {
 				t.Fatalf("runs at work: got %d, want 1", got)
@@ -284,11 +284,11 @@
 func TestBrokenStreamDoesNotLookWhole(t *testing.T) {
 	withRig(t, 2, 0, func(t *testing.T, r *rig) {
 		r.engines["u1"].SetFaults(routed.Faults{BreakAfter: 10})
-		s, err := r.read(plan(t.Context(), "id", 400), nil)
+		s, err := r.readStream(planRequest(t.Context(), "id", 400), nil)
 		if err != nil || s.events != 10 || s.whole {
 			t.Errorf("got %+v %v, want 10 events and no end", s, err)
 		}
-		if got := r.started("id"); got != 1 {
+		if got := r.startedRuns("id"); got != 1 {
 			t.Errorf("runs: got %d, want 1", got)
 		}
 	})
@@ -298,7 +298,7 @@
 func TestGapIsNotPassedOn(t *testing.T) {
 	withRig(t, 1, 0, func(t *testing.T, r *rig) {
 		r.engines["u1"].SetFaults(routed.Faults{Gap: true})
-		s, err := r.read(plan(t.Context(), "id", 400), nil)
+		s, err := r.readStream(planRequest(t.Context(), "id", 400), nil)
 		if err != nil || s.events != 2 || s.whole {
 			t.Errorf("got %+v %v, want 2 events and no end", s, err)
 		}
@@ -309,8 +309,8 @@
 // place sends nothing to an engine that has left meanwhile.
 func TestPausedBoxLooksAgain(t *testing.T) {
 	withRig(t, 2, 0, func(t *testing.T, r *rig) {
-		r.fresh = func() { r.remove("u1") }
-		s, err := r.read(plan(t.Context(), "id", 40), nil)
+		r.refreshViews = func() { r.remove("u1") }
+		s, err := r.readStream(planRequest(t.Context(), "id", 40), nil)
 		if err != nil || !s.whole {
 			t.Errorf("got %+v %v, want a whole stream", s, err)
 		}
--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -34,7 +34,7 @@
 		return err
 	}
 	stream := func(r *rig, i int) error {
-		s, err := r.read(plan(r.t.Context(), fmt.Sprint("plan-", i), 40), nil)
+		s, err := r.readStream(planRequest(r.t.Context(), fmt.Sprint("plan-", i), 40), nil)
 		if err == nil && !s.whole {
 			err = fmt.Errorf("got %d events", s.events)
 		}
@@ -97,16 +97,16 @@
 		for n, rest := range map[string]time.Duration{"s1": 3 * time.Second, "s2": 5 * time.Second, "u1": 3 * time.Second, "u2": 5 * time.Second} {
 			r.engines[n].SetFaults(routed.Faults{Refuse: http.StatusServiceUnavailable, Rest: rest})
 		}
-		send := func(id string) map[string]*whole {
+		send := func(id string) map[string]*response {
 			once, _, err := r.do(request(t.Context(), http.MethodPost, "/once/x", "once-"+id, ""))
 			if err != nil {
 				t.Fatal(err)
 			}
-			stream, _, err := r.do(plan(t.Context(), "plan-"+id, 40))
+			stream, _, err := r.do(planRequest(t.Context(), "plan-"+id, 40))
 			if err != nil {
 				t.Fatal(err)
 			}
-			return map[string]*whole{"call": once, "stream": stream}
+			return map[string]*response{"call": once, "stream": stream}
 		}
 		send("first")
 		began := time.Now()
@@ -134,7 +134,7 @@
 	withRig(t, 2, 0, func(t *testing.T, r *rig) {
 		r.engines["u1"].SetFaults(routed.Faults{Refuse: http.StatusServiceUnavailable, Rest: 3 * time.Second})
 		r.relay.Place = func(ctx context.Context, w *policy.Work, avoid map[string]bool) (*placement.Place, error) {
-			u := r.guess(w, avoid)
+			u := r.firstFree(w, avoid)
 			time.Sleep(time.Second)
 			if u == nil {
 				return r.place(ctx, w, avoid)
@@ -144,7 +144,7 @@
 		var g sync.WaitGroup
 		for i := range 10 {
 			g.Go(func() {
-				if s, err := r.read(plan(t.Context(), fmt.Sprint("plan-", i), 40), nil); err != nil || !s.whole {
+				if s, err := r.readStream(planRequest(t.Context(), fmt.Sprint("plan-", i), 40), nil); err != nil || !s.whole {
 					t.Errorf("plan %d: got %+v %v, want a whole stream", i, s, err)
 				}
 			})
@@ -198,7 +198,7 @@
 		r.engines["u1"].SetFaults(routed.Faults{Refuse: http.StatusServiceUnavailable})
 		send := func(streams int, name string) (served int) {
 			for i := range streams {
-				if s, err := r.read(plan(t.Context(), fmt.Sprint(name, i), 4), nil); err == nil && s.whole {
+				if s, err := r.readStream(planRequest(t.Context(), fmt.Sprint(name, i), 4), nil); err == nil && s.whole {
 					served++
 				}
 			}
@@ -241,7 +241,7 @@
 		var g sync.WaitGroup
 		send := func(id string) {
 			g.Go(func() {
-				if s, err := r.read(plan(t.Context(), id, 600), nil); err != nil || !s.whole || s.events != 150 {
+				if s, err := r.readStream(planRequest(t.Context(), id, 600), nil); err != nil || !s.whole || s.events != 150 {
 					t.Errorf("%s: got %+v %v, want a whole stream", id, s, err)
 				}
 			})
@@ -269,7 +269,7 @@
 			r.engines[n].SetFaults(routed.Faults{Refuse: http.StatusBadRequest})
 		}
 		for i := range 200 {
-			_, _, _ = r.do(plan(t.Context(), fmt.Sprint("bad-plan-", i), 4))
+			_, _, _ = r.do(planRequest(t.Context(), fmt.Sprint("bad-plan-", i), 4))
 			_, _, _ = r.do(request(t.Context(), http.MethodPost, "/once/x", fmt.Sprint("bad-call-", i), ""))
 		}
 		if got, least := len(r.engines["u1"].Visits()), 200; got < least {
--- a/internal/relay/resume_test.go
+++ b/internal/relay/resume_test.go
@@ -35,15 +35,15 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			withRig(t, 1, 0, func(t *testing.T, r *rig) {
-				q := generation(t.Context(), x.path, "id", 4*events)
+				q := generationRequest(t.Context(), x.path, "id", 4*events)
 				q.Header.Set("Last-Event-Id", x.last)
 				if x.status != http.StatusOK {
-					if w, _, err := r.do(q); err != nil || w.StatusCode != x.status || r.started("id") != 0 {
+					if w, _, err := r.do(q); err != nil || w.StatusCode != x.status || r.startedRuns("id") != 0 {
 						t.Errorf("got %v %v, want %d and no run", w, err, x.status)
 					}
 					return
 				}
-				s, err := r.read(q, nil)
+				s, err := r.readStream(q, nil)
 				if err != nil || !s.whole || s.events != x.events {
 					t.Fatalf("got %+v %v, want %d events and an end", s, err, x.events)
 				}
@@ -66,7 +66,7 @@
 		fault  func(r *rig)
 		engine string // whose mark the answer has
 	}{
-		{"the engine crashes", 10, func(r *rig) { r.die("u1") }, "u1"},
+		{"the engine crashes", 10, func(r *rig) { r.kill("u1") }, "u1"},
 		{"the engine breaks off in the middle of an event", -1, func(r *rig) {
 			r.engines["u1"].SetFaults(routed.Faults{BreakAfter: 10})
 		}, "u1"},
@@ -91,7 +91,7 @@
 		{"the engine leaves and goes before its run was copied", 10, func(r *rig) {
 			r.engines["u1"].SetFaults(routed.Faults{FailCopies: http.StatusServiceUnavailable})
 			r.list("u1", "llm", true)
-			time.AfterFunc(200*time.Millisecond, func() { r.die("u1") })
+			time.AfterFunc(200*time.Millisecond, func() { r.kill("u1") })
 		}, "u1"},
 		{"the engine leaves and its run is moved", 10, func(r *rig) { r.list("u1", "llm", true) }, "u1"},
 	} {
@@ -100,7 +100,7 @@
 				if x.at < 0 {
 					x.fault(r)
 				}
-				s, err := r.read(check(t.Context(), 4*events), func(n int) {
+				s, err := r.readStream(checkRequest(t.Context(), 4*events), func(n int) {
 					if n == x.at {
 						x.fault(r)
 					}
@@ -126,11 +126,11 @@
 		for _, e := range r.engines {
 			e.SetFaults(routed.Faults{BreakAfter: 10})
 		}
-		s, err := r.read(check(t.Context(), 400), nil)
+		s, err := r.readStream(checkRequest(t.Context(), 400), nil)
 		if err != nil || s.whole || s.events != 10 {
 			t.Errorf("got %+v %v, want 10 events and no end", s, err)
 		}
-		if got := r.started("id"); got != 2 {
+		if got := r.startedRuns("id"); got != 2 {
 			t.Errorf("runs: got %d, want 2", got)
 		}
 	})
@@ -141,14 +141,14 @@
 func TestResumptionTakesFromTheBudget(t *testing.T) {
 	withRig(t, 2, 0, func(t *testing.T, r *rig) {
 		r.engines["u1"].SetFaults(routed.Faults{BreakAfter: 10})
-		s, err := r.read(check(t.Context(), 400), nil)
+		s, err := r.readStream(checkRequest(t.Context(), 400), nil)
 		if err != nil || s.whole || s.events != 10 {
 			t.Errorf("got %+v %v, want 10 events and no end", s, err)
 		}
-		if got := r.started("id"); got != 1 {
+		if got := r.startedRuns("id"); got != 1 {
 			t.Errorf("runs: got %d, want 1", got)
 		}
-	}, relay.WithBudget(0, 0, 10*time.Second, func() int { return 1 }))
+	}, relay.WithRetryBudget(0, 0, 10*time.Second, func() int { return 1 }))
 }
 
 // TestFailureIsNotPassedOnAfterAStream has the first engine answer with a failure, which is
@@ -158,7 +158,7 @@
 	withRig(t, 2, 0, func(t *testing.T, r *rig) {
 		r.engines["u1"].SetFaults(routed.Faults{Status: http.StatusInternalServerError})
 		r.engines["u2"].SetFaults(routed.Faults{BreakAfter: 10})
-		s, err := r.read(check(t.Context(), 400), nil)
+		s, err := r.readStream(checkRequest(t.Context(), 400), nil)
 		if err != nil || s.whole || s.events != 10 {
 			t.Errorf("got %+v %v, want 10 events and no end", s, err)
 		}
@@ -191,7 +191,7 @@
 			return r.place(ctx, w, avoid)
 		}
 		r.put(resource.SourceConfiguration, resource.KindRoute, "checks", `{"host":"`+rigHost+`","pathPrefix":"/checks/","attempts":4,"repeat":"resume","stream":true,"services":[{"name":"llm","weight":1}],"timeoutMilliseconds":39000}`, false)
-		if s, err := r.read(check(t.Context(), 200), nil); err != nil || !s.whole || s.events != 50 {
+		if s, err := r.readStream(checkRequest(t.Context(), 200), nil); err != nil || !s.whole || s.events != 50 {
 			t.Errorf("got %+v %v, want 50 events and an end", s, err)
 		}
 		if len(asked) != 4 {
--- a/internal/relay/rig_test.go
+++ b/internal/relay/rig_test.go
@@ -40,39 +40,39 @@
 // rig is a relay behind the platform's ingress, before engines u1, u2, … and
 // services s1, s2, …, in virtual time.
 type rig struct {
-	ended    int // upstreams that a request has ended
-	engines  map[string]*routed.Engine
-	fresh    func()
-	lines    *lineCounter
-	link     *link.Link
-	metrics  *metric.Set
-	mutex    sync.Mutex // guards ended and revision
-	relay    *relay.Relay
-	revision int64
-	t        *testing.T
-	turns    ownership.Turns
-	view     *resource.View
+	crashes      int // upstreams that a request has ended
+	engines      map[string]*routed.Engine
+	refreshViews func()
+	logs         *logCounter
+	link         *link.Link
+	metrics      *metric.Set
+	mutex        sync.Mutex // guards ended and revision
+	relay        *relay.Relay
+	revision     int64
+	t            *testing.T
+	turns        ownership.Turns
+	view         *resource.View
 }
 
 // withRig runs f with that many engines and services.
 func withRig(t *testing.T, engines, services int, f func(t *testing.T, r *rig), options ...relay.Option) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		r := &rig{engines: make(map[string]*routed.Engine), fresh: func() {}, lines: newLineCounter(), link: link.New(), metrics: metric.NewSet(), t: t, view: resource.NewView()}
+		r := &rig{engines: make(map[string]*routed.Engine), refreshViews: func() {}, logs: newLogCounter(), link: link.New(), metrics: metric.NewSet(), t: t, view: resource.NewView()}
 		tracker := placement.NewTracker(func(*policy.Load) {})
 		tracker.Send = func(context.Context, *box.ProgressReport) (*box.Reply, error) { return &box.Reply{}, nil }
-		options = append([]relay.Option{relay.WithBudget(0.2, 50, 10*time.Second, func() int { return 1 })}, options...)
-		r.relay = relay.New(r.view, tracker, policy.NewLengths(), "a", r.metrics, slog.New(r.lines), options...)
+		options = append([]relay.Option{relay.WithRetryBudget(0.2, 50, 10*time.Second, func() int { return 1 })}, options...)
+		r.relay = relay.New(r.view, tracker, policy.NewLengths(), "a", r.metrics, slog.New(r.logs), options...)
 		calls := platform.NewEngines(platform.WithEnginesTransport(r.link))
-		r.relay.Upstreams = relay.Upstreams{Gone: calls.Gone, Migrate: calls.Migrate, Release: calls.Release, Send: calls.Send}
-		r.relay.Fresh = func(context.Context) { r.fresh() }
+		r.relay.Upstreams = relay.UpstreamCalls{ProcessEnded: calls.Gone, Migrate: calls.Migrate, Release: calls.Release, Send: calls.Send}
+		r.relay.RefreshViews = func(context.Context) { r.refreshViews() }
 		r.relay.Place = r.place
-		r.relay.Guess = r.guess
+		r.relay.ChooseLocally = r.firstFree
 		r.relay.Turn = func(ctx context.Context, u *resource.Upstream, arriving bool, x *policy.Run) (func(), error) {
 			return r.turns.Take(ctx, u.Name, arriving, x)
 		}
 		r.link.Join("box", platform.NewIngress(r.relay, 1<<20))
-		r.declare()
+		r.declareRoutes()
 		for i := range engines {
 			r.start(fmt.Sprintf("u%d", i+1), "llm")
 		}
@@ -88,9 +88,9 @@
 	})
 }
 
-// declare puts the routes and services in force: /plans/ streams, /checks/ streams and may
+// declareRoutes puts the routes and services in force: /plans/ streams, /checks/ streams and may
 // be resumed, /once/ may not be repeated, /often/ may.
-func (r *rig) declare() {
+func (r *rig) declareRoutes() {
 	r.put(resource.SourceConfiguration, resource.KindPriority, "first", `{"value":9}`, false)
 	r.put(resource.SourceConfiguration, resource.KindWorkspace, "quotes", `{"keyHashes":["`+resource.HashKey(rigKey)+`"]}`, false)
 	r.put(resource.SourceConfiguration, resource.KindService, "llm", `{"engine":{"kvTokens":34500,"maxBatch":64,"linkMbps":2700,"tokenBytes":18432,"migrates":true,"tokensAnEvent":4}}`, false)
@@ -136,21 +136,21 @@
 	r.put(resource.SourceUpstreams, resource.KindUpstream, name, "{}", true)
 }
 
-// die ends an upstream's process.
-func (r *rig) die(name string) {
+// kill ends an upstream's process.
+func (r *rig) kill(name string) {
 	r.engines[name].Die()
 	r.link.Down(name, true)
 }
 
 // place takes the first engine that may be used.
 func (r *rig) place(_ context.Context, w *policy.Work, avoid map[string]bool) (*placement.Place, error) {
-	if u := r.guess(w, avoid); u != nil {
+	if u := r.firstFree(w, avoid); u != nil {
 		return &placement.Place{Granted: time.Now(), Upstream: u}, nil
 	}
 	return nil, fail.WithRetryAt(fail.New(fail.NotRun, fail.Place{Peer: "upstreams", Step: "choose"}, "no_upstream", "none"), time.Now().Add(time.Second))
 }
 
-func (r *rig) guess(w *policy.Work, avoid map[string]bool) *resource.Upstream {
+func (r *rig) firstFree(w *policy.Work, avoid map[string]bool) *resource.Upstream {
 	for _, u := range r.view.UpstreamsOfModel(w.Model) {
 		if u.AcceptsWork(time.Now()) && !avoid[u.Name] {
 			return u
@@ -171,17 +171,17 @@
 	return q
 }
 
-// check returns a request for a stream of that many tokens that may be resumed.
-func check(ctx context.Context, tokens int) *http.Request {
-	return generation(ctx, "/checks/x", "id", tokens)
+// checkRequest returns a request for a stream of that many tokens that may be resumed.
+func checkRequest(ctx context.Context, tokens int) *http.Request {
+	return generationRequest(ctx, "/checks/x", "id", tokens)
 }
 
-// plan returns a request for a stream of that many tokens.
-func plan(ctx context.Context, id string, tokens int) *http.Request {
-	return generation(ctx, "/plans/x", id, tokens)
+// planRequest returns a request for a stream of that many tokens.
+func planRequest(ctx context.Context, id string, tokens int) *http.Request {
+	return generationRequest(ctx, "/plans/x", id, tokens)
 }
 
-func generation(ctx context.Context, path, id string, tokens int) *http.Request {
+func generationRequest(ctx context.Context, path, id string, tokens int) *http.Request {
 	q := request(ctx, http.MethodPost, path, id, "prompt")
 	q.Header.Set("X-Linetiller-Model", "m")
 	q.Header.Set("X-Linetiller-Token-Count", "3000,2224")
@@ -191,18 +191,18 @@
 
 // do sends a request and returns its status and body; err is set where the answer
 // ended before its end.
-func (r *rig) do(q *http.Request) (a *whole, body string, err error) {
+func (r *rig) do(q *http.Request) (a *response, body string, err error) {
 	w, err := r.link.RoundTrip(q)
 	if err != nil {
 		return nil, "", err
 	}
 	b, err := io.ReadAll(w.Body)
 	_ = w.Body.Close()
-	return &whole{w.Header, w.StatusCode}, string(b), err
+	return &response{w.Header, w.StatusCode}, string(b), err
 }
 
-// whole is an answer that was read to its end.
-type whole struct {
+// response is an answer that was read to its end.
+type response struct {
 	Header     http.Header
 	StatusCode int
 }
@@ -215,9 +215,9 @@
 	whole   bool          // it ended, and not by breaking off
 }
 
-// read sends a plan and checks that its events are those of one generation, in
+// readStream sends a plan and checks that its events are those of one generation, in
 // order and once; each is called with the number of events that have come.
-func (r *rig) read(q *http.Request, each func(events int)) (*stream, error) {
+func (r *rig) readStream(q *http.Request, onEvent func(events int)) (*stream, error) {
 	w, err := r.link.RoundTrip(q)
 	if err != nil {
 		return nil, err
@@ -227,9 +227,9 @@
 		return nil, fmt.Errorf("status %d", w.StatusCode)
 	}
 	s, last := &stream{head: w.Header}, time.Time{}
-	before, _ := strconv.Atoi(q.Header.Get("Last-Event-Id"))
+	skipped, _ := strconv.Atoi(q.Header.Get("Last-Event-Id"))
 	if !strings.HasPrefix(q.URL.Path, "/checks/") {
-		before = 0
+		skipped = 0
 	}
 	id := q.Header.Get("X-Linetiller-Request-Id")
 	x := bufio.NewScanner(w.Body)
@@ -239,23 +239,23 @@
 			continue
 		}
 		s.events++
-		if want := routed.Event(id, before+s.events); data != want {
+		if want := routed.Event(id, skipped+s.events); data != want {
 			return s, fmt.Errorf("event %d: got %q, want %q", s.events, data, want)
 		}
 		if !last.IsZero() {
 			s.longest = max(s.longest, time.Since(last))
 		}
 		last = time.Now()
-		if each != nil {
-			each(s.events)
+		if onEvent != nil {
+			onEvent(s.events)
 		}
 	}
 	s.whole = x.Err() == nil
 	return s, nil
 }
 
-// started returns how often a request was run from its beginning, at all upstreams.
-func (r *rig) started(id string) int {
+// startedRuns returns how often a request was run from its beginning, at all upstreams.
+func (r *rig) startedRuns(id string) int {
 	n := 0
 	for _, e := range r.engines {
 		n += e.Started(id)
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -16,57 +16,57 @@
 
 // What an upstream says of itself with an answer, as metrics name it.
 const (
-	wordLeaving      = "leaving"       // it is about to end
-	wordLimit        = "limit"         // the rate that it accepts from all boxes together
-	wordLimitInvalid = "limit_invalid" // such a rate that cannot be used
-	wordRest         = "rest"          // it rejected the request and asked this box for back-off
+	noticeLeaving      = "leaving"       // it is about to end
+	noticeLimit        = "limit"         // the rate that it accepts from all boxes together
+	noticeLimitInvalid = "limit_invalid" // such a rate that cannot be used
+	noticeBackoff      = "rest"          // it rejected the request and asked this box for back-off
 )
 
 // fromAnswer names, in logs, the upstream's own answer as where news of it came from.
 const fromAnswer = "its answer"
 
-// hasten returns a context that ends where an upstream is silent for too long, until the
+// withFirstEventTimeout returns a context that ends where an upstream is silent for too long, until the
 // result is called. It does so only for streams that may be resumed: of others nothing
 // is gained by giving up.
-func (e *exchange) hasten(ctx context.Context) (context.Context, func()) {
+func (e *exchange) withFirstEventTimeout(ctx context.Context) (context.Context, func()) {
 	if e.route.Spec.Repeat != resource.RepeatResume {
 		return ctx, func() {}
 	}
 	c, cancel := context.WithCancel(ctx)
-	t := time.AfterFunc(firstSilence, cancel)
+	t := time.AfterFunc(firstEventTimeout, cancel)
 	return c, func() { t.Stop() }
 }
 
-// judge records what an answer says of its upstream, and returns an error where it is not one
+// checkAnswer records what an answer says of its upstream, and returns an error where it is not one
 // to pass on.
-func (e *exchange) judge(u *resource.Upstream, a *Answer) error {
+func (e *exchange) checkAnswer(u *resource.Upstream, a *Answer) error {
 	x, now := e.relay, time.Now()
 	p := fail.Place{Peer: "upstream " + u.Name, Step: "send"}
 	if a.Leaving {
-		e.noteLeaving(u)
+		e.recordLeaving(u)
 	}
 	x.observeLimit(u, a)
-	if a.Rest > 0 {
-		x.metrics.Count(metric.UpstreamWords, "word", wordRest)
-		x.rests.RecordBackoff(u, now.Add(a.Rest))
+	if a.Backoff > 0 {
+		x.metrics.Count(metric.UpstreamWords, "word", noticeBackoff)
+		x.backoffs.RecordBackoff(u, now.Add(a.Backoff))
 	}
 	if a.NotRun {
 		// One that rejects all is never busy: where it asks for no back-off, its rejections count as
 		// failures, or it would be sent the most.
-		turnsAway := promises(a.Status) && a.Rest == 0 // and doesn't find fault with the request
-		x.health.RecordAnswer(u.Name, turnsAway, a.Load, now)
-		if turnsAway && u.Engine() != nil {
-			x.rests.RecordRefusal(u.Name, now) // its owner holds it for empty
+		rejectsAll := impliesNotRun(a.Status) && a.Backoff == 0 // and doesn't find fault with the request
+		x.health.RecordAnswer(u.Name, rejectsAll, a.Load, now)
+		if rejectsAll && u.Engine() != nil {
+			x.backoffs.RecordRefusal(u.Name, now) // its owner holds it for empty
 		}
-		event.UpstreamRefused.Log(x.log, "request", e.request.ID, "upstream", u.Name, "status", a.Status, "rest_ms", a.Rest.Milliseconds())
-		return fail.WithRetryAt(fail.New(fail.NotRun, p, "upstream_refused", "status %d, not run", a.Status), e.refusedUntil(now))
+		event.UpstreamRefused.Log(x.log, "request", e.request.ID, "upstream", u.Name, "status", a.Status, "rest_ms", a.Backoff.Milliseconds())
+		return fail.WithRetryAt(fail.New(fail.NotRun, p, "upstream_refused", "status %d, not run", a.Status), e.retryAt(now))
 	}
-	e.ran++
-	e.mayRun = true
-	x.rests.RecordSuccess(u.Name)
-	spoilt := a.OtherEcho || (a.Status < http.StatusBadRequest && !a.Signed)
-	x.health.RecordAnswer(u.Name, spoilt || a.Status >= http.StatusInternalServerError, a.Load, now)
-	if spoilt {
+	e.possibleRuns++
+	e.mayHaveRun = true
+	x.backoffs.RecordSuccess(u.Name)
+	mismatch := a.EchoMismatch || (a.Status < http.StatusBadRequest && !a.Stamped)
+	x.health.RecordAnswer(u.Name, mismatch || a.Status >= http.StatusInternalServerError, a.Load, now)
+	if mismatch {
 		event.UpstreamMismatch.Log(x.log, "request", e.request.ID, "upstream", u.Name, "status", a.Status)
 		return fail.New(fail.Unknown, p, "answer_crossed", "the answer is not that of the request")
 	}
@@ -77,36 +77,36 @@
 // was decided.
 func (e *exchange) logPlaced(u *resource.Upstream, r *Resume) {
 	v := e.relay.view.Revisions()
-	if e.tries == 1 {
+	if e.sends == 1 {
 		e.relay.placeWait.Update(time.Since(e.request.Arrived).Seconds())
 	}
 	l := []any{
 		"request", e.request.ID, "route", e.routeName(), "workspace", e.workspaceName(), "upstream", u.Name,
-		"hall", u.Spec.Hall, "try", e.tries, "resumed", r != nil, "waited_ms", time.Since(e.request.Arrived).Milliseconds(),
-		"left_ms", time.Until(e.deadline).Milliseconds(), "priority", e.priority(), "prompt_tokens", e.request.Prompt, "hint", e.request.Hint,
+		"hall", u.Spec.Hall, "try", e.sends, "resumed", r != nil, "waited_ms", time.Since(e.request.Arrived).Milliseconds(),
+		"left_ms", time.Until(e.deadline).Milliseconds(), "priority", e.priority(), "prompt_tokens", e.request.PromptTokens, "hint", e.request.Hint,
 		"configuration", v[resource.SourceConfiguration], "upstreams", revision.Version(v[resource.SourceUpstreams]),
 	}
-	if e.lastID != "" {
-		l = append(l, "last_event", e.lastID)
+	if e.lastEventID != "" {
+		l = append(l, "last_event", e.lastEventID)
 	}
 	event.RequestPlaced.Log(e.relay.log, l...)
 }
 
-// noteLeaving records a shutdown notice in the answer of an upstream: nothing new may
+// recordLeaving records a shutdown notice in the answer of an upstream: nothing new may
 // go there, and the answer may be the only word of it for as long as the store is away.
-func (e *exchange) noteLeaving(u *resource.Upstream) {
+func (e *exchange) recordLeaving(u *resource.Upstream) {
 	x := e.relay
-	x.metrics.Count(metric.UpstreamWords, "word", wordLeaving)
+	x.metrics.Count(metric.UpstreamWords, "word", noticeLeaving)
 	v := x.view.Upstream(u.Name)
 	event.LeavingAnswered.Log(x.log, "request", e.request.ID, "upstream", u.Name, "known", v == nil || v.IsLeaving())
-	x.Leaving(u)
+	x.RecordLeaving(u)
 }
 
-// refusedUntil returns when a caller may come back whom an upstream refused: soon where
+// retryAt returns when a caller may come back whom an upstream refused: soon where
 // another one may take it, and else once the first has rested.
-func (e *exchange) refusedUntil(now time.Time) time.Time {
-	t := now.Add(refusedPeriod)
-	if at := fail.RetryAt(e.relay.rests.AllBackingOffError(e.upstreams(), e.servicePlace(), now)); at.After(t) {
+func (e *exchange) retryAt(now time.Time) time.Time {
+	t := now.Add(refusedRetryDelay)
+	if at := fail.RetryAt(e.relay.backoffs.AllBackingOffError(e.upstreams(), e.servicePlace(), now)); at.After(t) {
 		return at
 	}
 	return t
@@ -114,13 +114,13 @@
 
 // send sends the request to u and returns an answer that may be passed on: its
 // own, and not a refusal to run. It reports whether another upstream may be tried.
-func (e *exchange) send(ctx context.Context, u *resource.Upstream, r *Resume) (a *Answer, again bool, err error) {
+func (e *exchange) send(ctx context.Context, u *resource.Upstream, r *Resume) (a *Answer, retry bool, err error) {
 	x := e.relay
-	e.tries++
+	e.sends++
 	e.upstream = u
-	o := &Offer{Deadline: e.deadline, LastEventID: e.lastID, Priority: e.priority(), Resume: r, Workspace: e.workspaceName()}
+	o := &SendOptions{Deadline: e.deadline, LastEventID: e.lastEventID, Priority: e.priority(), Resume: r, Workspace: e.workspaceName()}
 	e.logPlaced(u, r)
-	ctx, stop := e.hasten(ctx)
+	ctx, stop := e.withFirstEventTimeout(ctx)
 	a, err = x.Upstreams.Send(ctx, u, e.request, o)
 	stop()
 	now := time.Now()
@@ -132,19 +132,19 @@
 	}
 	e.avoid[u.Name] = true
 	if err != nil {
-		e.mayRun = true
-		e.ran++
-		if e.client.Err() == nil { // or it tells nothing of the upstream
+		e.mayHaveRun = true
+		e.possibleRuns++
+		if e.clientCtx.Err() == nil { // or it tells nothing of the upstream
 			x.health.RecordAnswer(u.Name, true, nil, now)
 		}
 		if ctx.Err() == nil {
-			e.noteCrash(u, 0)
+			e.checkCrash(u, 0)
 		}
-		e.noteLeft(u)
+		e.checkCrashAfterCallerLeft(u)
 		event.UpstreamFailed.Log(x.log, "request", e.request.ID, "upstream", u.Name, "reason", fail.Reason(err), "error", err.Error())
 		return nil, true, err
 	}
-	if err := e.judge(u, a); err != nil {
+	if err := e.checkAnswer(u, a); err != nil {
 		_ = a.Body.Close()
 		return nil, true, err
 	}
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -14,8 +14,8 @@
 // move that started then would leave its copy to nobody.
 func TestNoMoveStartsOnceAStreamIsClosed(t *testing.T) {
 	x := New(resource.NewView(), nil, policy.NewLengths(), "a", metric.NewSet(), slog.New(slog.DiscardHandler))
-	e := &exchange{client: t.Context(), relay: x, request: new(Request), route: new(resource.Route), writer: httptest.NewRecorder()}
-	s := newStream(e, &seat{upstream: &resource.Upstream{Name: "u1"}})
+	e := &exchange{clientCtx: t.Context(), relay: x, request: new(Request), route: new(resource.Route), writer: httptest.NewRecorder()}
+	s := newStream(e, &assignment{upstream: &resource.Upstream{Name: "u1"}})
 	s.close()
 	s.startMove(false)
 	if s.move != nil {
--- a/internal/relay/turns.go
+++ b/internal/relay/turns.go
@@ -7,7 +7,7 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// Turns asks for the turn to move a run away from an upstream, or, where arriving is
+// TurnFunc asks for the turn to move a run away from an upstream, or, where arriving is
 // set, to one. It returns when the turn has come, and release gives it back. An error
 // means that the turn has not come.
-type Turns func(ctx context.Context, u *resource.Upstream, arriving bool, r *policy.Run) (release func(), err error)
+type TurnFunc func(ctx context.Context, u *resource.Upstream, arriving bool, r *policy.Run) (release func(), err error)
--- a/limits.go
+++ b/limits.go
@@ -82,7 +82,7 @@
 func (b *Box) allocate(from string, q *ratelimit.PermitRequest, first bool) *ratelimit.Grant {
 	now := time.Now()
 	if !q.Limit.ReportedAt.IsZero() {
-		b.relay.NoteLimit(q.Limit, from)
+		b.relay.RecordLimit(q.Limit, from)
 	}
 	l := b.limits.limiter.Limits().Get(q.Limit.Upstream, q.Limit.StartedAt, now)
 	switch {
@@ -217,7 +217,7 @@
 // noteLimits records what another box knows of limits.
 func (b *Box) noteLimits(l []ratelimit.Limit, from string) {
 	for _, x := range l {
-		b.relay.NoteLimit(x, from)
+		b.relay.RecordLimit(x, from)
 	}
 }
 
--- a/linetiller.go
+++ b/linetiller.go
@@ -135,7 +135,7 @@
 func (b *Box) ClientAddress() string { return b.clientListener.Addr().String() }
 
 // Held returns how many requests are in progress.
-func (b *Box) Held() int { return b.deliverer.Held() + b.relay.Held() }
+func (b *Box) Held() int { return b.deliverer.Held() + b.relay.InProgress() }
 
 // OperatorAddress returns the address for operators.
 func (b *Box) OperatorAddress() string { return b.operatorListener.Addr().String() }
--- a/quarantinedrow.go
+++ b/quarantinedrow.go
@@ -42,7 +42,7 @@
 	if hall == b.settings.Hall {
 		k.setQuarantinedWritten(r.Revision, policy.DigestOf(l))
 	}
-	if b.relay.NoteCrashes(l, "store") {
+	if b.relay.RecordCrashes(l, "store") {
 		b.pushCrashes()
 	}
 }
--- a/reload.go
+++ b/reload.go
@@ -15,7 +15,7 @@
 		event.ReloadFailed.Log(b.log, "error", err.Error())
 		return
 	}
-	b.relay.SetBudget(s.Budget.Ratio, s.Budget.Extra, s.Budget.Window.Duration)
+	b.relay.SetRetryBudget(s.Budget.Ratio, s.Budget.Extra, s.Budget.Window.Duration)
 	rest, old := *s, *b.settings
 	rest.Budget, old.Budget = settings.Budget{}, settings.Budget{}
 	event.Reloaded.Log(b.log, "restart_needed", !reflect.DeepEqual(rest, old))
