--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -10,15 +10,46 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// assignment is an upstream that a request may be sent to, with what counts the request there.
+// assignment is the upstream chosen for a request, with the handles that account for the request there.
 type assignment struct {
-	end      func()             // ends the count at a plain service; nil at an engine
-	place    *placement.Place   // nil at a plain service
-	running  *placement.Running // nil at a plain service
+	end      func()             // removes the request from the load count of a plain service; nil for an engine
+	place    *placement.Place   // nil for a plain service
+	running  *placement.Running // nil for a plain service
 	upstream *resource.Upstream
 }
 
-// attempt sends the request to one upstream and passes its answer on. It reports
+// assign chooses an upstream for w and takes a permit to send to it. Upstreams that asked for
+// back-off are left out; where a permit is denied, it chooses again.
+func (e *exchange) assign(ctx context.Context, w *policy.Work) (*assignment, error) {
+	if err := e.quarantineError(); err != nil {
+		return nil, err
+	}
+	x := e.relay
+	for denied := 0; ; denied++ {
+		now := time.Now()
+		l := e.upstreams()
+		if err := x.backoffs.AllBackingOffError(l, e.servicePlace(), now); err != nil {
+			return nil, err
+		}
+		avoid, waitUntil, err := e.avoidUnpermitted(l, x.backoffs.Avoid(l, e.avoid, now), denied, now)
+		if err != nil {
+			return nil, err
+		}
+		t, err := e.chooseUpstream(ctx, w, avoid)
+		if err != nil {
+			return nil, err
+		}
+		if e.takePermit(ctx, t.upstream, waitUntil) {
+			return t, nil
+		}
+		t.release(x, false)
+		if ctx.Err() != nil {
+			return nil, fail.Wrap(fail.NotRun, e.servicePlace(), string(policy.ReasonLimited), ctx.Err())
+		}
+	}
+}
+
+// attempt sends the request to one upstream and forwards its answer. retry reports
 // whether another upstream may be tried.
 func (e *exchange) attempt(ctx context.Context) (retry bool, err error) {
 	t, err := e.assign(ctx, e.work())
@@ -42,12 +73,12 @@
 	return s.run(ctx, a)
 }
 
-// checkBeforeSend makes sure, just before the send, that an upstream may still be used: the box may
-// have been paused since it was chosen.
+// checkBeforeSend checks, just before the send, that the chosen upstream may still be used: the
+// box's process may have been suspended since the choice. It returns the upstream as listed now.
 func (e *exchange) checkBeforeSend(ctx context.Context, t *assignment) (*resource.Upstream, error) {
 	e.relay.RefreshViews(ctx)
 	if err := e.quarantineError(); err != nil {
-		return nil, err // heard while it waited
+		return nil, err // quarantined while it waited for a place
 	}
 	now := time.Now()
 	place := fail.Place{Peer: "upstream " + t.upstream.Name, Step: stepCheck}
@@ -61,15 +92,16 @@
 		return nil, fail.WithRetryAt(fail.New(fail.NotRun, place, string(policy.ReasonEvacuated), "data hall %q is evacuated", u.Spec.Hall), now)
 	case !e.relay.backoffs.Until(u.Name, now).IsZero():
 		e.avoid[t.upstream.Name] = true
-		return nil, fail.WithRetryAt(fail.New(fail.NotRun, place, string(policy.ReasonResting), "the upstream wants rest"), e.retryAt(now))
+		return nil, fail.WithRetryAt(fail.New(fail.NotRun, place, string(policy.ReasonResting), "the upstream asked for back-off"), e.retryAt(now))
 	case t.place != nil && t.place.Stale(now):
-		return nil, fail.WithRetryAt(fail.New(fail.NotRun, place, "stale_place", "the place was given too long ago"), now)
+		return nil, fail.WithRetryAt(fail.New(fail.NotRun, place, "stale_place", "the reserved place has expired"), now)
 	}
 	e.startTrial(now)
 	return u, nil
 }
 
-// chooseUpstream finds an upstream for w: an engine that has a place for it, or a plain service.
+// chooseUpstream chooses an upstream for w: an engine that has reserved a place for it, or an upstream
+// of a plain service.
 func (e *exchange) chooseUpstream(ctx context.Context, w *policy.Work, avoid map[string]bool) (*assignment, error) {
 	x := e.relay
 	if e.service.Spec.Engine != nil {
@@ -90,38 +122,8 @@
 	return &assignment{end: x.health.Begin(u.Name), upstream: u}, nil
 }
 
-// assign finds an upstream for w that the request may be sent to now.
-func (e *exchange) assign(ctx context.Context, w *policy.Work) (*assignment, error) {
-	if err := e.quarantineError(); err != nil {
-		return nil, err
-	}
-	x := e.relay
-	for denied := 0; ; denied++ {
-		now := time.Now()
-		l := e.upstreams()
-		if err := x.backoffs.AllBackingOffError(l, e.servicePlace(), now); err != nil {
-			return nil, err
-		}
-		avoid, waitUntil, err := e.avoidUnpermitted(l, x.backoffs.Avoid(l, e.avoid, now), denied, now)
-		if err != nil {
-			return nil, err
-		}
-		t, err := e.chooseUpstream(ctx, w, avoid)
-		if err != nil {
-			return nil, err
-		}
-		if e.takePermit(ctx, t.upstream, waitUntil) {
-			return t, nil
-		}
-		t.release(x, false)
-		if ctx.Err() != nil {
-			return nil, fail.Wrap(fail.NotRun, e.servicePlace(), string(policy.ReasonLimited), ctx.Err())
-		}
-	}
-}
-
-// release gives back what is held at the upstream; ended tells that the generation
-// reached its own end there.
+// release removes the request from the counts of the upstream; ended says that the
+// generation ran to completion there.
 func (t *assignment) release(x *Relay, ended bool) {
 	if t.end != nil {
 		t.end()
--- a/internal/relay/crash.go
+++ b/internal/relay/crash.go
@@ -16,43 +16,69 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// crashCheckWait is how long a request waits to learn whether its upstream has crashed: a machine
-// without the process refuses a connection within milliseconds, and one that is cut off is silent.
+// crashCheckWait bounds how long a request waits for the check whether its upstream has crashed. A
+// machine on which the process has ended refuses a connection within milliseconds; one that is cut
+// off from the network does not answer at all.
 const crashCheckWait = 50 * time.Millisecond
 
-// callerGoneCheckDelay is how long after its caller left a request an upstream is looked at: one that had
-// begun to run it has crashed by then.
+// callerGoneCheckDelay is the time between a caller's disconnect and the check whether the upstream
+// of its request has crashed: an upstream that had begun to run a poison request has crashed by then.
 const callerGoneCheckDelay = 500 * time.Millisecond
 
-// A stream vouches for a request with the same fingerprint where, clearanceDelay or a little more after
-// that one's upstream crashed, it is at least clearanceLeadEvents events further: a poison request would
-// have crashed its own upstream.
+// A running stream clears a suspect with the same fingerprint if, between clearanceDelay and twice
+// that time after the crash, it is more than clearanceLeadEvents events ahead of the suspect: a
+// poison request would have crashed the upstream of that stream as well.
 const (
 	clearanceLeadEvents = 8
 	clearanceDelay      = 500 * time.Millisecond
 )
 
-// reasonQuarantined is the reason of the failure of a quarantined request.
+// reasonQuarantined is the failure reason of a quarantined request.
 const reasonQuarantined = "ends_upstreams"
 
-// Reasons for which a broken request is not counted as a crash of its upstream.
+// Reasons why a broken request is not counted as a crash of its upstream.
 const (
-	ignoredEntryChanged = "entry_changed" // it is no longer listed, or has started again
-	ignoredLeaving      = "leaving"       // it had announced that it stops
-	ignoredNotRefused   = "not_refused"   // its machine did not refuse a connection
+	ignoredEntryChanged = "entry_changed" // the upstream is no longer listed, or has restarted
+	ignoredLeaving      = "leaving"       // the upstream had announced its shutdown
+	ignoredNotRefused   = "not_refused"   // the upstream's machine did not refuse a connection
 )
 
-// recordServed records that the request ran to its end, and announces it where upstreams had crashed
-// under its fingerprint: what many ask for is running as any upstream crashes.
-func (e *exchange) recordServed() {
-	x, p := e.relay, e.fingerprint()
-	x.served.Record(p, time.Now())
-	if x.clearCrashes(p, "") {
-		x.AnnounceCleared(p)
+// checkCrash checks whether an upstream that broke off its answer crashed while it ran the request,
+// and records the crash. events is the number of events that the stream had received. A broken
+// connection, a network partition, a slow answer or a planned shutdown does not count as a crash.
+func (e *exchange) checkCrash(u *resource.Upstream, events int) {
+	x, now := e.relay, time.Now()
+	if r := e.ignoredReason(u, now); r != "" {
+		e.ignoreCrash(u, r)
+		return
+	}
+	known, p := make(chan struct{}), e.fingerprint()
+	x.workers.Go(func() {
+		defer close(known)
+		e.confirmCrash(x.ctx, u, now, policy.Suspect{Events: events, Fingerprint: p})
+	})
+	select {
+	case <-known:
+	case <-time.After(crashCheckWait):
 	}
 }
 
-// confirmCrash records that an upstream has crashed under the request, where its machine shows that.
+// checkCrashAfterCallerLeft schedules a crash check for an upstream whose caller disconnected before
+// the answer began: the upstream may have started to run the request.
+func (e *exchange) checkCrashAfterCallerLeft(u *resource.Upstream) {
+	if e.clientCtx.Err() == nil {
+		return
+	}
+	x, now, s := e.relay, time.Now(), policy.Suspect{Fingerprint: e.fingerprint()}
+	x.runAfter(callerGoneCheckDelay, func() {
+		if e.ignoredReason(u, time.Now()) == "" {
+			e.confirmCrash(x.background, u, now, s)
+		}
+	})
+}
+
+// confirmCrash asks the upstream's machine whether the process has ended. If so, it records the crash
+// with the suspect s and announces it to the other boxes; otherwise it counts the crash as ignored.
 func (e *exchange) confirmCrash(ctx context.Context, u *resource.Upstream, at time.Time, s policy.Suspect) {
 	x := e.relay
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
@@ -70,7 +96,7 @@
 	x.ClearServed()
 }
 
-// fingerprint returns the request's fingerprint, whoever sends it and however often.
+// fingerprint returns the request's fingerprint, which is the same for every caller and every retry.
 func (e *exchange) fingerprint() policy.Fingerprint {
 	if e.cachedFingerprint != 0 {
 		return e.cachedFingerprint
@@ -79,14 +105,15 @@
 	return e.cachedFingerprint
 }
 
-// ignoreCrash counts and logs that a broken request is not counted as a crash.
+// ignoreCrash records in the metrics and the log that a broken request is not counted as a crash.
 func (e *exchange) ignoreCrash(u *resource.Upstream, reason string) {
 	x := e.relay
 	x.metrics.Count(metric.CrashesIgnored, "reason", reason)
 	event.CrashNotCounted.Log(x.log, "request", e.request.ID, "upstream", u.Name, "reason", reason, "asked", e.fingerprint().String())
 }
 
-// ignoredReason returns why a request that broke off tells nothing of a crash of its upstream, or "".
+// ignoredReason returns why the upstream of a broken request need not be checked for a crash, or ""
+// if it must be checked.
 func (e *exchange) ignoredReason(u *resource.Upstream, now time.Time) string {
 	v := e.relay.view.Upstream(u.Name)
 	switch {
@@ -98,42 +125,8 @@
 	return ""
 }
 
-// checkCrash finds out whether an upstream that broke off has crashed under the request, whose
-// stream had got so many events, and records it. A broken connection, a cut, a slow answer or a
-// planned stop is no crash.
-func (e *exchange) checkCrash(u *resource.Upstream, events int) {
-	x, now := e.relay, time.Now()
-	if r := e.ignoredReason(u, now); r != "" {
-		e.ignoreCrash(u, r)
-		return
-	}
-	known, p := make(chan struct{}), e.fingerprint()
-	x.workers.Go(func() {
-		defer close(known)
-		e.confirmCrash(x.ctx, u, now, policy.Suspect{Events: events, Fingerprint: p})
-	})
-	select {
-	case <-known:
-	case <-time.After(crashCheckWait):
-	}
-}
-
-// checkCrashAfterCallerLeft looks, after a moment, whether an upstream has crashed under the request whose caller
-// left before an answer: it may have begun to run it.
-func (e *exchange) checkCrashAfterCallerLeft(u *resource.Upstream) {
-	if e.clientCtx.Err() == nil {
-		return
-	}
-	x, now, s := e.relay, time.Now(), policy.Suspect{Fingerprint: e.fingerprint()}
-	x.runAfter(callerGoneCheckDelay, func() {
-		if e.ignoredReason(u, time.Now()) == "" {
-			e.confirmCrash(x.background, u, now, s)
-		}
-	})
-}
-
-// quarantineError returns the failure of a request under which so many upstreams crashed that it is sent
-// to no further one, or nil.
+// quarantineError returns an error if the request is quarantined because too many upstreams crashed
+// while running it, and nil otherwise.
 func (e *exchange) quarantineError() error {
 	x, now := e.relay, time.Now()
 	if x.quarantine.Empty() || !x.quarantine.Quarantined(e.fingerprint(), now) {
@@ -142,10 +135,21 @@
 	if l := x.quarantine.Renew(e.fingerprint(), now); l != nil {
 		x.AnnounceCrashes(l)
 	}
-	return fail.New(fail.Unknown, e.servicePlace(), reasonQuarantined, "%d upstreams ended under %s", x.quarantine.CrashCount(e.fingerprint(), now), e.fingerprint())
+	return fail.New(fail.Unknown, e.servicePlace(), reasonQuarantined, "request quarantined: %d upstreams crashed while running fingerprint %s", x.quarantine.CrashCount(e.fingerprint(), now), e.fingerprint())
 }
 
-// startTrial lets a quarantined request through where that is due, and announces it.
+// recordServed records that the request completed. If it was suspected of crashes, it is cleared and
+// the other boxes are told: a popular request is often running when an upstream crashes, whatever
+// the cause, and becomes a suspect each time.
+func (e *exchange) recordServed() {
+	x, p := e.relay, e.fingerprint()
+	x.served.Record(p, time.Now())
+	if x.clearCrashes(p, "") {
+		x.AnnounceCleared(p)
+	}
+}
+
+// startTrial records and announces a trial run of a quarantined request, if one is due now.
 func (e *exchange) startTrial(now time.Time) {
 	x := e.relay
 	if x.quarantine.Empty() {
@@ -159,8 +163,8 @@
 	x.AnnounceCrashes(l)
 }
 
-// clearCrashes clears a request that ran to its end at a box, "" for this one. It reports whether
-// upstreams had crashed under it.
+// clearCrashes clears a request of suspicion because it completed at the box from, "" for this one.
+// It reports whether the request was suspected of crashes.
 func (x *Relay) clearCrashes(p policy.Fingerprint, from string) bool {
 	if !x.quarantine.Clear(p) {
 		return false
@@ -169,24 +173,17 @@
 	return true
 }
 
-// runAfter calls f after a time, unless the relay is closed before.
-func (x *Relay) runAfter(d time.Duration, f func()) {
-	x.mutex.Lock()
-	defer x.mutex.Unlock()
-	if x.closing {
-		return
-	}
-	x.workers.Go(func() {
-		select {
-		case <-x.background.Done():
-		case <-time.After(d):
-			f()
+// clearSuspects clears those suspects of a crash for which this box has evidence, and announces them.
+func (x *Relay) clearSuspects(c *policy.Crash) {
+	for _, s := range c.Suspects {
+		if !s.Cleared && (x.servedSinceLastCrash(s.Fingerprint, c.At) || x.hasStreamAhead(&s)) && x.clearCrashes(s.Fingerprint, "") {
+			x.AnnounceCleared(s.Fingerprint)
 		}
-	})
+	}
 }
 
-// hasStreamAhead reports whether this box has a stream of the same request that got further than the
-// suspect's.
+// hasStreamAhead reports whether a stream of the same request runs at this box that is more than
+// clearanceLeadEvents events ahead of the suspect's.
 func (x *Relay) hasStreamAhead(s *policy.Suspect) bool {
 	x.mutex.Lock()
 	l := slices.Collect(maps.Keys(x.streams))
@@ -199,14 +196,8 @@
 	return false
 }
 
-// servedSinceLastCrash reports whether this box served a request between the last crash under it, and a crash
-// at a time, or later.
-func (x *Relay) servedSinceLastCrash(p policy.Fingerprint, at time.Time) bool {
-	t := x.served.LastRunAt(p, time.Now())
-	return !t.IsZero() && t.After(x.quarantine.LastCrashBefore(p, at))
-}
-
-// markClearancesUsed records which runs have cleared their requests of crashes: they clear them of no others.
+// markClearancesUsed records which completed runs have cleared a request of a crash, so that the same
+// run does not clear it of another one.
 func (x *Relay) markClearancesUsed(l []policy.Crash) {
 	now := time.Now()
 	for _, c := range l {
@@ -218,10 +209,27 @@
 	}
 }
 
-// scheduleClearance clears, after a moment, the suspects of crashes for which this box can speak: it served the
-// request since the crash before, or has a stream of it that gets further than the run that crashed.
-// What many ask for is running at each upstream of a rack that loses its power. The moment differs
-// between boxes, so that most hear of it before they would announce it themselves.
+// runAfter calls f after d, unless the relay is closed before.
+func (x *Relay) runAfter(d time.Duration, f func()) {
+	x.mutex.Lock()
+	defer x.mutex.Unlock()
+	if x.closing {
+		return
+	}
+	x.workers.Go(func() {
+		select {
+		case <-x.background.Done():
+		case <-time.After(d):
+			f()
+		}
+	})
+}
+
+// scheduleClearance clears, after a random delay, the suspects for which this box has evidence: it
+// served the request since the previous crash, or one of its streams of the request is further on
+// than the run that crashed. This protects popular requests, which run at every upstream of a rack
+// that loses power. The delay is random so that most boxes learn of a clearance before they would
+// announce it themselves.
 func (x *Relay) scheduleClearance(l []policy.Crash) {
 	x.runAfter(clearanceDelay+rand.N(clearanceDelay), func() {
 		for _, c := range l {
@@ -230,16 +238,14 @@
 	})
 }
 
-// clearSuspects clears the suspects of a crash for which this box can speak.
-func (x *Relay) clearSuspects(c *policy.Crash) {
-	for _, s := range c.Suspects {
-		if !s.Cleared && (x.servedSinceLastCrash(s.Fingerprint, c.At) || x.hasStreamAhead(&s)) && x.clearCrashes(s.Fingerprint, "") {
-			x.AnnounceCleared(s.Fingerprint)
-		}
-	}
+// servedSinceLastCrash reports whether this box served the request p after the last crash before at
+// of which it was a suspect.
+func (x *Relay) servedSinceLastCrash(p policy.Fingerprint, at time.Time) bool {
+	t := x.served.LastRunAt(p, time.Now())
+	return !t.IsZero() && t.After(x.quarantine.LastCrashBefore(p, at))
 }
 
-// FingerprintOf returns a request's fingerprint.
+// FingerprintOf returns a hash of the request's method, host, target and body.
 func FingerprintOf(q *Request) policy.Fingerprint {
 	h := xxhash.New()
 	for _, s := range []string{q.Method, q.Host, q.Target} {
--- a/internal/relay/crash_test.go
+++ b/internal/relay/crash_test.go
@@ -19,7 +19,7 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// poisonRequest makes a request one that ends each engine which it reaches.
+// poisonRequest returns q with a body that crashes every engine that runs it.
 func poisonRequest(q *http.Request) *http.Request {
 	q.Body = http.NoBody
 	r, err := http.NewRequestWithContext(q.Context(), q.Method, q.URL.String(), strings.NewReader(routed.Deadly))
@@ -30,7 +30,7 @@
 	return r
 }
 
-// crashOnPoison has upstreams go where a request ends them.
+// crashOnPoison takes upstreams down, and counts them, when a poison request crashes them.
 func (r *rig) crashOnPoison() {
 	for n, e := range r.engines {
 		e.Crashed = func(string) {
@@ -42,17 +42,17 @@
 	}
 }
 
-// crashCount returns how many upstreams a request has ended.
+// crashCount returns the number of upstreams that poison requests have crashed.
 func (r *rig) crashCount() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.crashes
 }
 
-// TestRequestThatCrashesUpstreams sends a request again and again that ends each upstream which it
-// reaches, as callers do that come back: it was seen to end 27 engines of a small fleet in 20 s, one
-// after another, since each try and each resumption was taken for a new request. Two upstreams
-// end, and from then on it gets its final answer at once; what else runs is served.
+// TestRequestThatCrashesUpstreams guards against a poison request that crashes one upstream after
+// another as its callers retry. Such a request once crashed 27 engines of a small fleet in 20 s,
+// because each retry and each resumption counted as a new request. It must crash two upstreams at
+// most and then be refused at once, while other requests are served.
 func TestRequestThatCrashesUpstreams(t *testing.T) {
 	for _, x := range []struct {
 		name string
@@ -81,13 +81,13 @@
 					time.Sleep(time.Second)
 				}
 				if got, want := r.crashes, 2; got != want {
-					t.Errorf("upstreams that ended: got %d, want %d", got, want)
+					t.Errorf("upstreams that crashed: got %d, want %d", got, want)
 				}
 				if got := r.metrics.Value(metric.Refusals, "reason", "ends_upstreams"); got == 0 {
-					t.Error("the counter tells of none")
+					t.Error("refusals counted as ends_upstreams: got 0, want some")
 				}
-				if s, err := r.readStream(planRequest(t.Context(), "other", 40), nil); err != nil || !s.whole {
-					t.Errorf("another stream: got %+v %v, want it whole", s, err)
+				if s, err := r.readStream(planRequest(t.Context(), "other", 40), nil); err != nil || !s.complete {
+					t.Errorf("another stream: got %+v %v, want it complete", s, err)
 				}
 				if w, _, err := r.do(request(t.Context(), http.MethodPost, "/once/y", "other-call", "")); err != nil || w.StatusCode != http.StatusOK {
 					t.Errorf("another call: got %v %v, want 200", w, err)
@@ -97,12 +97,12 @@
 	}
 }
 
-// TestWhatIsNoCrashOfAnUpstream checks that a request is not held to have ended upstreams that
-// live, were cut off, said that they leave, or went together with others.
+// TestWhatIsNoCrashOfAnUpstream checks that a request is not quarantined for upstreams that are
+// still running, announced their shutdown, or are no longer listed.
 func TestWhatIsNoCrashOfAnUpstream(t *testing.T) {
 	for _, x := range []struct {
-		name   string
-		strike func(r *rig, engine string)
+		name  string
+		fault func(r *rig, engine string)
 	}{
 		{"its connections break", func(r *rig, n string) { r.engines[n].SetFaults(routed.Faults{BreakAfter: 10}) }},
 		{"it leaves", func(r *rig, n string) {
@@ -116,8 +116,8 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			withRig(t, 4, 0, func(t *testing.T, r *rig) {
-				for i := range 3 { // the same is asked for each time
-					time.AfterFunc(500*time.Millisecond, func() { x.strike(r, fmt.Sprint("u", i+1)) })
+				for i := range 3 { // the same request each time, but for its id
+					time.AfterFunc(500*time.Millisecond, func() { x.fault(r, fmt.Sprint("u", i+1)) })
 					_, _ = r.readStream(generationRequest(t.Context(), "/checks/x", fmt.Sprint("id-", i), 400), nil)
 					time.Sleep(time.Second)
 				}
@@ -129,12 +129,11 @@
 	}
 }
 
-// TestRackIsLost has three engines end at once, twice, under streams that all ask for the same
-// thing. Its callers come back, and are served: engines that go together do not go for what they
-// run.
+// TestRackIsLost crashes three engines at once, twice, while they run streams of the same request.
+// Callers that retry must be served: engines that fail together do not fail because of a request.
 func TestRackIsLost(t *testing.T) {
 	withRig(t, 8, 0, func(t *testing.T, r *rig) {
-		var first, next atomic.Int32 // engines from the first on are given in turn
+		var first, next atomic.Int32 // places are given at the engines from this one on, in turn
 		first.Store(1)
 		r.relay.Place = func(context.Context, *policy.Work, map[string]bool) (*placement.Place, error) {
 			n := first.Load()
@@ -152,9 +151,9 @@
 				r.kill(n)
 			}
 		}
-		time.Sleep(time.Second) // and none has come to its end meanwhile
-		if s, err := r.readStream(planRequest(t.Context(), "again", 1200), nil); err != nil || !s.whole {
-			t.Errorf("a caller that comes back: got %+v %v, want a whole stream", s, err)
+		time.Sleep(time.Second) // no stream has completed by now
+		if s, err := r.readStream(planRequest(t.Context(), "again", 1200), nil); err != nil || !s.complete {
+			t.Errorf("a caller that retries: got %+v %v, want a complete stream", s, err)
 		}
 		g.Wait()
 		if got := r.metrics.Value(metric.Refusals, "reason", "ends_upstreams"); got != 0 {
@@ -163,9 +162,9 @@
 	})
 }
 
-// TestFailureDoesNotClearAPoisonRequest has an upstream answer a poison request with a failure of
-// its own, without running it to its end, between two crashes: that cleared it of the first, so
-// that upstreams crashed for as long as some of them failed.
+// TestFailureDoesNotClearAPoisonRequest guards against clearing a poison request because an upstream
+// answered it with an error between two crashes, without running it to completion. That cleared it
+// of the first crash, so that upstreams kept crashing as long as some of them returned errors.
 func TestFailureDoesNotClearAPoisonRequest(t *testing.T) {
 	withRig(t, 0, 8, func(t *testing.T, r *rig) {
 		r.crashOnPoison()
@@ -187,9 +186,9 @@
 	})
 }
 
-// TestStreamThatIsBehindDoesNotVouch crashes upstreams under streams of one request at their
-// twentieth event, while others of it are not as far: a stream vouches only for what it has outlived, or a request that crashes its upstreams late would never
-// be quarantined.
+// TestStreamThatIsBehindDoesNotVouch crashes upstreams at the twentieth event of streams of one
+// request, while other streams of it have fewer events. A stream may clear a suspect only if it is
+// ahead of it; otherwise a request that crashes its upstreams late would never be quarantined.
 func TestStreamThatIsBehindDoesNotVouch(t *testing.T) {
 	withRig(t, 12, 0, func(t *testing.T, r *rig) {
 		var next atomic.Int32
@@ -206,7 +205,7 @@
 				})
 			})
 		}
-		for i := 1; i <= 7; i++ { // the last is still running as it could vouch for the first
+		for i := 1; i <= 7; i++ { // the last one still runs when it could clear the first
 			send(i)
 			if i%3 == 0 {
 				time.Sleep(300 * time.Millisecond)
@@ -214,13 +213,13 @@
 		}
 		g.Wait()
 		if w, _, _ := r.do(planRequest(t.Context(), "again", 1200)); w.StatusCode != http.StatusBadGateway {
-			t.Errorf("a caller that comes back: got status %d, want 502", w.StatusCode)
+			t.Errorf("a caller that retries: got status %d, want 502", w.StatusCode)
 		}
 	})
 }
 
-// TestPoisonRequestWhoseCallersLeave sends a poison request whose callers are gone each time before
-// the upstream crashes: nobody saw under what it crashed, and the request was sent on for ever.
+// TestPoisonRequestWhoseCallersLeave guards against a poison request whose callers always disconnect
+// before the upstream crashes: no box attributed the crashes to it, so that it was never quarantined.
 func TestPoisonRequestWhoseCallersLeave(t *testing.T) {
 	for _, path := range []string{"/plans/x", "/once/x"} {
 		withRig(t, 8, 8, func(t *testing.T, r *rig) {
@@ -245,8 +244,9 @@
 	}
 }
 
-// TestCallersThatLeaveCostFewConnections has callers leave before and during their answers: one
-// connection is made for each that left before, and none for the others.
+// TestCallersThatLeaveCostFewConnections checks how often the upstream is probed for a crash when
+// callers disconnect: once for a caller that left before its answer began, and not at all for one
+// that left during its answer.
 func TestCallersThatLeaveCostFewConnections(t *testing.T) {
 	withRig(t, 1, 0, func(t *testing.T, r *rig) {
 		var made atomic.Int32
@@ -273,9 +273,9 @@
 	})
 }
 
-// TestServedRequestIsNotQuarantinedByChance has two upstreams crash under a call that ran to its end
-// before, for another reason: it was refused from then on, and no run of it could clear it. One that
-// has not run since is quarantined after one more crash.
+// TestServedRequestIsNotQuarantinedByChance crashes two upstreams, for another reason, while they run
+// a call that completed before. Such a call used to be refused from then on, so that no run could
+// clear it. After further crashes without a completed run in between it must be quarantined.
 func TestServedRequestIsNotQuarantinedByChance(t *testing.T) {
 	withRig(t, 0, 6, func(t *testing.T, r *rig) {
 		var crashing atomic.Bool
--- a/internal/relay/deliver.go
+++ b/internal/relay/deliver.go
@@ -11,20 +11,42 @@
 	"github.com/linetiller/linetiller/internal/fail"
 )
 
-// bufferedAnswer is an answer that was read to its end.
+// bufferedAnswer is an answer whose whole body has been read.
 type bufferedAnswer struct {
 	Answer
 	body []byte
 }
 
-// maxBufferedBytes bounds an answer that is read to its end before it is passed on;
-// a larger one is passed on as it comes.
+// maxBufferedBytes is the size up to which an answer is read completely before it is
+// forwarded; a larger one is forwarded as it arrives.
 const maxBufferedBytes = 1 << 20
 
-// errTooLarge says that an answer is too large to be read to its end first.
-var errTooLarge = errors.New("the answer is too large")
+// errTooLarge is returned for an answer that is too large to be buffered.
+var errTooLarge = errors.New("the answer body exceeds the buffer limit")
 
-// deliver passes an answer on that is no stream. It reports whether another
+// copyAnswer writes the part of an answer's body that was already read, and then the
+// rest as it arrives.
+func (e *exchange) copyAnswer(a *Answer, read []byte) error {
+	if impliesNotRun(a.Status) {
+		return e.writeAnswer(&bufferedAnswer{Answer: *a})
+	}
+	copyHeader(e.writer.Header(), a.Header)
+	if a.Length >= 0 {
+		e.writer.Header().Set("Content-Length", strconv.FormatInt(a.Length, 10))
+	}
+	e.status = a.Status
+	e.writer.WriteHeader(a.Status)
+	_, err := e.writer.Write(read)
+	if err == nil {
+		_, err = io.Copy(e.writer, a.Body)
+	}
+	if err != nil {
+		return fail.Wrap(fail.Interrupted, clientPlace("deliver"), "answer_cut", err)
+	}
+	return nil
+}
+
+// deliver forwards an answer that is not a stream. retry reports whether another
 // upstream may be tried.
 func (e *exchange) deliver(ctx context.Context, a *Answer) (retry bool, err error) {
 	p := fail.Place{Peer: "upstream " + e.upstream.Name, Step: "read answer"}
@@ -51,12 +73,12 @@
 	return false, e.writeAnswer(w)
 }
 
-// writeAnswer writes a whole answer. A status that promises that nothing ran, from an
-// upstream that did not say so, is told as a failure.
+// writeAnswer writes a buffered answer to the caller. It returns an error instead for a
+// status that means that the request did not run, where the upstream did not say so itself.
 func (e *exchange) writeAnswer(a *bufferedAnswer) error {
 	if impliesNotRun(a.Status) {
 		p := fail.Place{Peer: "upstream " + e.upstreamName(), Step: "read answer"}
-		return fail.New(fail.Unknown, p, "upstream_failed", "status %d without a word on whether it ran", a.Status)
+		return fail.New(fail.Unknown, p, "upstream_failed", "status %d, but the upstream did not say that the request was not run", a.Status)
 	}
 	copyHeader(e.writer.Header(), a.Header)
 	e.writer.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
@@ -68,34 +90,14 @@
 	return nil
 }
 
-// copyAnswer writes an answer as it comes, after the part of it that was read.
-func (e *exchange) copyAnswer(a *Answer, read []byte) error {
-	if impliesNotRun(a.Status) {
-		return e.writeAnswer(&bufferedAnswer{Answer: *a})
-	}
-	copyHeader(e.writer.Header(), a.Header)
-	if a.Length >= 0 {
-		e.writer.Header().Set("Content-Length", strconv.FormatInt(a.Length, 10))
-	}
-	e.status = a.Status
-	e.writer.WriteHeader(a.Status)
-	_, err := e.writer.Write(read)
-	if err == nil {
-		_, err = io.Copy(e.writer, a.Body)
-	}
-	if err != nil {
-		return fail.Wrap(fail.Interrupted, clientPlace("deliver"), "answer_cut", err)
-	}
-	return nil
-}
-
 func copyHeader(to, from http.Header) {
 	for k, v := range from {
 		to[k] = v
 	}
 }
 
-// impliesNotRun reports whether a status promises that the request did not run.
+// impliesNotRun reports whether a caller may conclude from a status that the request did
+// not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -104,7 +106,8 @@
 	return false
 }
 
-// readBody reads an answer's body. With errTooLarge it returns the part read.
+// readBody reads an answer's body, up to maxBufferedBytes. With errTooLarge it returns the
+// part read so far, of which one byte is beyond the limit.
 func readBody(ctx context.Context, a *Answer) ([]byte, error) {
 	defer context.AfterFunc(ctx, func() { _ = a.Body.Close() })()
 	b, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedBytes+1))
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -16,43 +16,44 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// exchange is one request on its way. It is used by one goroutine.
+// exchange is the state of one request while it is relayed. Only one goroutine uses it.
 type exchange struct {
-	clientCtx context.Context // ends when the caller has gone
+	clientCtx context.Context // cancelled when the caller disconnects
 	relay     *Relay
 	request   *Request
 	writer    http.ResponseWriter
 
-	cachedFingerprint policy.Fingerprint // what it asks for; 0 before that is needed
+	cachedFingerprint policy.Fingerprint // 0 until it is first needed
 	avoid             map[string]bool    // upstreams not to be tried again
 	deadline          time.Time
-	firstEventDelay   time.Duration   // from its arrival to the first event passed on; 0 before
-	fallback          *bufferedAnswer // an upstream's failure, to be passed on where no other upstream does better
-	lastEventID       string          // of the last event that the caller has, "" where it has none
-	longestGap        time.Duration   // between two events passed on
-	mayHaveRun        bool            // something was sent that may have run
-	possibleRuns      int             // upstreams that may have run it
+	firstEventDelay   time.Duration   // from the request's arrival to the first event forwarded; 0 until then
+	fallback          *bufferedAnswer // a failed answer, forwarded if no other upstream succeeds
+	lastEventID       string          // id of the last event that the caller has, "" if it has none
+	longestGap        time.Duration   // longest time between two events forwarded
+	mayHaveRun        bool            // an upstream may have run the request
+	possibleRuns      int             // number of upstreams that may have run the request
 	route             *resource.Route
 	service           *resource.Service
-	status            int // of the answer passed on
-	sends             int // sends
+	status            int // of the answer forwarded; 0 until its header is written
+	sends             int // attempts to send the request
 	upstream          *resource.Upstream
 	workspace         *resource.Workspace
 }
 
-// maxSends bounds the upstreams that are tried while each says that it did not
-// run the request.
+// maxSends bounds how often a request is sent, also if every upstream says that it did
+// not run it.
 const maxSends = 4
 
-// admit finds the request's route, workspace and service.
+// admit looks up the request's route, workspace and service and sets its deadline, or
+// returns why the request is refused.
 func (e *exchange) admit() error {
 	x, q := e.relay, e.request
 	if !x.HasConfiguration() {
-		return fail.WithRetryAt(fail.New(fail.NotRun, clientPlace("route"), "configuration_unknown", "no configuration is known yet"), time.Now().Add(startRetryDelay))
+		return fail.WithRetryAt(fail.New(fail.NotRun, clientPlace("route"), "configuration_unknown", "no configuration received yet"), time.Now().Add(startRetryDelay))
 	}
 	e.route = x.view.Route(resource.HostOf(q.Host), q.Path)
 	if e.route == nil {
-		return e.unknownError(fail.New(fail.NotFound, clientPlace("route"), "route_unknown", "no route leads from %s%s", q.Host, q.Path))
+		return e.unknownError(fail.New(fail.NotFound, clientPlace("route"), "route_unknown", "no route matches %s%s", q.Host, q.Path))
 	}
 	if e.route.Spec.Stream {
 		if err := x.checkStreamFits(expectedTokens(q), q.Arrived); err != nil {
@@ -62,7 +63,7 @@
 	if !e.route.Spec.Public && x.view.HasWorkspaces() {
 		e.workspace = x.view.WorkspaceByKey(q.BearerKey)
 		if e.workspace == nil {
-			return e.unknownError(fail.New(fail.Unauthorized, clientPlace("authorize"), "key_unknown", "the bearer key opens no workspace"))
+			return e.unknownError(fail.New(fail.Unauthorized, clientPlace("authorize"), "key_unknown", "the bearer key belongs to no workspace"))
 		}
 	}
 	e.deadline = q.Arrived.Add(e.route.Spec.Timeout.Duration())
@@ -81,13 +82,9 @@
 	return nil
 }
 
-// model returns the name by which engines are listed that run the request's model.
-func (e *exchange) model() string {
-	return e.service.Name + "/" + e.request.Model
-}
-
-// finalError makes sure that what the caller is told is true: nothing is called not
-// run once something may have run.
+// finalError turns the error of the last attempt into the one that the caller gets: an
+// error that says "not run" becomes an unknown outcome if an earlier attempt may have run
+// the request. If a fallback answer is kept, it writes that answer instead.
 func (e *exchange) finalError(ctx context.Context, err error) error {
 	if err == nil {
 		return nil
@@ -108,7 +105,12 @@
 	return err
 }
 
-// priority returns the request's priority: its workspace's goes before its route's.
+// model returns the name under which the engines that run the request's model are listed.
+func (e *exchange) model() string {
+	return e.service.Name + "/" + e.request.Model
+}
+
+// priority returns the request's priority. A workspace's priority overrides the route's.
 func (e *exchange) priority() int {
 	if e.workspace != nil && e.workspace.HasPriority {
 		return e.workspace.Priority
@@ -116,15 +118,19 @@
 	return e.route.Priority
 }
 
-// unknownError returns the refusal of a request whose route or key is not known: for good only while what
-// this box knows is known to be current.
-func (e *exchange) unknownError(err error) error {
-	age := e.relay.ViewAge()
-	if age < configuration.ViewStaleAfter {
-		return err
+// readLastEventID reads after which event the caller wants its stream to continue. It
+// ignores the id on routes whose streams may not be resumed: the caller gets the stream
+// from the beginning.
+func (e *exchange) readLastEventID() error {
+	id := e.request.LastEventID
+	if id == "" || e.route.Spec.Repeat != resource.RepeatResume {
+		return nil
 	}
-	p := fail.Place{Peer: fail.Peer(err), Step: fail.Step(err)}
-	return fail.WithRetryAt(fail.New(fail.NotRun, p, "view_stale", "%s, by what was known %s ago", fail.Reason(err), age.Round(time.Second)), time.Now().Add(staleViewRetryDelay))
+	if _, ok := eventNumber(id); !ok {
+		return fail.New(fail.BadInput, clientPlace("resume"), "last_event_invalid", "the last event id is not a number: %q", id)
+	}
+	e.lastEventID = id
+	return nil
 }
 
 func (e *exchange) routeName() string {
@@ -134,7 +140,7 @@
 	return e.route.Name
 }
 
-// run carries the request to its answer, or returns why it has none.
+// run relays the request until an answer was written, or returns why there is none.
 func (e *exchange) run() error {
 	if err := e.admit(); err != nil {
 		return err
@@ -155,21 +161,8 @@
 	return fail.Place{Peer: "service " + e.service.Name, Step: "choose"}
 }
 
-// readLastEventID records after which event the caller wants its stream. Of a route whose
-// streams may not be resumed, it gets the stream from the beginning.
-func (e *exchange) readLastEventID() error {
-	id := e.request.LastEventID
-	if id == "" || e.route.Spec.Repeat != resource.RepeatResume {
-		return nil
-	}
-	if _, ok := eventNumber(id); !ok {
-		return fail.New(fail.BadInput, clientPlace("resume"), "last_event_invalid", "the id of the last event is not a number: %q", id)
-	}
-	e.lastEventID = id
-	return nil
-}
-
-// shouldRetry reports whether another upstream is to be tried after err.
+// shouldRetry reports whether to try another upstream after err. A retry is charged to
+// the service's retry budget, unless no upstream received the request.
 func (e *exchange) shouldRetry(err error) bool {
 	x := e.relay
 	if e.clientCtx.Err() != nil || e.sends >= maxSends || !time.Now().Before(e.deadline) || e.quarantineError() != nil {
@@ -187,6 +180,17 @@
 	return true
 }
 
+// unknownError returns the error for a request whose route or key is unknown. While the view is stale
+// the error invites the caller to retry: the box may not have received the route or key yet.
+func (e *exchange) unknownError(err error) error {
+	age := e.relay.ViewAge()
+	if age < configuration.ViewStaleAfter {
+		return err
+	}
+	p := fail.Place{Peer: fail.Peer(err), Step: fail.Step(err)}
+	return fail.WithRetryAt(fail.New(fail.NotRun, p, "view_stale", "%s, but the view was last confirmed as current %s ago", fail.Reason(err), age.Round(time.Second)), time.Now().Add(staleViewRetryDelay))
+}
+
 func (e *exchange) upstreamName() string {
 	if e.upstream == nil {
 		return ""
@@ -194,7 +198,7 @@
 	return e.upstream.Name
 }
 
-// upstreams returns the upstreams that the request may go to by its service and model.
+// upstreams returns the upstreams of the request's service that run its model.
 func (e *exchange) upstreams() []*resource.Upstream {
 	if e.service.Spec.Engine != nil {
 		return e.relay.view.UpstreamsOfModel(e.model())
@@ -202,7 +206,7 @@
 	return e.relay.view.UpstreamsOfService(e.service.Name)
 }
 
-// work describes the generation to the owners of engines.
+// work describes the generation for the owners of engines, which place it.
 func (e *exchange) work() *policy.Work {
 	q := e.request
 	w := &policy.Work{
@@ -228,7 +232,8 @@
 	return e.workspace.Name
 }
 
-// expectedTokens returns how many tokens a request's answer is expected to have.
+// expectedTokens returns the expected number of tokens in the answer: the caller's hint, up
+// to the maximum, or the maximum if there is no hint.
 func expectedTokens(q *Request) int {
 	if q.Hint > 0 {
 		return min(q.Hint, max(1, q.MaxTokens))
--- a/internal/relay/failure.go
+++ b/internal/relay/failure.go
@@ -12,24 +12,26 @@
 )
 
 const (
-	// reasonCallerGone is the reason of an answer that nobody takes.
+	// reasonCallerGone is the failure reason when the caller has disconnected.
 	reasonCallerGone = "caller_gone"
-	// reasonOutOfReach is the reason of a refusal where no upstream of a service answered a
-	// connection a moment ago.
+	// reasonOutOfReach is the refusal reason when recent connection attempts to all upstreams of
+	// a service failed.
 	reasonOutOfReach = "upstreams_out_of_reach"
-	// reasonUnreachable is the reason of a send that never left this box.
+	// reasonUnreachable is the failure reason of a request that never left this box.
 	reasonUnreachable = "upstream_unreachable"
-	// stepCheck is the step at which a place is looked at again, before anything is sent.
+	// stepCheck is the error step of checkBeforeSend.
 	stepCheck = "check before the send"
 )
 
-// errDeadline says that the deadline passed while an upstream may have been at work.
+// errDeadline is the type of errors for a deadline that passed while an upstream may have
+// been running the request.
 var errDeadline = fail.Unknown.NewSubtype("deadline")
 
-// writeFailure writes the final answer of a request that failed.
+// writeFailure writes the answer to a request that failed. Where the caller has a part of
+// another answer already, it aborts the connection.
 func (e *exchange) writeFailure(err error) {
 	if e.clientCtx.Err() != nil || e.status != 0 {
-		// The caller has gone, or it has a part of an answer, which must not look whole.
+		// The caller has disconnected, or has received part of an answer, which must not look complete.
 		panic(http.ErrAbortHandler)
 	}
 	h := e.writer.Header()
@@ -41,12 +43,12 @@
 	_, _ = e.writer.Write([]byte(fail.Reason(err) + "\n"))
 }
 
-// reachedUpstream reports whether the upstream that err came from got the request.
+// reachedUpstream reports whether an upstream may have received the request that failed with err.
 func reachedUpstream(err error) bool {
 	return fail.Reason(err) != reasonUnreachable && fail.Step(err) != stepCheck
 }
 
-// retryAfter returns a time to come back in, in seconds.
+// retryAfter formats a duration for the Retry-After header, in seconds, rounded up to hundredths.
 func retryAfter(d time.Duration) string {
 	s := math.Max(0, math.Ceil(d.Seconds()*100)/100)
 	return strconv.FormatFloat(s, 'f', -1, 64)
--- a/internal/relay/gone_test.go
+++ b/internal/relay/gone_test.go
@@ -12,19 +12,19 @@
 	"github.com/linetiller/linetiller/internal/policy"
 )
 
-// callerGoneTimeout is how long after a caller has gone an upstream may still hear of its request.
+// callerGoneTimeout is how long after a caller's disconnect an upstream may still receive or run its request.
 const callerGoneTimeout = 500 * time.Millisecond
 
-// TestNothingIsSentForACallerThatIsGone has callers leave at each point where a request
-// may wait: for a place, for an upstream that says nothing, before another try, and while
-// a broken stream is taken up elsewhere. Half a second later no upstream is at work on it,
-// and none hears of it from then on.
+// TestNothingIsSentForACallerThatIsGone has callers disconnect at each point where a request
+// may wait: for a place, for a silent upstream, before a retry, and while a broken stream is
+// resumed elsewhere. Half a second later no upstream may run the request, and none may
+// receive it from then on.
 func TestNothingIsSentForACallerThatIsGone(t *testing.T) {
 	for _, x := range []struct {
 		name    string
 		prepare func(r *rig)
 		request func(ctx context.Context) *http.Request
-		after   time.Duration // when the caller leaves
+		after   time.Duration // when the caller disconnects
 	}{
 		{"waiting for a place", func(r *rig) { r.relay.Place = delayedPlace(r, 2*time.Second) }, func(ctx context.Context) *http.Request { return planRequest(ctx, "id", 400) }, time.Second},
 		{"a place comes as it leaves", func(r *rig) { r.relay.Place = delayedPlace(r, time.Second) }, func(ctx context.Context) *http.Request { return planRequest(ctx, "id", 400) }, time.Second},
@@ -47,7 +47,7 @@
 				arrived := r.requestsArrived()
 				for n, e := range r.engines {
 					if got := e.Running(); got != 0 {
-						t.Errorf("%s: runs at work: got %d, want 0", n, got)
+						t.Errorf("%s: running requests: got %d, want 0", n, got)
 					}
 				}
 				time.Sleep(10 * time.Second)
@@ -59,12 +59,12 @@
 	}
 }
 
-// repeatableCall returns a call that may be repeated.
+// repeatableCall returns a request to a route that allows retries.
 func repeatableCall(ctx context.Context) *http.Request {
 	return request(ctx, http.MethodGet, "/often/x", "id", "")
 }
 
-// delayedPlace returns a placement that takes some time, as where work waits in a queue.
+// delayedPlace returns a Place function that takes d, as when requests wait in a queue.
 func delayedPlace(r *rig, d time.Duration) func(context.Context, *policy.Work, map[string]bool) (*placement.Place, error) {
 	return func(ctx context.Context, w *policy.Work, avoid map[string]bool) (*placement.Place, error) {
 		select {
@@ -76,7 +76,7 @@
 	}
 }
 
-// requestsArrived returns how many requests have reached upstreams.
+// requestsArrived returns the number of requests that all upstreams together have received.
 func (r *rig) requestsArrived() int {
 	n := 0
 	for _, e := range r.engines {
@@ -85,7 +85,7 @@
 	return n
 }
 
-// setFaults sets the faults of the upstreams whose names begin so.
+// setFaults sets the faults of all upstreams of a kind, the first letter of their names.
 func (r *rig) setFaults(kind string, f routed.Faults) {
 	for n, e := range r.engines {
 		if n[:1] == kind {
--- a/internal/relay/leaving_test.go
+++ b/internal/relay/leaving_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// TestCloseWaitsForStreams checks that a relay that stops finishes what it holds
-// and refuses what comes, as not run.
+// TestCloseWaitsForStreams checks that a relay that is closed completes the requests in
+// progress and refuses new ones as not run.
 func TestCloseWaitsForStreams(t *testing.T) {
 	withRig(t, 1, 1, func(t *testing.T, r *rig) {
 		var g sync.WaitGroup
 		g.Go(func() {
 			s, err := r.readStream(planRequest(t.Context(), "id", 400), nil)
-			if err != nil || !s.whole || s.events != 100 {
+			if err != nil || !s.complete || s.events != 100 {
 				t.Errorf("got %+v %v, want 100 events and an end", s, err)
 			}
 		})
@@ -35,10 +35,10 @@
 	})
 }
 
-// TestLeavingRelayRefusesWhatOutlastsIt checks that a relay which ends its streams at a
-// time takes those that end well before it, and refuses longer ones at once, as not run.
-// Where it is the only one of its hall, it takes what is expected to end just in time, and
-// tells others to come back when the balancer sends them elsewhere.
+// TestLeavingRelayRefusesWhatOutlastsIt checks that a leaving relay accepts streams that are
+// expected to complete well before it cuts its streams off, and refuses longer ones at once, as
+// not run. If it is the only one in its hall, it accepts all that are expected to complete in
+// time, and the others are told to retry when the balancer will send them elsewhere.
 func TestLeavingRelayRefusesWhatOutlastsIt(t *testing.T) {
 	for _, x := range []struct {
 		others bool
@@ -54,9 +54,9 @@
 		{false, 2000, http.StatusServiceUnavailable, "3"},
 	} {
 		withRig(t, 1, 0, func(t *testing.T, r *rig) {
-			for i := range 3 { // so that the pace is known: 8 ms a token
-				if s, err := r.readStream(planRequest(t.Context(), fmt.Sprint("before-", i), 200), nil); err != nil || !s.whole {
-					t.Fatalf("before: got %+v %v, want a whole stream", s, err)
+			for i := range 3 { // to learn the pace: 8 ms per token
+				if s, err := r.readStream(planRequest(t.Context(), fmt.Sprint("before-", i), 200), nil); err != nil || !s.complete {
+					t.Fatalf("before: got %+v %v, want a complete stream", s, err)
 				}
 			}
 			r.relay.HasOtherBoxes = func() bool { return x.others }
@@ -72,15 +72,15 @@
 	}
 }
 
-// TestLeavingRelayTakesCalls checks that a relay which refuses new streams, as a box
-// that leaves does, still serves calls and the streams that it has.
+// TestLeavingRelayTakesCalls checks that a relay which refuses new streams because its box is
+// leaving still serves calls, and the streams in progress.
 func TestLeavingRelayTakesCalls(t *testing.T) {
 	withRig(t, 1, 1, func(t *testing.T, r *rig) {
 		var g sync.WaitGroup
 		g.Go(func() {
 			s, err := r.readStream(planRequest(t.Context(), "id", 400), nil)
-			if err != nil || !s.whole || s.events != 100 {
-				t.Errorf("the stream held: got %+v %v, want 100 events and an end", s, err)
+			if err != nil || !s.complete || s.events != 100 {
+				t.Errorf("the stream in progress: got %+v %v, want 100 events and an end", s, err)
 			}
 		})
 		time.Sleep(time.Second)
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// maxPermitRequests is how many permits one request asks for, at one upstream after another, before it
-	// goes past all upstreams that have limits.
+	// maxPermitRequests is the number of permits that may be denied to one request, at one upstream after
+	// another, before it avoids all rate-limited upstreams.
 	maxPermitRequests = 2
-	// permitTimeout bounds the wait for the answer to an ask where there may be other upstreams.
+	// permitTimeout bounds the wait for the answer to a permit request while there may be other upstreams.
 	permitTimeout = 100 * time.Millisecond
-	// permitTolerance is how much later than waited for a permit may be taken.
+	// permitTolerance is how much later than the end of the wait a permit may still be taken.
 	permitTolerance = 10 * time.Millisecond
 )
 
-// Limits returns what this box knows of the rate limits of upstreams.
+// Limits returns the rate limits of upstreams that this box knows.
 func (x *Relay) Limits() *ratelimit.Limits { return x.limiter.Limits() }
 
-// RecordLimit records and logs what was heard of the rate limit of an upstream, from itself or from a
-// box. It returns nil where that is not news.
+// RecordLimit records and logs an upstream's rate limit, as announced by the upstream itself or by
+// another box; from names the source in the log. It returns nil if nothing has changed.
 func (x *Relay) RecordLimit(l ratelimit.Limit, from string) *ratelimit.Change {
 	return x.logLimitChange(x.limiter.Limits().Record(l, time.Now()), from)
 }
 
-// logLimitChange logs a change of a limit, and returns it.
+// logLimitChange logs a change of a limit, if c is one worth logging, and returns c.
 func (x *Relay) logLimitChange(c *ratelimit.Change, from string) *ratelimit.Change {
 	switch {
 	case c == nil:
@@ -46,7 +46,8 @@
 	return c
 }
 
-// observeLimit records what an answer of an upstream says of its rate limit.
+// observeLimit records and announces what an upstream's answer says about its rate limit. An answer
+// from the upstream itself without a limit lifts the one known before.
 func (x *Relay) observeLimit(u *resource.Upstream, a *Answer) {
 	if a.EchoMismatch {
 		return
@@ -66,15 +67,15 @@
 	}
 }
 
-// announceLimit announces a change that an answer brought; nil is none.
+// announceLimit announces a change of a limit to the other boxes; nil means no change.
 func (x *Relay) announceLimit(c *ratelimit.Change) {
 	if c != nil {
 		x.AnnounceLimit(c)
 	}
 }
 
-// avoidAllLimited adds the upstreams that have limits to those to avoid of a list, where that leaves
-// another.
+// avoidAllLimited returns avoid with all rate-limited upstreams of the list l added, or avoid itself
+// if that would leave no upstream.
 func (x *Relay) avoidAllLimited(l []*resource.Upstream, avoid map[string]bool, now time.Time) map[string]bool {
 	all := make(map[string]bool)
 	maps.Copy(all, avoid)
@@ -94,15 +95,15 @@
 	return avoid
 }
 
-// avoidUnpermitted adds the upstreams to those to avoid of a list for which there is no permit now. Where
-// none is left, it returns the refusal of the request, or, where one has a permit while the request
-// can still be in time, until when it is worth waiting for.
+// avoidUnpermitted returns avoid with those upstreams of the list l added for which no permit is
+// available now. If no upstream is left, it returns the time until which it is worth waiting for a
+// permit, or an error if none becomes available before the request would be late.
 //
-// Retries, and requests that have asked for permits in vain, go past all upstreams that have limits
-// while there are others.
+// Retries, and requests to which maxPermitRequests permits were denied, avoid all rate-limited
+// upstreams while there are others: permits are left to first attempts.
 func (e *exchange) avoidUnpermitted(l []*resource.Upstream, avoid map[string]bool, denied int, now time.Time) (map[string]bool, time.Time, error) {
 	x := e.relay
-	if x.limiter.Limits().Empty() && e.service.Spec.Engine != nil { // cold engines have owners
+	if x.limiter.Limits().Empty() && e.service.Spec.Engine != nil { // cold engines are limited by their owners
 		return avoid, time.Time{}, nil
 	}
 	if e.sends > 0 || denied >= maxPermitRequests {
@@ -118,13 +119,13 @@
 	first := slices.MinFunc(slices.Collect(maps.Values(refused)), time.Time.Compare)
 	until := e.permitWaitDeadline(now)
 	if first.After(until) {
-		return nil, time.Time{}, fail.WithRetryAt(fail.New(fail.NotRun, e.servicePlace(), string(policy.ReasonLimited), "the upstreams accept no more requests for now"), first)
+		return nil, time.Time{}, fail.WithRetryAt(fail.New(fail.NotRun, e.servicePlace(), string(policy.ReasonLimited), "all upstreams have reached their request limits"), first)
 	}
 	return avoidRefused(avoid, refused, until), until, nil
 }
 
-// permitWaitDeadline returns until when the request may wait for a permit: half of what is left until its
-// answer would be late.
+// permitWaitDeadline returns until when the request may wait for a permit: for half of the time left
+// until its target latency is exceeded.
 func (e *exchange) permitWaitDeadline(now time.Time) time.Time {
 	d := e.route.Spec.LatencyTarget.Duration()
 	if d <= 0 || e.status != 0 {
@@ -136,8 +137,9 @@
 	return now
 }
 
-// takePermit takes a permit to send the request to an upstream, and reports whether there was one or
-// none is needed. One for a time up to waitTill is of use, too; it is then waited for.
+// takePermit takes a permit to send the request to an upstream. It reports whether the request may be
+// sent: a permit was granted, or none is needed. If waitUntil is set, it also accepts a permit that
+// becomes valid by then, and waits for it.
 func (e *exchange) takePermit(ctx context.Context, u *resource.Upstream, waitUntil time.Time) bool {
 	x, now := e.relay, time.Now()
 	v := x.limiterUpstream(u, now)
@@ -153,7 +155,7 @@
 	return x.countPermit(x.limiter.Take(ctx, v, ratelimit.WaitUntil(waitUntil)))
 }
 
-// takeResumePermit does so for a run that was stopped for a move, and is lost without a permit.
+// takeResumePermit takes an urgent permit for a run that was stopped for a move and is lost without one.
 func (e *exchange) takeResumePermit(ctx context.Context, u *resource.Upstream) bool {
 	x, now := e.relay, time.Now()
 	v := x.limiterUpstream(u, now)
@@ -163,7 +165,7 @@
 	return x.countPermit(x.limiter.Take(ctx, v, ratelimit.Urgent()))
 }
 
-// countPermit counts whether a permit was granted, and returns that.
+// countPermit records the result of a permit request in the metrics, and returns it.
 func (x *Relay) countPermit(granted bool) bool {
 	result := "refused"
 	if granted {
@@ -173,8 +175,8 @@
 	return granted
 }
 
-// limiterUpstream returns what the permits for an upstream depend on. What a cold engine gets is up to
-// its owner.
+// limiterUpstream describes an upstream to the limiter. Only plain services get a limit while they are
+// cold: for a cold engine its owner decides.
 func (x *Relay) limiterUpstream(u *resource.Upstream, now time.Time) ratelimit.Upstream {
 	v := ratelimit.Upstream{StartedAt: u.Spec.Born, Name: u.Name}
 	if u.Engine() == nil && u.Cold(now) {
@@ -183,8 +185,8 @@
 	return v
 }
 
-// refusedPermits returns, of the upstreams of a list that are not to be avoided, those for which there
-// is no permit, with when to ask again, and reports whether there are others.
+// refusedPermits returns the usable upstreams of the list l for which no permit is available, with the
+// time at which to ask again. free reports whether there are other usable upstreams.
 func (x *Relay) refusedPermits(l []*resource.Upstream, avoid map[string]bool, now time.Time) (refused map[string]time.Time, free bool) {
 	for _, u := range l {
 		if avoid[u.Name] || !u.AcceptsWork(now) {
@@ -203,7 +205,7 @@
 	return refused, free
 }
 
-// avoidRefused returns the upstreams to avoid and those that are refused until later than a time.
+// avoidRefused returns avoid with those refused upstreams added whose permits come only after until.
 func avoidRefused(avoid map[string]bool, refused map[string]time.Time, until time.Time) map[string]bool {
 	all := make(map[string]bool, len(avoid)+len(refused))
 	maps.Copy(all, avoid)
@@ -215,7 +217,8 @@
 	return all
 }
 
-// localAsk returns an Ask of a limiter for a box that sends alone.
+// localAsk returns a limiter's Ask function that allocates permits in this process, for a box that is
+// the only one to send to the upstreams.
 func localAsk() func(context.Context, *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
 	a := ratelimit.NewAllocator()
 	return func(_ context.Context, q *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -15,8 +15,8 @@
 	"github.com/linetiller/linetiller/internal/policy"
 )
 
-// TestLimitIsLoggedOnce checks the lines and the counters by which an upstream's limit can be
-// followed: as it is first named, changes, is no rate at all, and is lifted.
+// TestLimitIsLoggedOnce checks the log lines and counters for an upstream's rate limit: when it is
+// first named, when it changes, when it cannot be parsed, and when it is lifted.
 func TestLimitIsLoggedOnce(t *testing.T) {
 	withRig(t, 0, 1, func(t *testing.T, r *rig) {
 		call := func(limit string) {
@@ -44,8 +44,8 @@
 	})
 }
 
-// TestMovedRunsTakePermits guards against runs that are moved to an engine past the limit that it has
-// named, where there is no other.
+// TestMovedRunsTakePermits guards against moves that exceed the rate limit of the target engine, where
+// there is no other engine to move to.
 func TestMovedRunsTakePermits(t *testing.T) {
 	withRig(t, 2, 0, func(t *testing.T, r *rig) {
 		r.relay.Place = func(_ context.Context, w *policy.Work, avoid map[string]bool) (*placement.Place, error) {
@@ -61,11 +61,11 @@
 		}
 		time.Sleep(10 * time.Second)
 		var g sync.WaitGroup
-		var whole atomic.Int32
+		var complete atomic.Int32
 		for i := range 12 {
 			g.Go(func() {
-				if s, err := r.readStream(planRequest(t.Context(), fmt.Sprint("long-", i), 600), nil); err == nil && s.whole {
-					whole.Add(1)
+				if s, err := r.readStream(planRequest(t.Context(), fmt.Sprint("long-", i), 600), nil); err == nil && s.complete {
+					complete.Add(1)
 				}
 			})
 		}
@@ -77,14 +77,14 @@
 		if broken := r.engines["u2"].OverLimit(oneBox); broken != "" {
 			t.Error(broken)
 		}
-		if got, least := whole.Load(), int32(2); got < least {
-			t.Errorf("whole streams: got %d, want at least %d", got, least)
+		if got, least := complete.Load(), int32(2); got < least {
+			t.Errorf("complete streams: got %d, want at least %d", got, least)
 		}
 	})
 }
 
-// TestRetriesLeavePermitsToFirstAttempts guards against retries that use up a limit while there are
-// other upstreams.
+// TestRetriesLeavePermitsToFirstAttempts guards against retries that use up the permits of a
+// rate-limited upstream while there are other upstreams.
 func TestRetriesLeavePermitsToFirstAttempts(t *testing.T) {
 	withRig(t, 0, 3, func(t *testing.T, r *rig) {
 		r.engines["s1"].SetFaults(routed.Faults{Status: http.StatusInternalServerError})
@@ -104,7 +104,7 @@
 		if got, least := len(first), 10; got < least {
 			t.Errorf("requests at the limited upstream: got %d, want at least %d", got, least)
 		}
-		for _, v := range first[1:] { // the first one tells of the limit
+		for _, v := range first[1:] { // the limit is not known before the first one
 			if failed[v.Request] {
 				t.Errorf("%s: got a retry at the limited upstream, want none", v.Request)
 			}
--- a/internal/relay/lines_test.go
+++ b/internal/relay/logcounter_test.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// logCounter is a slog.Handler that counts lines by the number of their event.
+// logCounter is a slog.Handler that counts log lines by event number. It is safe for concurrent use.
 type logCounter struct {
 	lines map[int64]int
 	mutex sync.Mutex
@@ -16,10 +16,10 @@
 	return &logCounter{lines: make(map[int64]int)}
 }
 
-// Enabled reports true.
+// Enabled reports true for every level.
 func (c *logCounter) Enabled(context.Context, slog.Level) bool { return true }
 
-// Handle counts a line.
+// Handle counts a line, if it has an event number.
 func (c *logCounter) Handle(_ context.Context, r slog.Record) error {
 	r.Attrs(func(a slog.Attr) bool {
 		if a.Key != "event" {
@@ -39,7 +39,7 @@
 // WithGroup returns the counter itself.
 func (c *logCounter) WithGroup(string) slog.Handler { return c }
 
-// count returns how many lines of an event there were.
+// count returns the number of lines with the event number.
 func (c *logCounter) count(event int64) int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/relay/away.go
+++ b/internal/relay/migration.go
@@ -15,24 +15,31 @@
 )
 
 const (
-	// arrivalTurnTimeout bounds the wait for the turn at an engine to move to: a copy takes
+	// arrivalTurnTimeout bounds the wait for the turn at a target engine: a copy takes
 	// about 190 ms, and another engine may be free.
 	arrivalTurnTimeout = 40 * time.Millisecond
-	// maxArrivalTurns bounds the engines whose turn is waited for.
+	// maxArrivalTurns bounds the number of target engines whose turn a move waits for.
 	maxArrivalTurns = 3
-	// copyTimeout bounds one copy: a notice lasts about two seconds.
+	// copyTimeout bounds one copy: an engine leaves about two seconds after its notice.
 	copyTimeout = 3 * time.Second
-	// maxMoveAttempts bounds the engines that a move is tried to.
+	// maxMoveAttempts bounds the number of target engines that a move tries.
 	maxMoveAttempts = 4
-	// movePlacementTimeout bounds the wait for a place at an engine to move to: notices
-	// are short, and an owner answers within milliseconds.
+	// movePlacementTimeout bounds the wait for a reserved place at a target engine: the
+	// time between notice and shutdown is short, and an owner answers within milliseconds.
 	movePlacementTimeout = 150 * time.Millisecond
-	// moveRetryDelay is the wait before a move is tried again.
+	// moveRetryDelay is the delay before a failed move is tried again.
 	moveRetryDelay = 20 * time.Millisecond
 )
 
-// startMoves starts the moves of all generations whose engines are leaving. Those of a hall
-// that is evacuated go on where they run.
+// acceptsWork reports whether an upstream accepts new work, according to the current view
+// and its back-off.
+func (x *Relay) acceptsWork(u *resource.Upstream) bool {
+	v, now := x.view.Upstream(u.Name), time.Now()
+	return v != nil && v.AcceptsWork(now) && x.backoffs.Until(u.Name, now).IsZero()
+}
+
+// startMoves starts the moves of all generations whose engines are leaving. Generations in a
+// hall that is evacuated continue at their engines.
 func (x *Relay) startMoves() {
 	now := time.Now()
 	x.mutex.Lock()
@@ -54,43 +61,13 @@
 	}
 }
 
-// acceptsWork reports whether an upstream may be given work, as far as is known now.
-func (x *Relay) acceptsWork(u *resource.Upstream) bool {
-	v, now := x.view.Upstream(u.Name), time.Now()
-	return v != nil && v.AcceptsWork(now) && x.backoffs.Until(u.Name, now).IsZero()
-}
-
-// takeArrivalTurn takes the turn at the engine to move to, or at another one where that is
-// taken for long, and returns the engine, or nil where none is left. Without a turn
-// the copy may wait behind another one, which is better than to wait here.
-func (s *stream) takeArrivalTurn(ctx context.Context, m *move, to *resource.Upstream, avoid map[string]bool, r *policy.Run) (at *resource.Upstream, release func()) {
-	x := s.exchange.relay
-	busy := maps.Clone(avoid)
-	for range maxArrivalTurns {
-		if to == nil {
-			break
-		}
-		turn, cancel := context.WithTimeout(ctx, arrivalTurnTimeout)
-		release, err := x.Turn(turn, to, true, r)
-		cancel()
-		if err == nil {
-			return to, release
-		}
-		busy[to.Name] = true
-		m.releaseReservation(x)
-		if to = s.reserveMoveTarget(ctx, m, busy); to == nil {
-			to = s.reserveMoveTarget(ctx, m, avoid)
-		}
-	}
-	return to, func() {}
-}
-
-// copyTo copies the generation to one engine and stops it.
+// copyTo copies the memory of the generation to one engine while it runs, then stops it at the
+// source and copies the rest.
 func (s *stream) copyTo(ctx context.Context, m *move, to *resource.Upstream, avoid map[string]bool) error {
 	e := s.exchange
 	x := e.relay
 	if to == nil {
-		return fail.New(fail.Unavailable, fail.Place{Peer: "upstreams", Step: "choose"}, "no_room", "no engine is left to move to")
+		return fail.New(fail.Unavailable, fail.Place{Peer: "upstreams", Step: "choose"}, "no_room", "no engine is left to move the generation to")
 	}
 	began := time.Now()
 	event.MoveStarted.Log(x.log, "request", e.request.ID, "from", m.from.Name, "to", to.Name, "events", s.eventsDelivered())
@@ -118,12 +95,13 @@
 	event.MoveCopied.Log(x.log, "request", e.request.ID, "from", m.from.Name, "to", to.Name, "first_ms", first.Milliseconds(),
 		"rest_ms", (time.Since(began) - first).Milliseconds(), "made", m.copy.Events, "error", errorText(err))
 	if err != nil && errorx.IsOfType(err, fail.NotFound) {
-		m.stopped = false // it had ended by itself
+		m.stopped = false // the generation had completed by itself
 	}
 	return nil
 }
 
-// finishMove gives back what a move that failed holds, so that another one may be tried.
+// finishMove cleans up after a move that failed with err, so that another one can start, and
+// logs the failure unless the stream has ended. It does nothing if err is nil.
 func (s *stream) finishMove(m *move, err error) {
 	x := s.exchange.relay
 	if err == nil {
@@ -144,9 +122,23 @@
 	event.MoveFailed.Log(x.log, "request", s.exchange.request.ID, "from", m.from.Name, "reason", fail.Reason(err), "step", fail.Step(err), "error", err.Error())
 }
 
-// reserveMoveTarget finds an engine to move to and reserves a place there. Where no owner
-// answers in time it guesses: the alternative is to lose the generation. It
-// returns nil where no engine is left.
+// remainingWork describes the rest of the generation, to be run at another engine: the
+// tokens made so far count as prompt.
+func (s *stream) remainingWork() *policy.Work {
+	w := s.exchange.work()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	made := s.tokensDelivered()
+	w.Hint = max(0, w.Hint-made)
+	w.ID += reservationSuffix(s.reassignments)
+	w.MaxTokens = max(1, w.MaxTokens-made)
+	w.Prompt += made
+	return w
+}
+
+// reserveMoveTarget chooses a target engine and reserves a place there. If no owner
+// answers in time, it chooses one without a reservation: the generation would be lost
+// otherwise. It returns nil if no engine is left.
 func (s *stream) reserveMoveTarget(ctx context.Context, m *move, avoid map[string]bool) *resource.Upstream {
 	x := s.exchange.relay
 	w := s.remainingWork()
@@ -169,20 +161,7 @@
 	return to
 }
 
-// remainingWork describes what is left of the generation, to be run elsewhere.
-func (s *stream) remainingWork() *policy.Work {
-	w := s.exchange.work()
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	made := s.tokensDelivered()
-	w.Hint = max(0, w.Hint-made)
-	w.ID += reservationSuffix(s.reassignments)
-	w.MaxTokens = max(1, w.MaxTokens-made)
-	w.Prompt += made
-	return w
-}
-
-// runMove makes a move, up to the copy from which the stream goes on.
+// runMove performs a move, up to the copy from which the stream is resumed.
 func (s *stream) runMove(ctx context.Context, m *move) error {
 	select {
 	case <-s.firstEvent:
@@ -194,7 +173,7 @@
 	r := s.currentRun()
 	s.mutex.Unlock()
 	avoid := map[string]bool{m.from.Name: true}
-	to := s.reserveMoveTarget(ctx, m, avoid) // while others have their turns
+	to := s.reserveMoveTarget(ctx, m, avoid) // in advance: the turn may have to be waited for
 	release, err := x.Turn(ctx, m.from, false, r)
 	if err != nil {
 		return err
@@ -219,7 +198,7 @@
 	}
 }
 
-// startMove starts a move, unless one is under way or the stream is closed.
+// startMove starts a move in the background, unless one is under way or the stream is closed.
 func (s *stream) startMove(entryGone bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -247,8 +226,34 @@
 	})
 }
 
-// withdrawCopy gives up the copy at an engine that takes no new work any more, while the
-// run still goes on at its source, and returns why.
+// takeArrivalTurn takes the turn at the target engine, or at another engine if the wait
+// takes longer than arrivalTurnTimeout. It returns the engine, or nil if none is left. If all
+// attempts time out it returns an engine without a turn: the copy may then have to wait for
+// another one, which is better than waiting any longer here.
+func (s *stream) takeArrivalTurn(ctx context.Context, m *move, to *resource.Upstream, avoid map[string]bool, r *policy.Run) (at *resource.Upstream, release func()) {
+	x := s.exchange.relay
+	busy := maps.Clone(avoid)
+	for range maxArrivalTurns {
+		if to == nil {
+			break
+		}
+		turn, cancel := context.WithTimeout(ctx, arrivalTurnTimeout)
+		release, err := x.Turn(turn, to, true, r)
+		cancel()
+		if err == nil {
+			return to, release
+		}
+		busy[to.Name] = true
+		m.releaseReservation(x)
+		if to = s.reserveMoveTarget(ctx, m, busy); to == nil {
+			to = s.reserveMoveTarget(ctx, m, avoid)
+		}
+	}
+	return to, func() {}
+}
+
+// withdrawCopy releases the copy at a target engine that no longer accepts new work, while
+// the generation still runs at its source. It always returns an error, for the failed attempt.
 func (s *stream) withdrawCopy(ctx context.Context, m *move, c *Copy, avoid map[string]bool) error {
 	x := s.exchange.relay
 	to := m.target()
@@ -261,7 +266,7 @@
 	if err := x.Upstreams.Release(ctx, m.from, c.Handle); err != nil {
 		return fail.Wrap(fail.Unavailable, place, "copy_withdrawn", err)
 	}
-	return fail.New(fail.Unavailable, place, "copy_withdrawn", "the engine takes no new work any more")
+	return fail.New(fail.Unavailable, place, "copy_withdrawn", "the target engine no longer accepts new work")
 }
 
 func errorText(err error) string {
@@ -271,8 +276,8 @@
 	return err.Error()
 }
 
-// reservationSuffix makes the id of a generation that was moved differ from that of the
-// one before, so that their reservations can be told apart.
+// reservationSuffix returns a suffix for the id of a generation that was moved or run again, so
+// that its reservation differs from the one at the engine before.
 func reservationSuffix(hops int) string {
 	return "+" + string(rune('1'+hops%9))
 }
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -10,28 +10,29 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// move is the way of one running generation from an engine that is leaving to
+// move is the live migration of one generation from an engine that is leaving to
 // another one: its memory is copied while it runs, then it is stopped, the rest
-// is copied, and its stream goes on at the other engine.
+// is copied, and its stream continues at the other engine.
 type move struct {
-	done chan struct{} // closed at its end
+	done chan struct{} // closed when the move has ended
 	from *resource.Upstream
 
 	mutex   sync.Mutex // guards the fields below until done is closed
-	copy    *Copy      // the newest copy, nil where there is none
+	copy    *Copy      // the latest copy, nil if there is none
 	running *placement.Running
-	stopped bool // the source was told to stop
+	stopped bool // the source was told to stop the generation
 	to      *resource.Upstream
 }
 
-// moveWaitTimeout bounds the wait for a move's end once the stream has ended:
-// callers leave after a pause of two seconds or more.
+// moveWaitTimeout bounds the wait for a move to finish after the source's stream has
+// ended: callers disconnect after a pause of two seconds or more.
 const moveWaitTimeout = 2 * time.Second
 
-// releaseTimeout bounds the call that gives up a copy, which nobody waits for.
+// releaseTimeout bounds the call that releases a copy. It runs in the background.
 const releaseTimeout = 2 * time.Second
 
-// abandon gives up a move whose generation has ended or whose caller has gone.
+// abandon releases what a move holds, in the background and once the move has ended,
+// because its generation is complete or its caller has disconnected.
 func (m *move) abandon(x *Relay) {
 	x.workers.Go(func() {
 		<-m.done
@@ -50,14 +51,14 @@
 	})
 }
 
-// hasCopy reports whether the generation can go on from a copy.
+// hasCopy reports whether the generation can be resumed from a copy.
 func (m *move) hasCopy() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.copy != nil && m.to != nil
 }
 
-// releaseReservation gives back the place that was reserved at the engine to move to.
+// releaseReservation releases the place reserved at the target engine.
 func (m *move) releaseReservation(x *Relay) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -67,21 +68,21 @@
 	m.running, m.to = nil, nil
 }
 
-// sourceStopped reports whether the source was told to stop.
+// sourceStopped reports whether the source was told to stop the generation.
 func (m *move) sourceStopped() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.stopped
 }
 
-// target returns the engine to move to, or nil.
+// target returns the engine to move to, or nil if none is chosen.
 func (m *move) target() *resource.Upstream {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.to
 }
 
-// wait waits for the move's end, but not for long: callers leave after a pause.
+// wait waits until the move has ended, for moveWaitTimeout at most.
 func (m *move) wait(ctx context.Context) {
 	select {
 	case <-m.done:
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -14,21 +14,21 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// maxPause is the longest pause that keeps a plan in time.
+// maxPause is the longest pause between two events that a stream may have during a move.
 const maxPause = 180 * time.Millisecond
 
-// moveCase is a move under one fault.
+// moveCase is a move during which a fault occurs.
 type moveCase struct {
 	name     string
-	at       int // events after which fault strikes
+	at       int // number of events after which the fault is injected; 0 is before the first event
 	fault    func(r *rig)
-	events   int // that must come at least
+	events   int // minimum number of events received
 	complete bool
 	inTime   bool
 }
 
-// TestMoves moves a generation of 600 tokens from u1 while it streams, under faults
-// on the way. Whatever happens, its events are those of one run, in order and once.
+// TestMoves moves a generation of 600 tokens away from u1 while it streams, with faults
+// during the move. In every case its events must be those of one run, each once and in order.
 func TestMoves(t *testing.T) {
 	notice := func(r *rig) { r.list("u1", "llm", true) }
 	for _, x := range []moveCase{
@@ -96,11 +96,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s.whole != x.complete || s.events < x.events {
-			t.Errorf("got %+v, want at least %d events, whole %v", s, x.events, x.complete)
+		if s.complete != x.complete || s.events < x.events {
+			t.Errorf("got %+v, want at least %d events, complete %v", s, x.events, x.complete)
 		}
-		if x.inTime && s.longest > maxPause {
-			t.Errorf("longest pause: got %s, want at most %s", s.longest, maxPause)
+		if x.inTime && s.longestGap > maxPause {
+			t.Errorf("longest pause: got %s, want at most %s", s.longestGap, maxPause)
 		}
 		if got := r.startedRuns("id"); got != 1 {
 			t.Errorf("runs from the beginning: got %d, want 1", got)
@@ -108,8 +108,8 @@
 	})
 }
 
-// TestManyRunsLeaveWithinANotice checks that the runs of an engine get away one
-// after another, and the pauses that their callers see stay short.
+// TestManyRunsLeaveWithinANotice checks that all runs of a leaving engine are moved before it
+// shuts down, one after another, with short pauses in their streams.
 func TestManyRunsLeaveWithinANotice(t *testing.T) {
 	const runs = 6
 	withRig(t, 2, 0, func(t *testing.T, r *rig) {
@@ -117,8 +117,8 @@
 		for i := range runs {
 			g.Go(func() {
 				s, err := r.readStream(planRequest(t.Context(), fmt.Sprint("id-", i), 1200), nil)
-				if err != nil || !s.whole || s.longest > maxPause {
-					t.Errorf("run %d: got %+v %v, want a whole stream in time", i, s, err)
+				if err != nil || !s.complete || s.longestGap > maxPause {
+					t.Errorf("run %d: got %+v %v, want a complete stream without long pauses", i, s, err)
 				}
 			})
 		}
@@ -132,8 +132,8 @@
 	})
 }
 
-// TestCallerLeavesDuringAMove checks that nothing is left of a move whose caller
-// has gone: no run at work and no copy.
+// TestCallerLeavesDuringAMove checks that no generation runs at the target after the caller of a
+// moved generation has disconnected.
 func TestCallerLeavesDuringAMove(t *testing.T) {
 	for _, after := range []time.Duration{20 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 250 * time.Millisecond} {
 		withRig(t, 2, 0, func(t *testing.T, r *rig) {
@@ -150,16 +150,16 @@
 			time.Sleep(4 * time.Second)
 			for n, e := range r.engines {
 				if e.Running() != 0 && n != "u1" {
-					t.Errorf("left after %s: %s still works", after, n)
+					t.Errorf("caller left after %s: %s still runs a generation", after, n)
 				}
 			}
 		})
 	}
 }
 
-// TestRunEndsWhileItIsMoved gives notice at every moment of a run's last second: where
-// it ends by itself between the copy and the stop, its stream is whole, and is not
-// taken up again from the copy.
+// TestRunEndsWhileItIsMoved starts a move at each of a run's last 30 events. If the run completes
+// between the copy and the order to stop, its stream is complete and must not be resumed from the
+// copy.
 func TestRunEndsWhileItIsMoved(t *testing.T) {
 	const events = 150
 	for at := events - 30; at < events; at++ {
@@ -170,17 +170,17 @@
 					r.list("u1", "llm", true)
 				}
 			})
-			if err != nil || !s.whole || s.events != events {
+			if err != nil || !s.complete || s.events != events {
 				t.Errorf("notice at event %d: got %+v %v, want %d events and an end", at, s, err, events)
 			}
-			time.Sleep(time.Second) // until the last order is answered
+			time.Sleep(time.Second) // until the last order to stop is answered
 		})
 	}
 }
 
-// TestRunEndsAsItsStopIsTaken gives notice shortly before a run's end, and has the order to
-// stop taken although the run ended by itself meanwhile: no engine has anything to go on
-// from. Its caller has all events, and the stream is whole.
+// TestRunEndsAsItsStopIsTaken starts a move shortly before a run's end, and has the engine accept
+// the order to stop although the run has completed by then, so that no engine can resume it. The
+// caller has received all events, and the stream must count as complete.
 func TestRunEndsAsItsStopIsTaken(t *testing.T) {
 	const events = 100
 	withRig(t, 2, 0, func(t *testing.T, r *rig) {
@@ -199,7 +199,7 @@
 				r.list("u1", "llm", true)
 			}
 		})
-		if err != nil || !s.whole || s.events != events {
+		if err != nil || !s.complete || s.events != events {
 			t.Errorf("got %+v %v, want %d events and an end", s, err, events)
 		}
 	})
--- a/internal/relay/pace.go
+++ b/internal/relay/pace.go
@@ -7,22 +7,22 @@
 	"github.com/linetiller/linetiller/internal/policy"
 )
 
-// pace is how fast the streams of this box went of late. It is safe for concurrent use;
-// the zero value assumes policy.DefaultStepSeconds.
+// pace is a moving average of the time per token in the recent streams of this box. It is
+// safe for concurrent use; the zero value assumes policy.DefaultStepSeconds.
 type pace struct {
 	mutex    sync.Mutex
-	perToken time.Duration // between two tokens; 0 where no stream has ended yet
+	perToken time.Duration // 0 until a stream has ended
 }
 
 const (
-	// expectedFirstToken is the time to the first token that is reckoned with: on the users'
-	// sites half of the streams have theirs after 0.5 s.
+	// expectedFirstToken is the assumed time to the first token: 0.5 s is the median at the
+	// users' sites.
 	expectedFirstToken = 500 * time.Millisecond
-	// paceWeight is the weight of one stream in the pace.
+	// paceWeight is the weight of the latest stream in the moving average.
 	paceWeight = 0.1
 )
 
-// expectedDuration returns how long a stream of so many tokens takes.
+// expectedDuration returns the expected duration of a stream of that many tokens.
 func (p *pace) expectedDuration(tokens int) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -33,7 +33,7 @@
 	return expectedFirstToken + time.Duration(tokens)*t
 }
 
-// record records that a stream had so many tokens in a time, from the first one on.
+// record adds a finished stream to the average; took is the time from its first token to its last.
 func (p *pace) record(tokens int, took time.Duration) {
 	if tokens < 2 || took <= 0 {
 		return
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,7 +1,7 @@
-// Package relay carries requests unchanged to the upstreams of declared routes
-// and their answers back: it finds a place, sends, tries again where that is
-// allowed, passes streams on event by event, and moves running generations away
-// from engines that are leaving.
+// Package relay forwards requests unchanged to the upstreams of declared routes
+// and their answers back to the callers. It chooses an upstream, sends the request,
+// retries where the route allows it, forwards streams event by event, and moves
+// running generations away from engines that are leaving.
 package relay
 
 import (
@@ -28,39 +28,39 @@
 	"github.com/linetiller/linetiller/internal/revision"
 )
 
-// Relay carries requests. It is safe for concurrent use; Close waits for those
-// in progress.
+// Relay forwards requests to upstreams. It is safe for concurrent use once its exported
+// fields are set. These are its dependencies on the rest of the box, which tests replace.
 type Relay struct {
-	// AnnounceCleared announces to other boxes that a request ran to its end under which upstreams had
-	// crashed before; a seam.
+	// AnnounceCleared announces to the other boxes that a request which was suspected of crashes
+	// has completed.
 	AnnounceCleared func(p policy.Fingerprint)
-	// AnnounceCrashes announces to other boxes what this one has learned of crashes; a seam.
+	// AnnounceCrashes announces crashes of upstreams, with their suspects, to the other boxes.
 	AnnounceCrashes func(l []policy.Crash)
-	// RefreshViews makes sure that the box's views are not those of before a pause; a seam.
+	// RefreshViews refreshes the box's views if its process was suspended since they were read.
 	RefreshViews func(ctx context.Context)
-	// ChooseLocally chooses an engine without asking for a place; a seam.
+	// ChooseLocally chooses an engine without reserving a place at its owner.
 	ChooseLocally func(w *policy.Work, avoid map[string]bool) *resource.Upstream
-	// AnnounceLimit announces to other boxes what an upstream's answer said of its rate limit; a seam.
+	// AnnounceLimit announces to the other boxes that an upstream's answer has changed its rate limit.
 	AnnounceLimit func(c *ratelimit.Change)
-	// RecordLeaving records an upstream's shutdown notice that came with its answer; a seam. By default
-	// this box alone knows.
+	// RecordLeaving records an upstream's shutdown notice that came with its answer. By default
+	// it is recorded at this box only.
 	RecordLeaving func(u *resource.Upstream)
-	// HasOtherBoxes reports whether other boxes of the hall take requests; a seam.
+	// HasOtherBoxes reports whether other boxes of the hall accept requests.
 	HasOtherBoxes func() bool
-	// Place finds an engine for a generation; a seam, set to a placement's method.
+	// Place reserves a place for a generation at an engine that is not in avoid.
 	Place func(ctx context.Context, w *policy.Work, avoid map[string]bool) (*placement.Place, error)
-	// Turn asks for the turn to move a run; a seam.
+	// Turn waits for the turn to move a generation.
 	Turn TurnFunc
-	// Upstreams are the calls to engines and services; seams.
+	// Upstreams are the calls to engines and services.
 	Upstreams UpstreamCalls
-	// ViewAge returns how long ago the view was known to be current, 0 where it never was; a seam.
+	// ViewAge returns the time since the view was last known to be current, 0 if it never was.
 	ViewAge func() time.Duration
 
 	coldRate       func(u *resource.Upstream) float64
-	background     context.Context // ends with Close; of work that no request waits for
+	background     context.Context // cancelled by Close; for work that no request waits for
 	retryBudget    *budget.Budget
 	cancel         context.CancelFunc
-	ctx            context.Context // ends with Abort
+	ctx            context.Context // cancelled by Abort
 	frequent       *policy.FrequentRuns
 	quarantine     *policy.Quarantine
 	health         *health.Tracker
@@ -80,34 +80,34 @@
 
 	mutex         sync.Mutex // guards the fields below; no other lock is taken under it
 	closing       bool
-	streamsEndAt  time.Time // when streams are ended; zero where they are not
+	streamsEndAt  time.Time // when the streams will be cut off; zero unless the box is leaving
 	inProgress    int
-	trafficEndsAt time.Time        // when callers will no longer be sent here
-	streams       map[*stream]bool // of engines
+	trafficEndsAt time.Time        // when the balancer will have stopped sending callers here
+	streams       map[*stream]bool // the streams of engines in progress
 }
 
-// Option sets one thing of a Relay.
+// Option configures a Relay.
 type Option func(*Relay)
 
 const (
-	// forgetInterval is the time between looks for evidence that is old.
+	// forgetInterval is the interval at which expired health and rate-limit records are removed.
 	forgetInterval = 10 * time.Second
-	// streamLengthMargin is how much longer than expected a stream may last that a leaving box
-	// still takes: callers' estimates are right at the median, and a refused caller is
-	// served by another box a moment later. Where there is no other box in the hall, a
-	// caller that comes back at once meets this one again.
+	// streamLengthMargin is the factor applied to a stream's expected duration when a leaving box
+	// decides whether to accept it: callers' estimates are right only at the median, and a refused
+	// caller is served by another box a moment later. If the hall has no other box, a caller that
+	// retries at once reaches this one again, and soleBoxLengthMargin applies.
 	streamLengthMargin  = 3
 	soleBoxLengthMargin = 1
-	// refusedRetryDelay is when a caller may come back where nothing better is known.
+	// refusedRetryDelay is the time after which a refused caller may retry if no better one is known.
 	refusedRetryDelay = 500 * time.Millisecond
-	// startRetryDelay is when a caller may come back to a box that does not know the
-	// configuration yet.
+	// startRetryDelay is the time after which a caller may retry at a box that has not
+	// received its configuration yet.
 	startRetryDelay = time.Second
-	// staleViewRetryDelay is the same for a box that does not know whether its configuration is current.
+	// staleViewRetryDelay is the same for a box whose view of the configuration is stale.
 	staleViewRetryDelay = 2 * time.Second
 )
 
-// New returns a relay over the routes and upstreams in v, for a box of a hall.
+// New returns a relay for a box in a data hall, with the routes and upstreams in v.
 func New(v *resource.View, t *placement.Tracker, l *policy.Lengths, hall string, m *metric.Set, log *slog.Logger, options ...Option) *Relay {
 	ctx, cancel := context.WithCancel(context.Background())
 	background, stopBackground := context.WithCancel(ctx)
@@ -135,38 +135,39 @@
 	return x
 }
 
-// WithCold bounds how many requests a second a plain upstream gets while that is cold: bears from all
-// boxes, by permits, and most from this one. Bears returns 0 where there is no bound.
+// WithCold limits the requests to an upstream of a plain service while it is cold. rate returns the
+// requests a second that it may get from all boxes together, enforced by permits, or 0 for no limit.
+// localMax returns the requests a second that this box may send to it.
 func WithCold(rate func(u *resource.Upstream) float64, localMax func(u *resource.Upstream) int) Option {
 	return func(x *Relay) { x.coldRate, x.health.ColdRateLimit = rate, localMax }
 }
 
-// WithRetryBudget bounds the tries beyond the first of each request: in any window,
-// for each service and over all boxes, a ratio of its requests and some extra.
+// WithRetryBudget bounds the retries for each service over all boxes: in any window, to
+// ratio times the number of its requests, plus extra. boxes returns the number of boxes.
 func WithRetryBudget(ratio float64, extra float64, window time.Duration, boxes func() int) Option {
 	return func(x *Relay) { x.retryBudget = budget.New(ratio, extra, window, boxes) }
 }
 
-// WithLimiter sets what gives permits to send to upstreams that have named a rate limit. By default
-// this box alone is taken to send to them.
+// WithLimiter sets the limiter that grants permits to send to upstreams with a rate limit. The
+// default one assumes that no other box sends to them.
 func WithLimiter(m *ratelimit.Limiter) Option {
 	return func(x *Relay) { x.limiter = m }
 }
 
-// WithBackoffs shares the times for which upstreams want nothing from this box with others that
-// send to them.
+// WithBackoffs shares the back-off times that upstreams have asked this box for with the other
+// components that send to them.
 func WithBackoffs(r *health.Backoffs) Option {
 	return func(x *Relay) { x.backoffs = r }
 }
 
-// Abort ends the requests in progress and waits for them.
+// Abort cancels the requests in progress and waits until they have ended.
 func (x *Relay) Abort() error {
 	x.cancel()
 	return x.Close()
 }
 
-// ClearServed clears suspects of crashes that ran to their ends at other boxes, or before those
-// restarted, and announces that.
+// ClearServed clears suspects of crashes that completed at other boxes, according to the stored
+// records of frequent requests, and announces that. The records outlive restarts of those boxes.
 func (x *Relay) ClearServed() {
 	now := time.Now()
 	l := x.quarantine.ClearCompleted(func(p policy.Fingerprint) time.Time { return x.frequent.LastRunAt(p, now) })
@@ -180,7 +181,7 @@
 	x.AnnounceCrashes(l)
 }
 
-// Close refuses new requests and waits for those in progress.
+// Close refuses new requests and waits until those in progress have ended.
 func (x *Relay) Close() error {
 	x.mutex.Lock()
 	x.closing = true
@@ -190,40 +191,44 @@
 	return nil
 }
 
-// EndStreamsBy says when streams will be ended of a box that is leaving, and by when
-// callers will no longer be sent to it. From now on those streams are refused that would
-// hardly end before, so that their callers can go to another box while nothing has run.
-// Other requests are still taken: the balancer may have no other box to give them to.
+// EndStreamsBy says that the box is leaving: its streams will be cut off at end, and the
+// balancer will have stopped sending callers to it at left. From now on the relay refuses
+// streams that are unlikely to complete before end, so that their callers can go to another
+// box before anything has run. It still accepts other requests, since the balancer may have
+// no other box for them.
 func (x *Relay) EndStreamsBy(end, left time.Time) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	x.streamsEndAt, x.trafficEndsAt = end, left
 }
 
-// Frequent returns what this box knows of requests that ran to their ends at other boxes.
+// Frequent returns the records of frequent requests that completed at other boxes.
 func (x *Relay) Frequent() *policy.FrequentRuns { return x.frequent }
 
-// InProgress returns how many requests are in progress.
+// HasConfiguration reports whether the relay has received a configuration.
+func (x *Relay) HasConfiguration() bool {
+	return x.view.Revisions()[resource.SourceConfiguration] > 0
+}
+
+// InProgress returns the number of requests in progress.
 func (x *Relay) InProgress() int {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	return x.inProgress
 }
 
-// HasConfiguration reports whether the relay has a configuration to go by.
-func (x *Relay) HasConfiguration() bool {
-	return x.view.Revisions()[resource.SourceConfiguration] > 0
-}
+// Quarantine returns this box's records of crashes and quarantined requests.
+func (x *Relay) Quarantine() *policy.Quarantine { return x.quarantine }
 
-// RecordCleared records that requests ran to their ends at another box.
+// RecordCleared records that requests completed at the box from, which clears them of crashes.
 func (x *Relay) RecordCleared(l []policy.Fingerprint, from string) {
 	for _, p := range l {
 		x.clearCrashes(p, from)
 	}
 }
 
-// RecordCrashes records what a box announced of crashes, "" for this one, and reports whether that is
-// news.
+// RecordCrashes records crashes that the box from has announced, "" for this one, and reports whether
+// any of them was not known yet.
 func (x *Relay) RecordCrashes(l []policy.Crash, from string) bool {
 	now := time.Now()
 	quarantined, anyNew := x.quarantine.Record(l, now)
@@ -238,10 +243,8 @@
 	return anyNew
 }
 
-// Quarantine returns what this box remembers of crashes.
-func (x *Relay) Quarantine() *policy.Quarantine { return x.quarantine }
-
-// Run watches for upstreams that leave, until the context ends.
+// Run starts moves away from upstreams that leave and removes expired records, until the
+// context is cancelled.
 func (x *Relay) Run(ctx context.Context) {
 	t := time.NewTicker(forgetInterval)
 	defer t.Stop()
@@ -259,8 +262,8 @@
 	}
 }
 
-// Serve carries q and writes its final answer to w. The context ends when the
-// caller has gone.
+// Serve relays q and writes its answer to w. The context is to be cancelled when the caller
+// disconnects. Serve panics with http.ErrAbortHandler if the answer could not be completed.
 func (x *Relay) Serve(ctx context.Context, w http.ResponseWriter, q *Request) {
 	e := &exchange{clientCtx: ctx, relay: x, request: q, writer: w}
 	var err error
@@ -274,22 +277,73 @@
 	}
 }
 
-// SetRetryBudget changes the bound on tries beyond the first.
+// Served returns this box's records of requests that completed.
+func (x *Relay) Served() *policy.CompletedRuns { return x.served }
+
+// SetRetryBudget changes the parameters of the retry budget; see WithRetryBudget.
 func (x *Relay) SetRetryBudget(ratio float64, extra float64, window time.Duration) {
 	x.retryBudget.Configure(ratio, extra, window)
 }
 
-// Served returns what this box remembers of requests that ran to their ends.
-func (x *Relay) Served() *policy.CompletedRuns { return x.served }
-
-// Streams returns how many streams of engines are in progress.
+// Streams returns the number of engine streams in progress.
 func (x *Relay) Streams() int {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	return len(x.streams)
 }
 
-// recordOutcome counts and logs how a request ended.
+// beginRequest counts a request as in progress. It returns an error if the relay is closing.
+func (x *Relay) beginRequest() error {
+	x.mutex.Lock()
+	defer x.mutex.Unlock()
+	if x.closing {
+		return leavingError(time.Now())
+	}
+	x.inProgress++
+	x.workers.Add(1)
+	return nil
+}
+
+// checkStreamFits returns an error if this box is leaving and a stream of that many tokens is
+// unlikely to complete before.
+func (x *Relay) checkStreamFits(tokens int, now time.Time) error {
+	x.mutex.Lock()
+	end, left := x.streamsEndAt, x.trafficEndsAt
+	x.mutex.Unlock()
+	if end.IsZero() {
+		return nil
+	}
+	margin, again := time.Duration(streamLengthMargin), now
+	if !x.HasOtherBoxes() {
+		margin = soleBoxLengthMargin
+		if left.After(now) {
+			again = left
+		}
+	}
+	if now.Add(margin * x.pace.expectedDuration(tokens)).After(end) {
+		return leavingError(again)
+	}
+	return nil
+}
+
+// endRequest counts a request as no longer in progress.
+func (x *Relay) endRequest() {
+	x.mutex.Lock()
+	x.inProgress--
+	x.mutex.Unlock()
+	x.workers.Done()
+}
+
+// expectedRemaining returns the expected number of tokens still to come after made tokens:
+// from the caller's hint until that is reached, then from the lengths learned.
+func (x *Relay) expectedRemaining(w *policy.Work, made int) int {
+	if made < w.Hint {
+		return w.Hint - made
+	}
+	return int(x.lengths.Remaining(policy.KeyOf(w), made, w.MaxTokens))
+}
+
+// recordOutcome records in the metrics and the log how a request ended.
 func (x *Relay) recordOutcome(e *exchange, err error) {
 	now := time.Now()
 	l := []any{"request", e.request.ID, "route", e.routeName(), "upstream", e.upstreamName(), "took_ms", now.Sub(e.request.Arrived).Milliseconds(), "tries", e.sends}
@@ -328,15 +382,15 @@
 	}
 }
 
-// recordPromptSize counts the size of the prompt of a request of an engine that has ended.
+// recordPromptSize records the prompt size of a generation request that has ended.
 func (x *Relay) recordPromptSize(e *exchange, outcome string) {
 	if e.request.PromptTokens > 0 {
 		x.metrics.HistogramOf(metric.PromptTokens, "outcome", outcome).Update(float64(e.request.PromptTokens))
 	}
 }
 
-// revisionAttributes returns the log attributes that tell by which revisions a request was decided, and how
-// old the view of them was.
+// revisionAttributes returns log attributes with the revisions on which a decision was based and the
+// age of the box's view of them.
 func (x *Relay) revisionAttributes() []any {
 	r := x.view.Revisions()
 	return []any{
@@ -345,64 +399,13 @@
 	}
 }
 
-// beginRequest counts a request as in progress, unless the relay is closing.
-func (x *Relay) beginRequest() error {
-	x.mutex.Lock()
-	defer x.mutex.Unlock()
-	if x.closing {
-		return leavingError(time.Now())
-	}
-	x.inProgress++
-	x.workers.Add(1)
-	return nil
-}
-
-// endRequest counts a request as finished.
-func (x *Relay) endRequest() {
-	x.mutex.Lock()
-	x.inProgress--
-	x.mutex.Unlock()
-	x.workers.Done()
-}
-
-// expectedRemaining returns how many tokens are expected still to come: up to the caller's
-// estimate, where there is one, and what was learned beyond it.
-func (x *Relay) expectedRemaining(w *policy.Work, made int) int {
-	if made < w.Hint {
-		return w.Hint - made
-	}
-	return int(x.lengths.Remaining(policy.KeyOf(w), made, w.MaxTokens))
-}
-
-// checkStreamFits returns the refusal of a stream of so many tokens that would hardly end
-// while this box serves, or nil.
-func (x *Relay) checkStreamFits(tokens int, now time.Time) error {
-	x.mutex.Lock()
-	end, left := x.streamsEndAt, x.trafficEndsAt
-	x.mutex.Unlock()
-	if end.IsZero() {
-		return nil
-	}
-	margin, again := time.Duration(streamLengthMargin), now
-	if !x.HasOtherBoxes() {
-		margin = soleBoxLengthMargin
-		if left.After(now) {
-			again = left
-		}
-	}
-	if now.Add(margin * x.pace.expectedDuration(tokens)).After(end) {
-		return leavingError(again)
-	}
-	return nil
-}
-
-// leavingError returns the refusal of a request because the box is leaving; its caller may
-// come back at a time, to another box.
+// leavingError returns the error for a request that is refused because the box is leaving. Its
+// caller may retry at the time again, to reach another box.
 func leavingError(again time.Time) error {
 	return fail.WithRetryAt(fail.New(fail.NotRun, clientPlace("accept"), "box_leaving", "this box is leaving"), again)
 }
 
-// pickService draws one of a route's services by their shares.
+// pickService picks one of a route's services at random, according to their weights.
 func pickService(s *resource.RouteSpec) string {
 	sum := 0
 	for _, v := range s.Services {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -21,8 +21,8 @@
 	"github.com/linetiller/linetiller/platform"
 )
 
-// TestRequestsGoUnchanged checks what reaches an upstream: method, path, query,
-// body and the caller's headers as they came, but for those that are the system's.
+// TestRequestsGoUnchanged checks that method, path, query, body and headers reach an upstream
+// as the caller sent them, except for the headers that only the system may set.
 func TestRequestsGoUnchanged(t *testing.T) {
 	withRig(t, 0, 1, func(t *testing.T, r *rig) {
 		q := request(t.Context(), http.MethodPost, "/once/a%2Fb//c?x=1&y=%20", "id-1", "the body")
@@ -56,7 +56,7 @@
 	})
 }
 
-// TestRefusalsBeforeTheSend checks the answers to what no upstream gets.
+// TestRefusalsBeforeTheSend checks the answers to requests that are refused without being sent.
 func TestRefusalsBeforeTheSend(t *testing.T) {
 	withRig(t, 0, 1, func(t *testing.T, r *rig) {
 		for _, x := range []struct {
@@ -84,20 +84,20 @@
 	})
 }
 
-// TestUnknownConfigurationIsNoRefusalForGood checks that a box which knows no
-// configuration yet says so, and not that a route or key does not exist.
+// TestUnknownConfigurationIsNoRefusalForGood checks that a box without a configuration
+// tells callers to retry, and does not say that a route or key does not exist.
 func TestUnknownConfigurationIsNoRefusalForGood(t *testing.T) {
 	withRig(t, 0, 1, func(t *testing.T, r *rig) {
 		x := relay.New(resource.NewView(), placement.NewTracker(func(*policy.Load) {}), policy.NewLengths(), "a", r.metrics, slog.New(slog.DiscardHandler))
 		r.link.Join("box", platform.NewIngress(x, 1<<20))
 		w, _, err := r.do(request(t.Context(), http.MethodPost, "/once/x", "id", ""))
 		if err != nil || w.StatusCode != http.StatusServiceUnavailable || w.Header.Get("Retry-After") == "" {
-			t.Errorf("got %v %v, want 503 with a time to come back", w, err)
+			t.Errorf("got %v %v, want 503 with Retry-After", w, err)
 		}
 	})
 }
 
-// TestKeyTakenAway checks that a key stops opening as soon as its removal is known.
+// TestKeyTakenAway checks that a key is rejected as soon as its removal is known.
 func TestKeyTakenAway(t *testing.T) {
 	withRig(t, 0, 1, func(t *testing.T, r *rig) {
 		r.put(resource.SourceConfiguration, resource.KindWorkspace, "quotes", `{"keyHashes":[]}`, false)
@@ -110,14 +110,14 @@
 	})
 }
 
-// TestOutcomes checks the final answer and the number of runs under one fault of
-// every upstream, for requests that may be repeated and that may not.
+// TestOutcomes checks the final answer and the number of runs while all upstreams have the
+// same fault, for requests that may be repeated and for those that may not.
 func TestOutcomes(t *testing.T) {
 	for _, x := range []struct {
 		name        string
 		faults      routed.Faults
-		once, often int // statuses
-		runs        int // of the request that may not be repeated, at most
+		once, often int // status of the request that may not be repeated, and of the other one
+		runs        int // of the request that may not be repeated
 		repeats     int // of the other one
 	}{
 		{"sound", routed.Faults{}, 200, 200, 1, 1},
@@ -161,8 +161,8 @@
 	}
 }
 
-// TestRefusalGoesElsewhere checks that what one upstream did not run is run once
-// by another one.
+// TestRefusalGoesElsewhere checks that a request which one upstream refused to run is run
+// once by another one.
 func TestRefusalGoesElsewhere(t *testing.T) {
 	withRig(t, 0, 2, func(t *testing.T, r *rig) {
 		r.engines["s1"].SetFaults(routed.Faults{Refuse: http.StatusServiceUnavailable})
@@ -179,8 +179,8 @@
 	})
 }
 
-// TestUnreachableUpstreamCostsNothing checks that an upstream which takes no
-// connection is passed over, and that this takes nothing from the budget.
+// TestUnreachableUpstreamCostsNothing checks that an upstream which accepts no connections is
+// skipped, and that this is not charged to the retry budget.
 func TestUnreachableUpstreamCostsNothing(t *testing.T) {
 	withRig(t, 0, 2, func(t *testing.T, r *rig) {
 		r.link.Down("s1", true)
@@ -193,9 +193,9 @@
 	}, relay.WithRetryBudget(0, 0, 10*time.Second, func() int { return 1 }))
 }
 
-// TestServiceOutOfReachIsRefusedAtOnce checks that once no upstream of a service answers
-// connections, requests are refused at once, with a time to come back, and not after trying
-// each again; and that the service is found again when one of them answers.
+// TestServiceOutOfReachIsRefusedAtOnce checks that while no upstream of a service accepts
+// connections, requests are refused at once, with Retry-After, instead of trying each upstream
+// again, and that the service is used again once one of them accepts connections.
 func TestServiceOutOfReachIsRefusedAtOnce(t *testing.T) {
 	withRig(t, 0, 3, func(t *testing.T, r *rig) {
 		for _, n := range []string{"s1", "s2", "s3"} {
@@ -205,7 +205,7 @@
 		for i := range 100 {
 			w, _, err := r.do(request(t.Context(), http.MethodPost, "/once/x", fmt.Sprint("id-", i), ""))
 			if err != nil || w.StatusCode != http.StatusServiceUnavailable || w.Header.Get("Retry-After") == "" {
-				t.Fatalf("got %v %v, want 503 with a time to come back", w, err)
+				t.Fatalf("got %v %v, want 503 with Retry-After", w, err)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -231,11 +231,11 @@
 	})
 }
 
-// outOfReachAttempts is how many connections are tried before an upstream counts as out of reach.
+// outOfReachAttempts is the number of failed connections after which an upstream counts as out of reach.
 const outOfReachAttempts = 5
 
-// TestBudgetBoundsTries sends many requests that fail everywhere and counts what
-// reaches the upstreams beyond the first try of each, in any window.
+// TestBudgetBoundsTries sends many requests that fail at every upstream, and checks that the
+// number of retries stays within the retry budget.
 func TestBudgetBoundsTries(t *testing.T) {
 	const boxes, extra, ratio, requests = 4, 40, 0.2, 200
 	withRig(t, 0, 3, func(t *testing.T, r *rig) {
@@ -251,13 +251,13 @@
 			arrived += len(e.Requests())
 		}
 		if got, most := arrived-requests, int(ratio*requests)+extra/boxes; got > most || got == 0 {
-			t.Errorf("tries beyond the first: got %d, want 1 to %d", got, most)
+			t.Errorf("retries: got %d, want 1 to %d", got, most)
 		}
 	}, relay.WithRetryBudget(ratio, extra, 10*time.Second, func() int { return boxes }))
 }
 
-// TestCallerLeaves checks that the upstream's work ends within half a second of
-// the caller's going, before the first event and after some.
+// TestCallerLeaves checks that an upstream stops running a request within half a second after
+// the caller has disconnected, before the first event and after some.
 func TestCallerLeaves(t *testing.T) {
 	for _, after := range []time.Duration{50 * time.Millisecond, time.Second} {
 		withRig(t, 1, 0, func(t *testing.T, r *rig) {
@@ -265,12 +265,12 @@
 			go func() { _, _ = r.readStream(planRequest(ctx, "id", 2000), nil) }()
 			time.Sleep(after)
 			if got := r.engines["u1"].Running(); got != 1 {
-				t.Fatalf("runs at work: got %d, want 1", got)
+				t.Fatalf("running requests: got %d, want 1", got)
 			}
 			cancel()
 			time.Sleep(500 * time.Millisecond)
 			if got := r.engines["u1"].Running(); got != 0 {
-				t.Errorf("runs at work half a second after the caller left: got %d, want 0", got)
+				t.Errorf("running requests half a second after the caller left: got %d, want 0", got)
 			}
 			if got := len(r.engines["u1"].Requests()); got != 1 {
 				t.Errorf("requests: got %d, want 1", got)
@@ -279,13 +279,14 @@
 	}
 }
 
-// TestBrokenStreamDoesNotLookWhole checks that a stream which ends early breaks
-// off, that half an event is not passed on, and that it is not run again.
+// TestBrokenStreamDoesNotLookWhole checks that a stream which an engine breaks off does not look
+// complete to the caller, that a partial event is not forwarded, and that the request is not run
+// again.
 func TestBrokenStreamDoesNotLookWhole(t *testing.T) {
 	withRig(t, 2, 0, func(t *testing.T, r *rig) {
 		r.engines["u1"].SetFaults(routed.Faults{BreakAfter: 10})
 		s, err := r.readStream(planRequest(t.Context(), "id", 400), nil)
-		if err != nil || s.events != 10 || s.whole {
+		if err != nil || s.events != 10 || s.complete {
 			t.Errorf("got %+v %v, want 10 events and no end", s, err)
 		}
 		if got := r.startedRuns("id"); got != 1 {
@@ -294,25 +295,25 @@
 	})
 }
 
-// TestGapIsNotPassedOn checks that an event is not passed on after one is missing.
+// TestGapIsNotPassedOn checks that no event is forwarded after a missing one.
 func TestGapIsNotPassedOn(t *testing.T) {
 	withRig(t, 1, 0, func(t *testing.T, r *rig) {
 		r.engines["u1"].SetFaults(routed.Faults{Gap: true})
 		s, err := r.readStream(planRequest(t.Context(), "id", 400), nil)
-		if err != nil || s.events != 2 || s.whole {
+		if err != nil || s.events != 2 || s.complete {
 			t.Errorf("got %+v %v, want 2 events and no end", s, err)
 		}
 	})
 }
 
-// TestPausedBoxLooksAgain checks that a box which was paused since it was given a
-// place sends nothing to an engine that has left meanwhile.
+// TestPausedBoxLooksAgain checks that a box whose process was suspended after it got a place
+// sends nothing to an engine that has left in the meantime.
 func TestPausedBoxLooksAgain(t *testing.T) {
 	withRig(t, 2, 0, func(t *testing.T, r *rig) {
 		r.refreshViews = func() { r.remove("u1") }
 		s, err := r.readStream(planRequest(t.Context(), "id", 40), nil)
-		if err != nil || !s.whole {
-			t.Errorf("got %+v %v, want a whole stream", s, err)
+		if err != nil || !s.complete {
+			t.Errorf("got %+v %v, want a complete stream", s, err)
 		}
 		if got := len(r.engines["u1"].Requests()); got != 0 {
 			t.Errorf("requests to the engine that left: got %d, want 0", got)
@@ -320,8 +321,8 @@
 	})
 }
 
-// TestLapsedUpstreamServesForAMoment checks that an upstream whose entry went
-// while the store was away is used for a moment and not for longer.
+// TestLapsedUpstreamServesForAMoment checks that an upstream whose entry lapsed while the
+// store was unavailable is used for resource.LapseGracePeriod and not for longer.
 func TestLapsedUpstreamServesForAMoment(t *testing.T) {
 	withRig(t, 0, 1, func(t *testing.T, r *rig) {
 		r.put(resource.SourceUpstreams, resource.KindUpstream, "s1", `{"address":"http://s1","hall":"a","service":"desk","lapsed":true,"type":""}`, false)
@@ -341,15 +342,15 @@
 	})
 }
 
-// TestUnknownIsNoRefusalForGoodWhileTheViewIsOld guards against a new key or route that is refused for good by a
-// box which has not heard of the platform's store for long: it does not know.
+// TestUnknownIsNoRefusalForGoodWhileTheViewIsOld guards against the permanent refusal of a new key or
+// route by a box whose view of the platform's store is stale: it may not have received them yet.
 func TestUnknownIsNoRefusalForGoodWhileTheViewIsOld(t *testing.T) {
 	withRig(t, 0, 1, func(t *testing.T, r *rig) {
 		for _, x := range []struct {
 			age        time.Duration
 			path, key  string
 			want       int
-			comesAgain bool
+			retryAfter bool
 		}{
 			{time.Second, "/unknown/x", rigKey, http.StatusNotFound, false},
 			{time.Second, "/once/x", "unknown", http.StatusUnauthorized, false},
@@ -362,15 +363,15 @@
 			q := request(t.Context(), http.MethodPost, x.path, "id", "")
 			q.Header.Set("Authorization", "Bearer "+x.key)
 			w, _, err := r.do(q)
-			if err != nil || w.StatusCode != x.want || (w.Header.Get("Retry-After") != "") != x.comesAgain {
+			if err != nil || w.StatusCode != x.want || (w.Header.Get("Retry-After") != "") != x.retryAfter {
 				t.Errorf("%s with the key %s, age %v: got %v %v, want status %d", x.path, x.key, x.age, w, err, x.want)
 			}
 		}
 	})
 }
 
-// TestRefusalTellsWhatDecidedIt checks that the log line of a refusal names the revisions by which
-// the box went, and how old its view of them was.
+// TestRefusalTellsWhatDecidedIt checks that the log line of a refusal has the revisions on which it
+// was based, and the age of the box's view of them.
 func TestRefusalTellsWhatDecidedIt(t *testing.T) {
 	var b bytes.Buffer
 	v := resource.NewView()
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Request is one request that goes unchanged to an upstream. Its header holds
-// only what the caller may set.
+// Request is a request that is forwarded unchanged to an upstream. Its header holds
+// only fields that a caller may set.
 type Request struct {
 	Arrived   time.Time
 	Body      []byte
-	Deadline  time.Time // until which the caller waits; zero where it does not say
+	Deadline  time.Time // until when the caller waits; zero if it did not say
 	Header    http.Header
-	Host      string // of the caller's Host header, with its port if it had one
-	ID        string // chosen by the caller, one for each try of its own
-	BearerKey string // the bearer key, "" where there is none
+	Host      string // the Host header as the caller sent it, with its port if it has one
+	ID        string // chosen by the caller, a new one for each of its attempts
+	BearerKey string // "" if there is none
 	Method    string
 	Path      string
-	Target    string // path and query as they came
+	Target    string // path and query, as the caller sent them
 
-	// Of generations only.
-	Hint         int    // the caller's estimate of the output tokens; 0 where it has none
-	LastEventID  string // of the last event that the caller has, "" where it asks for all of them
-	MaxTokens    int    // output tokens at most
+	// The fields below are set for generations only.
+	Hint         int    // the caller's estimate of the number of output tokens; 0 if there is none
+	LastEventID  string // id of the last event that the caller has, "" if it asks for all events
+	MaxTokens    int    // maximum number of output tokens
 	Model        string
-	PrefixKey    uint64 // key of the first part of the prompt; 0 where there is none
-	PrefixTokens int    // tokens of that part
-	PromptTokens int    // tokens
+	PrefixKey    uint64 // cache key of the first part of the prompt; 0 if there is none
+	PrefixTokens int    // length of that part, in tokens
+	PromptTokens int    // length of the whole prompt, in tokens
 }
--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -14,16 +14,17 @@
 	"github.com/linetiller/linetiller/internal/policy"
 )
 
-// oneBox tells that all requests came from one box, in time: none is older than its arrival.
+// oneBox is a routed.Sender that attributes all requests to one box. The zero time means that
+// none was sent after the box should have stopped.
 func oneBox(string) (box string, sentAt time.Time) { return "box", time.Time{} }
 
-// TestUpstreamThatAsksForRestGetsNone has one upstream of two turn requests away with 503 and
-// ask the box for some seconds of rest, while requests come at a steady pace. It was seen to
-// get eighteen in that time: the time went to the caller that was refused, and nothing of the
-// upstream was kept, so that the next request chose it again; being never busy, it was even
-// chosen first. Refusals one after another by first tries proved it.
+// TestUpstreamThatAsksForRestGetsNone guards against sending requests to an upstream that rejects
+// them and asks the box for some seconds of back-off. One such upstream got eighteen requests in
+// that time: the back-off was only returned to the refused caller and not recorded, so that the
+// next first attempt chose the upstream again, even preferred it because it was never busy.
 //
-// All are served by the other one, and once it has rested it is used again.
+// All requests must be served by the other upstream, and the first one must be used again after
+// its back-off.
 func TestUpstreamThatAsksForRestGetsNone(t *testing.T) {
 	const pace = 20 * time.Millisecond
 	call := func(r *rig, i int) error {
@@ -35,7 +36,7 @@
 	}
 	stream := func(r *rig, i int) error {
 		s, err := r.readStream(planRequest(r.t.Context(), fmt.Sprint("plan-", i), 40), nil)
-		if err == nil && !s.whole {
+		if err == nil && !s.complete {
 			err = fmt.Errorf("got %d events", s.events)
 		}
 		return err
@@ -71,27 +72,27 @@
 					t.Error(l)
 				}
 				if got := len(r.engines[x.rests].Visits()); got == 0 {
-					t.Error("the upstream got nothing at all, want a request")
+					t.Error("requests at the upstream that asks for back-off: got 0, want at least 1")
 				}
 				r.engines[x.rests].SetFaults(routed.Faults{})
 				time.Sleep(time.Second)
 				before := len(r.engines[x.rests].Visits())
 				for range 50 {
 					if err := x.send(r, i); err != nil {
-						t.Errorf("request %d, after the rest: %v", i, err)
+						t.Errorf("request %d, after the back-off: %v", i, err)
 					}
 					i++
 				}
 				if got := len(r.engines[x.rests].Visits()) - before; got == 0 {
-					t.Error("after its rest: got no request, want some")
+					t.Error("requests at the upstream after its back-off: got 0, want some")
 				}
 			})
 		})
 	}
 }
 
-// TestAllUpstreamsRest checks that requests are refused at once, as not run, while every
-// upstream of a service wants rest, and are told to come back when the first has rested.
+// TestAllUpstreamsRest checks that requests are refused at once, as not run, while all upstreams
+// of a service have asked for back-off, and that Retry-After is the end of the first back-off.
 func TestAllUpstreamsRest(t *testing.T) {
 	withRig(t, 2, 2, func(t *testing.T, r *rig) {
 		for n, rest := range map[string]time.Duration{"s1": 3 * time.Second, "s2": 5 * time.Second, "u1": 3 * time.Second, "u2": 5 * time.Second} {
@@ -115,7 +116,7 @@
 				left := 3*time.Second - time.Since(began)
 				again, err := strconv.ParseFloat(w.Header.Get("Retry-After"), 64)
 				if w.StatusCode != http.StatusServiceUnavailable || err != nil || again < left.Seconds()-0.1 || again > left.Seconds()+0.1 {
-					t.Errorf("%s %d: got %d, come back in %v s, %v; want 503 and %v", kind, i, w.StatusCode, again, err, left)
+					t.Errorf("%s %d: got %d, Retry-After %v s, %v; want 503 and %v", kind, i, w.StatusCode, again, err, left)
 				}
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -128,8 +129,8 @@
 	})
 }
 
-// TestRestBeginsDuringAWait gives a place at an engine that asked for rest meanwhile: the
-// request goes to another one, which takes nothing from the budget of tries.
+// TestRestBeginsDuringAWait gives requests a place at an engine that has asked for back-off while
+// they waited: they must go to another one, and that must not exhaust the retry budget.
 func TestRestBeginsDuringAWait(t *testing.T) {
 	withRig(t, 2, 0, func(t *testing.T, r *rig) {
 		r.engines["u1"].SetFaults(routed.Faults{Refuse: http.StatusServiceUnavailable, Rest: 3 * time.Second})
@@ -144,8 +145,8 @@
 		var g sync.WaitGroup
 		for i := range 10 {
 			g.Go(func() {
-				if s, err := r.readStream(planRequest(t.Context(), fmt.Sprint("plan-", i), 40), nil); err != nil || !s.whole {
-					t.Errorf("plan %d: got %+v %v, want a whole stream", i, s, err)
+				if s, err := r.readStream(planRequest(t.Context(), fmt.Sprint("plan-", i), 40), nil); err != nil || !s.complete {
+					t.Errorf("plan %d: got %+v %v, want a complete stream", i, s, err)
 				}
 			})
 			time.Sleep(200 * time.Millisecond)
@@ -157,9 +158,10 @@
 	})
 }
 
-// TestUpstreamThatTurnsAllAwayGetsLittle has one upstream of three turn every request away
-// with 503, and tell no time. It is never busy: by load alone it was sent more than the two
-// others together, and a fifth of the requests of a small fleet was refused for it.
+// TestUpstreamThatTurnsAllAwayGetsLittle guards against preferring an upstream that rejects every
+// request with 503 and asks for no back-off. As it is never busy, least-loaded selection sent it
+// more requests than the two others together, and a fifth of the requests of a small fleet was
+// refused.
 func TestUpstreamThatTurnsAllAwayGetsLittle(t *testing.T) {
 	withRig(t, 0, 3, func(t *testing.T, r *rig) {
 		r.engines["s1"].SetFaults(routed.Faults{Refuse: http.StatusServiceUnavailable})
@@ -191,14 +193,15 @@
 	})
 }
 
-// TestEngineThatTurnsAllAwayGetsLittle does the same with engines, of which the one that
-// refuses would be chosen first: it is tried now and then, and again once all others refuse.
+// TestEngineThatTurnsAllAwayGetsLittle checks the same for engines, where the one that rejects all
+// requests would be chosen first: it must be tried only now and then, and again once all others
+// reject requests.
 func TestEngineThatTurnsAllAwayGetsLittle(t *testing.T) {
 	withRig(t, 2, 0, func(t *testing.T, r *rig) {
 		r.engines["u1"].SetFaults(routed.Faults{Refuse: http.StatusServiceUnavailable})
 		send := func(streams int, name string) (served int) {
 			for i := range streams {
-				if s, err := r.readStream(planRequest(t.Context(), fmt.Sprint(name, i), 4), nil); err == nil && s.whole {
+				if s, err := r.readStream(planRequest(t.Context(), fmt.Sprint(name, i), 4), nil); err == nil && s.complete {
 					served++
 				}
 			}
@@ -219,9 +222,9 @@
 	})
 }
 
-// TestMovedRunsSpareAnEngineAtRest has two runs be stopped for moves to an engine that asks the
-// box for rest meanwhile: they go on at the engines that they leave, which have their memory,
-// too, and from there to another one.
+// TestMovedRunsSpareAnEngineAtRest stops two runs for moves to an engine that asks the box for
+// back-off in the meantime. The runs must resume at their sources, which still have their memory,
+// and be moved from there to another engine.
 func TestMovedRunsSpareAnEngineAtRest(t *testing.T) {
 	withRig(t, 4, 0, func(t *testing.T, r *rig) {
 		at := map[string]string{"first": "u1", "second": "u2", "asker": "u3"}
@@ -241,8 +244,8 @@
 		var g sync.WaitGroup
 		send := func(id string) {
 			g.Go(func() {
-				if s, err := r.readStream(planRequest(t.Context(), id, 600), nil); err != nil || !s.whole || s.events != 150 {
-					t.Errorf("%s: got %+v %v, want a whole stream", id, s, err)
+				if s, err := r.readStream(planRequest(t.Context(), id, 600), nil); err != nil || !s.complete || s.events != 150 {
+					t.Errorf("%s: got %+v %v, want a complete stream", id, s, err)
 				}
 			})
 		}
@@ -251,18 +254,18 @@
 		time.Sleep(time.Second)
 		r.list("u1", "llm", true)
 		r.list("u2", "llm", true)
-		time.Sleep(500 * time.Millisecond) // both are copied by now, and being stopped
+		time.Sleep(500 * time.Millisecond) // by now both are copied and the orders to stop are under way
 		r.engines["u3"].SetFaults(routed.Faults{Refuse: http.StatusServiceUnavailable, Rest: 5 * time.Second})
 		send("asker")
 		g.Wait()
 		if got := len(r.engines["u3"].Visits()); got != 1 {
-			t.Errorf("requests at the engine at rest: got %d, want 1, which it turned away", got)
+			t.Errorf("requests at the engine that asked for back-off: got %d, want 1, which it rejected", got)
 		}
 	})
 }
 
-// TestFaultOfARequestKeepsNobodyAway has an engine and a service find fault with one caller's
-// requests, and run nothing: they are used for others as before.
+// TestFaultOfARequestKeepsNobodyAway has an engine and a service reject requests as invalid without
+// running them: this must not count against the upstreams, which are used as before.
 func TestFaultOfARequestKeepsNobodyAway(t *testing.T) {
 	withRig(t, 2, 2, func(t *testing.T, r *rig) {
 		for _, n := range []string{"u1", "s1"} {
--- a/internal/relay/resume.go
+++ b/internal/relay/resume.go
@@ -14,12 +14,12 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// evacuatedResumeGrace is how long after this box learned of an evacuation a run that was
-// stopped for a move before is still handed over: the rest of its memory takes some
-// 10 ms to copy, and the run is lost otherwise.
+// evacuatedResumeGrace is how long after this box learned of the evacuation of a hall a run
+// may still be resumed at an engine there, if it was stopped for a move before: copying the
+// rest of its memory takes about 10 ms, and the run would be lost otherwise.
 const evacuatedResumeGrace = 500 * time.Millisecond
 
-// abandonMove gives up the move that is under way or made, if there is one.
+// abandonMove abandons the move that is under way or finished but not used, if there is one.
 func (s *stream) abandonMove() {
 	s.mutex.Lock()
 	m := s.move
@@ -30,46 +30,54 @@
 	}
 }
 
-// resumeAt sends a run that was stopped for a move to an engine which has its memory. Where
-// the engine's hall was evacuated meanwhile, it does so only for a moment, and where the engine
-// asked for back-off, for one run alone: the run has nowhere else to go on.
+// resumeAt resumes a run that was stopped for a move at an engine which has its memory. Since
+// the run cannot continue anywhere else, it does so for evacuatedResumeGrace after the engine's
+// hall was evacuated, and for one run during each back-off that the engine asked for.
 func (e *exchange) resumeAt(ctx context.Context, u *resource.Upstream, r *Resume) (*Answer, error) {
 	v, place := e.relay.view.Upstream(u.Name), fail.Place{Peer: "upstream " + u.Name, Step: "resume"}
 	if v != nil && v.Evacuated() && time.Since(v.EvacuatedAt) > evacuatedResumeGrace {
 		return nil, fail.New(fail.NotRun, place, string(policy.ReasonEvacuated), "data hall %q is evacuated", v.Spec.Hall)
 	}
 	if !e.relay.backoffs.TakeProbe(u.Name, time.Now()) {
-		return nil, fail.New(fail.NotRun, place, string(policy.ReasonResting), "the upstream wants rest")
+		return nil, fail.New(fail.NotRun, place, string(policy.ReasonResting), "the upstream asked for back-off")
 	}
 	if !e.takeResumePermit(ctx, u) {
-		return nil, fail.New(fail.NotRun, place, string(policy.ReasonLimited), "the upstream accepts no more requests for now")
+		return nil, fail.New(fail.NotRun, place, string(policy.ReasonLimited), "the upstream has reached its rate limit")
 	}
 	a, _, err := e.send(ctx, u, r)
 	return a, err
 }
 
-// resumeCandidates returns the engines that hold the memory of a run that was moved, the one that is
-// to be asked first. The engine that was stopped has it, too; it goes first where the other
-// one asked for back-off, and the run is moved again from there.
-func (s *stream) resumeCandidates(m *move) []*resource.Upstream {
-	x := s.exchange.relay
-	switch {
-	case !m.sourceStopped():
-		return []*resource.Upstream{m.to}
-	case !x.backoffs.Until(m.to.Name, time.Now()).IsZero():
-		return []*resource.Upstream{m.from, m.to}
+// countReassignment counts a move, so that the reservation of the next one gets an id of its own.
+func (s *stream) countReassignment() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.reassignments++
+}
+
+// failOver continues a stream that broke off with cause: from the copy that a move made, or
+// by running the generation again if the route allows it. Its error is final.
+func (s *stream) failOver(ctx context.Context, cause error) (*Answer, error) {
+	a, err := s.resumeFromMove(ctx, cause)
+	if err == nil || s.exchange.route.Spec.Repeat != resource.RepeatResume {
+		return a, err
 	}
-	return []*resource.Upstream{m.to, m.from}
+	return s.rerun(ctx, err)
 }
 
-// countReassignment records that a move was made: the next one has an id of its own.
-func (s *stream) countReassignment() {
+// reassign records that the generation runs at another upstream from now on, under a new
+// reservation id, and releases the assignment to the one before.
+func (s *stream) reassign(t *assignment) {
 	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	old := s.assignment
+	s.assignment = t
 	s.reassignments++
+	s.mutex.Unlock()
+	old.release(s.exchange.relay, false)
 }
 
-// recordMoved records that the generation goes on at u, from the copy that m made.
+// recordMoved records that the generation was resumed at u, from the copy that m made. u is the
+// target of the move, or its source if the target did not take the run.
 func (s *stream) recordMoved(m *move, u *resource.Upstream) {
 	x := s.exchange.relay
 	s.mutex.Lock()
@@ -90,20 +98,39 @@
 	x.startMoves()
 }
 
-// resumeMoved opens the stream at the engine that holds the copy, or, where that does not
-// take it, at the engine that was stopped, which still has the memory.
-func (s *stream) resumeMoved(ctx context.Context, m *move) (*Answer, error) {
+// rerun runs the generation again, to continue after the last event that the caller has, at
+// one upstream after another while the route and the retry budget allow it. Its error is final.
+func (s *stream) rerun(ctx context.Context, cause error) (*Answer, error) {
 	e := s.exchange
-	r := &Resume{Handle: m.copy.Handle, Source: m.from.HostPort()}
-	e.relay.retryBudget.CountRetry(e.service.Name, time.Now())
-	var a *Answer
-	var err error
-	var u *resource.Upstream
-	for _, u = range s.resumeCandidates(m) {
-		if a, err = e.resumeAt(ctx, u, r); err == nil {
-			break
+	s.abandonMove()
+	for e.shouldRetry(cause) {
+		a, err := s.rerunOnce(ctx)
+		if err == nil {
+			e.relay.metrics.Count(metric.Resumptions, "reason", fail.Reason(cause))
+			event.StreamResumed.Log(e.relay.log, "request", e.request.ID, "upstream", s.upstream().Name, "reason", fail.Reason(cause), "last_event", e.lastEventID)
+			return a, nil
 		}
+		cause = err
+	}
+	if e.status != 0 && !errorx.IsOfType(cause, fail.Interrupted) {
+		return nil, fail.Wrap(fail.Interrupted, s.upstreamPlace("resume"), fail.Reason(cause), cause)
+	}
+	return nil, cause
+}
+
+// rerunOnce sends the request to one more upstream, to continue after the last event.
+func (s *stream) rerunOnce(ctx context.Context) (*Answer, error) {
+	e := s.exchange
+	t, err := e.assign(ctx, s.remainingWork())
+	if err != nil {
+		return nil, err
 	}
+	s.reassign(t)
+	u, err := e.checkBeforeSend(ctx, t)
+	if err != nil {
+		return nil, err
+	}
+	a, _, err := e.send(ctx, u, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -111,11 +138,26 @@
 		_ = a.Body.Close()
 		return nil, fail.New(fail.Unknown, s.upstreamPlace("resume"), "upstream_failed", "status %d", a.Status)
 	}
-	s.recordMoved(m, u)
+	e.relay.startMoves() // the engine may have announced its shutdown since it was chosen
 	return a, nil
 }
 
-// resumeFromMove opens the stream where a move has brought the generation.
+// resumeCandidates returns the engines that hold the memory of a moved run, in the order in which
+// to try them. Once the source was told to stop, it is a candidate too: it comes first if the
+// target asked for back-off, and the run is then moved again from there.
+func (s *stream) resumeCandidates(m *move) []*resource.Upstream {
+	x := s.exchange.relay
+	switch {
+	case !m.sourceStopped():
+		return []*resource.Upstream{m.to}
+	case !x.backoffs.Until(m.to.Name, time.Now()).IsZero():
+		return []*resource.Upstream{m.from, m.to}
+	}
+	return []*resource.Upstream{m.to, m.from}
+}
+
+// resumeFromMove resumes the generation after its stream broke off with cause, if a move has
+// copied it to another engine.
 func (s *stream) resumeFromMove(ctx context.Context, cause error) (*Answer, error) {
 	e := s.exchange
 	lost := fail.Wrap(fail.Interrupted, s.upstreamPlace("read stream"), "stream_broken", cause)
@@ -141,39 +183,20 @@
 	return a, nil
 }
 
-// rerun runs the generation anew, after the last event that the caller has, where its
-// route allows that. Its error is final.
-func (s *stream) rerun(ctx context.Context, cause error) (*Answer, error) {
+// resumeMoved resumes the run at the first of the engines that have its memory which
+// accepts it, and returns the answer with the rest of the stream.
+func (s *stream) resumeMoved(ctx context.Context, m *move) (*Answer, error) {
 	e := s.exchange
-	s.abandonMove()
-	for e.shouldRetry(cause) {
-		a, err := s.rerunOnce(ctx)
-		if err == nil {
-			e.relay.metrics.Count(metric.Resumptions, "reason", fail.Reason(cause))
-			event.StreamResumed.Log(e.relay.log, "request", e.request.ID, "upstream", s.upstream().Name, "reason", fail.Reason(cause), "last_event", e.lastEventID)
-			return a, nil
+	r := &Resume{Handle: m.copy.Handle, Source: m.from.HostPort()}
+	e.relay.retryBudget.CountRetry(e.service.Name, time.Now())
+	var a *Answer
+	var err error
+	var u *resource.Upstream
+	for _, u = range s.resumeCandidates(m) {
+		if a, err = e.resumeAt(ctx, u, r); err == nil {
+			break
 		}
-		cause = err
-	}
-	if e.status != 0 && !errorx.IsOfType(cause, fail.Interrupted) {
-		return nil, fail.Wrap(fail.Interrupted, s.upstreamPlace("resume"), fail.Reason(cause), cause)
-	}
-	return nil, cause
-}
-
-// rerunOnce sends the request to one more upstream, to go on after the last event.
-func (s *stream) rerunOnce(ctx context.Context) (*Answer, error) {
-	e := s.exchange
-	t, err := e.assign(ctx, s.remainingWork())
-	if err != nil {
-		return nil, err
 	}
-	s.reassign(t)
-	u, err := e.checkBeforeSend(ctx, t)
-	if err != nil {
-		return nil, err
-	}
-	a, _, err := e.send(ctx, u, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -181,27 +204,6 @@
 		_ = a.Body.Close()
 		return nil, fail.New(fail.Unknown, s.upstreamPlace("resume"), "upstream_failed", "status %d", a.Status)
 	}
-	e.relay.startMoves() // the engine may have begun to leave meanwhile
+	s.recordMoved(m, u)
 	return a, nil
 }
-
-// reassign records that the generation is to run at another upstream, under an id of its own
-// there; the one before gets back what was held there.
-func (s *stream) reassign(t *assignment) {
-	s.mutex.Lock()
-	old := s.assignment
-	s.assignment = t
-	s.reassignments++
-	s.mutex.Unlock()
-	old.release(s.exchange.relay, false)
-}
-
-// failOver opens the stream where the generation can go on: where a move has brought
-// it, or with a new run where the route allows one. Its error is final.
-func (s *stream) failOver(ctx context.Context, cause error) (*Answer, error) {
-	a, err := s.resumeFromMove(ctx, cause)
-	if err == nil || s.exchange.route.Spec.Repeat != resource.RepeatResume {
-		return a, err
-	}
-	return s.rerun(ctx, err)
-}
--- a/internal/relay/resume_test.go
+++ b/internal/relay/resume_test.go
@@ -13,8 +13,8 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// TestCallerReturnsAfterAnEvent checks the answers to callers that say which event they
-// have, on a route whose streams may be resumed and on one where they may not.
+// TestCallerReturnsAfterAnEvent checks the answers to callers that send Last-Event-Id, on a
+// route whose streams may be resumed and on one whose streams may not.
 func TestCallerReturnsAfterAnEvent(t *testing.T) {
 	const events = 50
 	for _, x := range []struct {
@@ -44,27 +44,27 @@
 					return
 				}
 				s, err := r.readStream(q, nil)
-				if err != nil || !s.whole || s.events != x.events {
+				if err != nil || !s.complete || s.events != x.events {
 					t.Fatalf("got %+v %v, want %d events and an end", s, err, x.events)
 				}
-				if got, want := s.head.Get("X-Linetiller-Server-Stamp"), "stamp.u1"; got != want {
-					t.Errorf("mark: got %q, want %q", got, want)
+				if got, want := s.header.Get("X-Linetiller-Server-Stamp"), "stamp.u1"; got != want {
+					t.Errorf("stamp: got %q, want %q", got, want)
 				}
 			})
 		})
 	}
 }
 
-// TestStreamIsResumed lets the engine of a stream fail in every way, before its first
-// event and after some. The caller gets each event once and in order, with the head of
-// the first engine that had one, and the stream ends whole.
+// TestStreamIsResumed has the engine of a stream fail in different ways, before its first
+// event and after some. The caller must get each event once and in order, with the header of
+// the first engine that sent an event, and the stream must end complete.
 func TestStreamIsResumed(t *testing.T) {
 	const events = 50
 	for _, x := range []struct {
 		name   string
-		at     int // events after which fault strikes; -1 is before the request
+		at     int // number of events after which the fault is injected; -1 is before the request
 		fault  func(r *rig)
-		engine string // whose mark the answer has
+		engine string // whose stamp the answer must have
 	}{
 		{"the engine crashes", 10, func(r *rig) { r.kill("u1") }, "u1"},
 		{"the engine breaks off in the middle of an event", -1, func(r *rig) {
@@ -105,29 +105,29 @@
 						x.fault(r)
 					}
 				})
-				if err != nil || !s.whole || s.events != events {
+				if err != nil || !s.complete || s.events != events {
 					t.Fatalf("got %+v %v, want %d events and an end", s, err, events)
 				}
-				if got, want := s.head.Get("X-Linetiller-Server-Stamp"), "stamp."+x.engine; got != want {
-					t.Errorf("mark: got %q, want %q", got, want)
+				if got, want := s.header.Get("X-Linetiller-Server-Stamp"), "stamp."+x.engine; got != want {
+					t.Errorf("stamp: got %q, want %q", got, want)
 				}
-				if s.longest > 2*time.Second {
-					t.Errorf("longest pause: got %s, want less than callers bear", s.longest)
+				if s.longestGap > 2*time.Second {
+					t.Errorf("longest pause: got %s, want at most the 2 s after which callers disconnect", s.longestGap)
 				}
 			})
 		})
 	}
 }
 
-// TestResumptionsAreBounded checks that a stream which breaks at every engine ends broken
-// off, after as many runs as its route allows, and that no event comes twice.
+// TestResumptionsAreBounded checks that a stream which breaks at every engine is broken off after
+// as many runs as its route allows, and that no event is forwarded twice.
 func TestResumptionsAreBounded(t *testing.T) {
 	withRig(t, 4, 0, func(t *testing.T, r *rig) {
 		for _, e := range r.engines {
 			e.SetFaults(routed.Faults{BreakAfter: 10})
 		}
 		s, err := r.readStream(checkRequest(t.Context(), 400), nil)
-		if err != nil || s.whole || s.events != 10 {
+		if err != nil || s.complete || s.events != 10 {
 			t.Errorf("got %+v %v, want 10 events and no end", s, err)
 		}
 		if got := r.startedRuns("id"); got != 2 {
@@ -136,13 +136,13 @@
 	})
 }
 
-// TestResumptionTakesFromTheBudget checks that no stream is run again once the tries
-// beyond the first are used up.
+// TestResumptionTakesFromTheBudget checks that no stream is run again once the retry budget
+// is used up.
 func TestResumptionTakesFromTheBudget(t *testing.T) {
 	withRig(t, 2, 0, func(t *testing.T, r *rig) {
 		r.engines["u1"].SetFaults(routed.Faults{BreakAfter: 10})
 		s, err := r.readStream(checkRequest(t.Context(), 400), nil)
-		if err != nil || s.whole || s.events != 10 {
+		if err != nil || s.complete || s.events != 10 {
 			t.Errorf("got %+v %v, want 10 events and no end", s, err)
 		}
 		if got := r.startedRuns("id"); got != 1 {
@@ -151,21 +151,21 @@
 	}, relay.WithRetryBudget(0, 0, 10*time.Second, func() int { return 1 }))
 }
 
-// TestFailureIsNotPassedOnAfterAStream has the first engine answer with a failure, which is
-// kept for the case that no other engine does better, and the second one break off in the
-// middle: the failure must not follow the events, or the answer would look whole.
+// TestFailureIsNotPassedOnAfterAStream has the first engine answer with an error, which is kept
+// as the fallback answer, and the second one break off in the middle of its stream. The fallback
+// must not be written after the events, or the answer would look complete.
 func TestFailureIsNotPassedOnAfterAStream(t *testing.T) {
 	withRig(t, 2, 0, func(t *testing.T, r *rig) {
 		r.engines["u1"].SetFaults(routed.Faults{Status: http.StatusInternalServerError})
 		r.engines["u2"].SetFaults(routed.Faults{BreakAfter: 10})
 		s, err := r.readStream(checkRequest(t.Context(), 400), nil)
-		if err != nil || s.whole || s.events != 10 {
+		if err != nil || s.complete || s.events != 10 {
 			t.Errorf("got %+v %v, want 10 events and no end", s, err)
 		}
 	})
 }
 
-// TestResumableRouteIsChecked checks that only streams may be declared to be resumed.
+// TestResumableRouteIsChecked checks that only routes with streams may be declared resumable.
 func TestResumableRouteIsChecked(t *testing.T) {
 	const spec = `{"host":"h","pathPrefix":"/","attempts":1,"repeat":"resume","services":[{"name":"s","weight":1}],"timeoutMilliseconds":1,"stream":`
 	for stream, want := range map[string]int{"true": 0, "false": 1} {
@@ -176,9 +176,9 @@
 	}
 }
 
-// TestEachRunHasAnIDOfItsOwn has a stream run at three engines, of which two break off, and
-// checks that the owners are asked for places under three ids: the end of a run must not be
-// taken for that of the next.
+// TestEachRunHasAnIDOfItsOwn has two engines break off a stream and a third one refuse it, and
+// checks that each of the four runs asks for its place under an id of its own: the end of one
+// run must not be taken for the end of the next.
 func TestEachRunHasAnIDOfItsOwn(t *testing.T) {
 	withRig(t, 4, 0, func(t *testing.T, r *rig) {
 		for _, n := range []string{"u1", "u2"} {
@@ -191,11 +191,11 @@
 			return r.place(ctx, w, avoid)
 		}
 		r.put(resource.SourceConfiguration, resource.KindRoute, "checks", `{"host":"`+rigHost+`","pathPrefix":"/checks/","attempts":4,"repeat":"resume","stream":true,"services":[{"name":"llm","weight":1}],"timeoutMilliseconds":39000}`, false)
-		if s, err := r.readStream(checkRequest(t.Context(), 200), nil); err != nil || !s.whole || s.events != 50 {
+		if s, err := r.readStream(checkRequest(t.Context(), 200), nil); err != nil || !s.complete || s.events != 50 {
 			t.Errorf("got %+v %v, want 50 events and an end", s, err)
 		}
 		if len(asked) != 4 {
-			t.Errorf("ids of the asks: got %v, want four", asked)
+			t.Errorf("ids under which places were requested: got %v, want four", asked)
 		}
 	})
 }
--- a/internal/relay/rig_test.go
+++ b/internal/relay/rig_test.go
@@ -37,16 +37,16 @@
 	rigKey  = "key-of-quotes"
 )
 
-// rig is a relay behind the platform's ingress, before engines u1, u2, … and
-// services s1, s2, …, in virtual time.
+// rig is a test rig in virtual time: a relay behind the platform's ingress, with fake
+// engines u1, u2, … and service upstreams s1, s2, …
 type rig struct {
-	crashes      int // upstreams that a request has ended
+	crashes      int // number of upstreams that a poison request has crashed
 	engines      map[string]*routed.Engine
 	refreshViews func()
 	logs         *logCounter
 	link         *link.Link
 	metrics      *metric.Set
-	mutex        sync.Mutex // guards ended and revision
+	mutex        sync.Mutex // guards crashes and revision
 	relay        *relay.Relay
 	revision     int64
 	t            *testing.T
@@ -54,7 +54,7 @@
 	view         *resource.View
 }
 
-// withRig runs f with that many engines and services.
+// withRig runs f in a synctest bubble, with that many engines and service upstreams.
 func withRig(t *testing.T, engines, services int, f func(t *testing.T, r *rig), options ...relay.Option) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -88,8 +88,8 @@
 	})
 }
 
-// declareRoutes puts the routes and services in force: /plans/ streams, /checks/ streams and may
-// be resumed, /once/ may not be repeated, /often/ may.
+// declareRoutes declares the routes and services: /plans/ streams, /checks/ streams and may be
+// resumed, /once/ may not be repeated, /often/ may, /open/ needs no key.
 func (r *rig) declareRoutes() {
 	r.put(resource.SourceConfiguration, resource.KindPriority, "first", `{"value":9}`, false)
 	r.put(resource.SourceConfiguration, resource.KindWorkspace, "quotes", `{"keyHashes":["`+resource.HashKey(rigKey)+`"]}`, false)
@@ -103,7 +103,7 @@
 	r.put(resource.SourceConfiguration, resource.KindRoute, "open", fmt.Sprintf(route, "open", 1, "never", false, "desk", 1500, true), false)
 }
 
-// put changes one resource.
+// put writes or deletes one resource in the relay's view.
 func (r *rig) put(s resource.Source, k resource.Kind, name, spec string, deleted bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -112,7 +112,7 @@
 	r.view.Merge(&resource.Batch{Changes: []resource.Change{c}, Revision: r.revision, Source: s})
 }
 
-// start starts an upstream of a service and lists it.
+// start starts an upstream of a service in data hall a and lists it.
 func (r *rig) start(name, service string) {
 	e := routed.New(name, routed.DefaultSettings())
 	e.Peer = func(address string) *routed.Engine { return r.engines[address] }
@@ -121,17 +121,17 @@
 	r.list(name, service, false)
 }
 
-// list changes what the platform's list says of an upstream.
+// list writes an upstream's entry, in data hall a, to the platform's list.
 func (r *rig) list(name, service string, leaving bool) {
 	r.listAt(name, "a", service, leaving)
 }
 
-// listAt does so for an upstream of a data hall.
+// listAt is list for an upstream in the given data hall.
 func (r *rig) listAt(name, hall, service string, leaving bool) {
 	r.put(resource.SourceUpstreams, resource.KindUpstream, name, fmt.Sprintf(`{"address":"http://%s","hall":%q,"service":%q,"models":["%s/m"],"leaving":%v,"type":""}`, name, hall, service, service, leaving), false)
 }
 
-// remove takes an upstream off the platform's list.
+// remove removes an upstream from the platform's list.
 func (r *rig) remove(name string) {
 	r.put(resource.SourceUpstreams, resource.KindUpstream, name, "{}", true)
 }
@@ -142,7 +142,7 @@
 	r.link.Down(name, true)
 }
 
-// place takes the first engine that may be used.
+// place places w at the first engine that may be used.
 func (r *rig) place(_ context.Context, w *policy.Work, avoid map[string]bool) (*placement.Place, error) {
 	if u := r.firstFree(w, avoid); u != nil {
 		return &placement.Place{Granted: time.Now(), Upstream: u}, nil
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// request returns a request to a route.
+// request returns a request with the test key, to the path of a route.
 func request(ctx context.Context, method, path, id, body string) *http.Request {
 	q, err := http.NewRequestWithContext(ctx, method, "http://box"+path, strings.NewReader(body))
 	if err != nil {
@@ -171,7 +171,7 @@
 	return q
 }
 
-// checkRequest returns a request for a stream of that many tokens that may be resumed.
+// checkRequest returns a request for a resumable stream of that many tokens.
 func checkRequest(ctx context.Context, tokens int) *http.Request {
 	return generationRequest(ctx, "/checks/x", "id", tokens)
 }
@@ -189,8 +189,8 @@
 	return q
 }
 
-// do sends a request and returns its status and body; err is set where the answer
-// ended before its end.
+// do sends a request and returns the answer and its body. err is set if the answer was
+// truncated.
 func (r *rig) do(q *http.Request) (a *response, body string, err error) {
 	w, err := r.link.RoundTrip(q)
 	if err != nil {
@@ -201,23 +201,23 @@
 	return &response{w.Header, w.StatusCode}, string(b), err
 }
 
-// response is an answer that was read to its end.
+// response is the header and status of an answer whose body was read.
 type response struct {
 	Header     http.Header
 	StatusCode int
 }
 
-// stream is a stream as its caller sees it.
-type stream struct {
-	events  int
-	head    http.Header
-	longest time.Duration // between two events
-	whole   bool          // it ended, and not by breaking off
+// receivedStream is a stream as its caller received it.
+type receivedStream struct {
+	events     int
+	header     http.Header
+	longestGap time.Duration // longest time between two events
+	complete   bool          // it was not broken off
 }
 
-// readStream sends a plan and checks that its events are those of one generation, in
-// order and once; each is called with the number of events that have come.
-func (r *rig) readStream(q *http.Request, onEvent func(events int)) (*stream, error) {
+// readStream sends a request for a stream and checks that it has the events of one generation,
+// each once and in order. onEvent is called after each event with the number received so far.
+func (r *rig) readStream(q *http.Request, onEvent func(events int)) (*receivedStream, error) {
 	w, err := r.link.RoundTrip(q)
 	if err != nil {
 		return nil, err
@@ -226,7 +226,7 @@
 	if w.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("status %d", w.StatusCode)
 	}
-	s, last := &stream{head: w.Header}, time.Time{}
+	s, last := &receivedStream{header: w.Header}, time.Time{}
 	skipped, _ := strconv.Atoi(q.Header.Get("Last-Event-Id"))
 	if !strings.HasPrefix(q.URL.Path, "/checks/") {
 		skipped = 0
@@ -243,18 +243,18 @@
 			return s, fmt.Errorf("event %d: got %q, want %q", s.events, data, want)
 		}
 		if !last.IsZero() {
-			s.longest = max(s.longest, time.Since(last))
+			s.longestGap = max(s.longestGap, time.Since(last))
 		}
 		last = time.Now()
 		if onEvent != nil {
 			onEvent(s.events)
 		}
 	}
-	s.whole = x.Err() == nil
+	s.complete = x.Err() == nil
 	return s, nil
 }
 
-// startedRuns returns how often a request was run from its beginning, at all upstreams.
+// startedRuns returns how often a request was run from the beginning, at all upstreams together.
 func (r *rig) startedRuns(id string) int {
 	n := 0
 	for _, e := range r.engines {
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -14,31 +14,19 @@
 	"github.com/linetiller/linetiller/internal/revision"
 )
 
-// What an upstream says of itself with an answer, as metrics name it.
+// Notices that an upstream can give in an answer, as metrics name them.
 const (
-	noticeLeaving      = "leaving"       // it is about to end
-	noticeLimit        = "limit"         // the rate that it accepts from all boxes together
-	noticeLimitInvalid = "limit_invalid" // such a rate that cannot be used
-	noticeBackoff      = "rest"          // it rejected the request and asked this box for back-off
+	noticeLeaving      = "leaving"       // it is about to shut down
+	noticeLimit        = "limit"         // the request rate that it accepts from all boxes together
+	noticeLimitInvalid = "limit_invalid" // a rate limit that cannot be parsed or used
+	noticeBackoff      = "rest"          // it rejected the request and asked this box to back off
 )
 
-// fromAnswer names, in logs, the upstream's own answer as where news of it came from.
+// fromAnswer names an upstream's own answer as the source of a change, in log lines.
 const fromAnswer = "its answer"
 
-// withFirstEventTimeout returns a context that ends where an upstream is silent for too long, until the
-// result is called. It does so only for streams that may be resumed: of others nothing
-// is gained by giving up.
-func (e *exchange) withFirstEventTimeout(ctx context.Context) (context.Context, func()) {
-	if e.route.Spec.Repeat != resource.RepeatResume {
-		return ctx, func() {}
-	}
-	c, cancel := context.WithCancel(ctx)
-	t := time.AfterFunc(firstEventTimeout, cancel)
-	return c, func() { t.Stop() }
-}
-
-// checkAnswer records what an answer says of its upstream, and returns an error where it is not one
-// to pass on.
+// checkAnswer records what an answer says about its upstream, and returns an error if it must not be
+// forwarded.
 func (e *exchange) checkAnswer(u *resource.Upstream, a *Answer) error {
 	x, now := e.relay, time.Now()
 	p := fail.Place{Peer: "upstream " + u.Name, Step: "send"}
@@ -51,15 +39,15 @@
 		x.backoffs.RecordBackoff(u, now.Add(a.Backoff))
 	}
 	if a.NotRun {
-		// One that rejects all is never busy: where it asks for no back-off, its rejections count as
-		// failures, or it would be sent the most.
-		rejectsAll := impliesNotRun(a.Status) && a.Backoff == 0 // and doesn't find fault with the request
+		// An upstream that rejects every request is never busy, so that least-loaded selection would
+		// send it the most. Unless it asks for back-off, its rejections therefore count as failures.
+		rejectsAll := impliesNotRun(a.Status) && a.Backoff == 0 // and not because of a fault in the request
 		x.health.RecordAnswer(u.Name, rejectsAll, a.Load, now)
 		if rejectsAll && u.Engine() != nil {
-			x.backoffs.RecordRefusal(u.Name, now) // its owner holds it for empty
+			x.backoffs.RecordRefusal(u.Name, now) // its owner would take it for idle
 		}
 		event.UpstreamRefused.Log(x.log, "request", e.request.ID, "upstream", u.Name, "status", a.Status, "rest_ms", a.Backoff.Milliseconds())
-		return fail.WithRetryAt(fail.New(fail.NotRun, p, "upstream_refused", "status %d, not run", a.Status), e.retryAt(now))
+		return fail.WithRetryAt(fail.New(fail.NotRun, p, "upstream_refused", "status %d, request not run", a.Status), e.retryAt(now))
 	}
 	e.possibleRuns++
 	e.mayHaveRun = true
@@ -68,13 +56,13 @@
 	x.health.RecordAnswer(u.Name, mismatch || a.Status >= http.StatusInternalServerError, a.Load, now)
 	if mismatch {
 		event.UpstreamMismatch.Log(x.log, "request", e.request.ID, "upstream", u.Name, "status", a.Status)
-		return fail.New(fail.Unknown, p, "answer_crossed", "the answer is not that of the request")
+		return fail.New(fail.Unknown, p, "answer_crossed", "the answer belongs to another request or has no server stamp")
 	}
 	return nil
 }
 
-// logPlaced tells where the request goes, how long that took and by which news it
-// was decided.
+// logPlaced logs to which upstream the request is sent, how long the choice took and
+// on which revisions it was based.
 func (e *exchange) logPlaced(u *resource.Upstream, r *Resume) {
 	v := e.relay.view.Revisions()
 	if e.sends == 1 {
@@ -92,8 +80,8 @@
 	event.RequestPlaced.Log(e.relay.log, l...)
 }
 
-// recordLeaving records a shutdown notice in the answer of an upstream: nothing new may
-// go there, and the answer may be the only word of it for as long as the store is away.
+// recordLeaving records a shutdown notice in the answer of an upstream, so that it gets no
+// new requests. While the store is unavailable, the answer may be the only notice.
 func (e *exchange) recordLeaving(u *resource.Upstream) {
 	x := e.relay
 	x.metrics.Count(metric.UpstreamWords, "word", noticeLeaving)
@@ -102,8 +90,8 @@
 	x.RecordLeaving(u)
 }
 
-// retryAt returns when a caller may come back whom an upstream refused: soon where
-// another one may take it, and else once the first has rested.
+// retryAt returns when a caller that was refused by an upstream may retry: soon if another
+// upstream may accept the request, otherwise when the first back-off ends.
 func (e *exchange) retryAt(now time.Time) time.Time {
 	t := now.Add(refusedRetryDelay)
 	if at := fail.RetryAt(e.relay.backoffs.AllBackingOffError(e.upstreams(), e.servicePlace(), now)); at.After(t) {
@@ -112,8 +100,9 @@
 	return t
 }
 
-// send sends the request to u and returns an answer that may be passed on: its
-// own, and not a refusal to run. It reports whether another upstream may be tried.
+// send sends the request to u, or resumes a run there if r is set. An answer that belongs to
+// another request, or says that the request was not run, is returned as an error. retry reports
+// whether another upstream may be tried.
 func (e *exchange) send(ctx context.Context, u *resource.Upstream, r *Resume) (a *Answer, retry bool, err error) {
 	x := e.relay
 	e.sends++
@@ -134,7 +123,7 @@
 	if err != nil {
 		e.mayHaveRun = true
 		e.possibleRuns++
-		if e.clientCtx.Err() == nil { // or it tells nothing of the upstream
+		if e.clientCtx.Err() == nil { // otherwise the error says nothing about the upstream
 			x.health.RecordAnswer(u.Name, true, nil, now)
 		}
 		if ctx.Err() == nil {
@@ -150,3 +139,15 @@
 	}
 	return a, false, nil
 }
+
+// withFirstEventTimeout returns a context that is cancelled after firstEventTimeout, unless the
+// returned function is called before. It does so only for streams that may be resumed: giving up
+// on others early gains nothing.
+func (e *exchange) withFirstEventTimeout(ctx context.Context) (context.Context, func()) {
+	if e.route.Spec.Repeat != resource.RepeatResume {
+		return ctx, func() {}
+	}
+	c, cancel := context.WithCancel(ctx)
+	t := time.AfterFunc(firstEventTimeout, cancel)
+	return c, func() { t.Stop() }
+}
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -17,39 +17,39 @@
 	"github.com/linetiller/linetiller/internal/sse"
 )
 
-// stream is the answer to one generation, through all upstreams that it runs at.
-// Its fields are used by the goroutine of its exchange alone, but for those that
-// the lock guards.
+// stream is the answer to one generation, across all upstreams that it runs at.
+// Fields that the mutex does not guard are used only by the goroutine of the exchange.
 type stream struct {
 	control    *http.ResponseController
-	ended      chan struct{} // closed with the stream
+	ended      chan struct{} // closed by close
 	exchange   *exchange
-	finished   bool          // the stream reached its own end
-	firstEvent chan struct{} // closed once an event was passed on
+	finished   bool          // the generation ran to completion
+	firstEvent chan struct{} // closed when the first event was forwarded
 	times      meter.Times
 
-	mutex         sync.Mutex  // guards the fields below; those of a move, of lengths and of metrics are taken under it
-	closed        bool        // no move may start any more
-	events        int         // passed on
-	firstEventAt  time.Time   // of the first event passed on
-	reassignments int         // moves and new runs
-	lastEventAt   time.Time   // of the last event passed on
-	move          *move       // under way, or made and not used yet
-	assignment    *assignment // where it runs
+	mutex         sync.Mutex  // guards the fields below; the locks of moves, lengths and metrics may be taken while it is held
+	closed        bool        // no more moves may start
+	events        int         // number of events forwarded
+	firstEventAt  time.Time   // when the first event was forwarded
+	reassignments int         // number of moves and reruns
+	lastEventAt   time.Time   // when the last event was forwarded
+	move          *move       // under way, or finished and not used yet
+	assignment    *assignment // where the generation runs
 }
 
 const (
-	// eventWriteTimeout bounds how long a caller may take to take one event.
+	// eventWriteTimeout bounds the write of one event to the caller.
 	eventWriteTimeout = 10 * time.Second
-	// firstEventTimeout is how long a stream that may be resumed may take to its first event
-	// before it is run elsewhere: 99 in 100 come within 2 s under load.
+	// firstEventTimeout is how long a stream that may be resumed waits for its first event
+	// before it is run elsewhere: 99 % arrive within 2 s under load.
 	firstEventTimeout = 2 * time.Second
-	// nextEventTimeout is the same between two events, which come every 30 to 60 ms: more than
-	// an engine that reads a long prompt takes, and less than the 2 s after which callers leave.
+	// nextEventTimeout is the same between two events, which arrive every 30 to 60 ms. It is longer
+	// than an engine pauses to read a long prompt, and shorter than the 2 s after which callers
+	// disconnect.
 	nextEventTimeout = time.Second
 )
 
-// newStream returns the stream of e that runs at t.
+// newStream returns the stream of e, assigned to t.
 func newStream(e *exchange, t *assignment) *stream {
 	s := &stream{
 		control: http.NewResponseController(e.writer), ended: make(chan struct{}), exchange: e, firstEvent: make(chan struct{}), assignment: t,
@@ -63,14 +63,29 @@
 	return s
 }
 
-// upstream returns the upstream at which the generation runs.
-func (s *stream) upstream() *resource.Upstream {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.assignment.upstream
+// alreadyDelivered reports whether the caller has an event already: an engine that resumes a run which
+// had produced all its events sends the last one again.
+func (s *stream) alreadyDelivered(id string) bool {
+	last, counted := eventNumber(s.exchange.lastEventID)
+	n, ok := eventNumber(id)
+	return counted && ok && n <= last
+}
+
+// checkSequence returns an error if an event's id does not follow that of the last event, or is
+// not a number although that of the last event is. Ids that are not numbers are not checked.
+func (s *stream) checkSequence(id string) error {
+	last, counted := eventNumber(s.exchange.lastEventID)
+	if !counted {
+		return nil
+	}
+	if n, ok := eventNumber(id); ok && n == last+1 {
+		return nil
+	}
+	event.UpstreamMismatch.Log(s.exchange.relay.log, "request", s.exchange.request.ID, "upstream", s.upstream().Name, "event_id", id, "last_id", last)
+	return fail.New(fail.Interrupted, s.upstreamPlace("read stream"), "stream_gap", "event id %q does not follow %d", id, last)
 }
 
-// close ends the stream: what it held is given back.
+// close ends the stream and releases what it holds.
 func (s *stream) close() {
 	x := s.exchange.relay
 	x.mutex.Lock()
@@ -89,7 +104,7 @@
 	}
 }
 
-// currentRun returns the generation as it is now, to be moved; the lock is held.
+// currentRun describes the generation in its current state, for a move; the caller holds the mutex.
 func (s *stream) currentRun() *policy.Run {
 	e := s.exchange
 	w := e.work()
@@ -99,62 +114,28 @@
 	}
 }
 
-// isComplete reports whether a stream that ends now has reached its own end: it has
-// events, unless the caller may have had all of them before, and was not stopped for a
-// move. A stream that is stopped is cut off, so that an end which the answer itself tells is
-// the run's own; without it, an order to stop may come too late, which its answer tells.
-func (s *stream) isComplete(ctx context.Context, a *Answer) bool {
-	s.mutex.Lock()
-	m, events := s.move, s.events
-	s.mutex.Unlock()
-	if events == 0 && s.exchange.lastEventID == "" {
-		return false
-	}
-	if m == nil || a.SelfDelimiting {
-		return true
-	}
-	if m.sourceStopped() {
-		m.wait(ctx)
+// eventTimeout returns how long to wait for the next event. For a stream that may not be resumed
+// that is until the request's deadline: giving up early gains nothing.
+func (s *stream) eventTimeout() time.Duration {
+	e := s.exchange
+	switch {
+	case e.route.Spec.Repeat != resource.RepeatResume:
+		return time.Until(e.deadline)
+	case s.eventsDelivered() == 0:
+		return firstEventTimeout
 	}
-	return !m.sourceStopped()
+	return nextEventTimeout
 }
 
-// eventsDelivered returns how many events were passed on.
+// eventsDelivered returns the number of events forwarded.
 func (s *stream) eventsDelivered() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.events
 }
 
-// checkSequence returns an error where an event is not the one that is next, or has no number
-// while the others have one.
-func (s *stream) checkSequence(id string) error {
-	last, counted := eventNumber(s.exchange.lastEventID)
-	if !counted {
-		return nil
-	}
-	if n, ok := eventNumber(id); ok && n == last+1 {
-		return nil
-	}
-	event.UpstreamMismatch.Log(s.exchange.relay.log, "request", s.exchange.request.ID, "upstream", s.upstream().Name, "event_id", id, "last_id", last)
-	return fail.New(fail.Interrupted, s.upstreamPlace("read stream"), "stream_gap", "event %q came after %d", id, last)
-}
-
-// alreadyDelivered reports whether the caller has an event already: an engine that takes up a run which
-// had made all its events sends the last one again.
-func (s *stream) alreadyDelivered(id string) bool {
-	last, counted := eventNumber(s.exchange.lastEventID)
-	n, ok := eventNumber(id)
-	return counted && ok && n <= last
-}
-
-// tokensDelivered returns how many tokens were passed on; the lock is held.
-func (s *stream) tokensDelivered() int {
-	return s.events * s.tokensPerEvent()
-}
-
-// forward passes the events of one engine's answer on. A nil error means that the
-// stream has reached its own end.
+// forward forwards the events of one engine's answer to the caller. A nil error means that
+// the stream is complete.
 func (s *stream) forward(ctx context.Context, a *Answer) error {
 	hangUp := func() { _ = a.Body.Close() }
 	defer context.AfterFunc(ctx, hangUp)()
@@ -184,7 +165,35 @@
 	}
 }
 
-// recordEvent records that an event was passed on.
+// isComplete reports whether a stream whose answer ends now is complete: it has events,
+// unless the caller may have had all of them before, and the run was not stopped for a move.
+// The answer of a stopped run is cut off, so that the end of a self-delimiting answer is that
+// of the run. For other answers it waits for the move: the order to stop may have come after
+// the run's end, which the response to the order shows.
+func (s *stream) isComplete(ctx context.Context, a *Answer) bool {
+	s.mutex.Lock()
+	m, events := s.move, s.events
+	s.mutex.Unlock()
+	if events == 0 && s.exchange.lastEventID == "" {
+		return false
+	}
+	if m == nil || a.SelfDelimiting {
+		return true
+	}
+	if m.sourceStopped() {
+		m.wait(ctx)
+	}
+	return !m.sourceStopped()
+}
+
+// position returns the number of the last event forwarded, counted from the beginning of the
+// generation, also where the caller resumed it.
+func (s *stream) position() int {
+	n, _ := eventNumber(s.exchange.request.LastEventID)
+	return int(n) + s.eventsDelivered()
+}
+
+// recordEvent records that an event was forwarded.
 func (s *stream) recordEvent(id string) {
 	x, now := s.exchange.relay, time.Now()
 	s.exchange.lastEventID = id
@@ -209,19 +218,8 @@
 	}
 }
 
-func (s *stream) upstreamPlace(step string) fail.Place {
-	return fail.Place{Peer: "upstream " + s.upstream().Name, Step: step}
-}
-
-// position returns the number of the last event passed on, counted from the beginning of the
-// generation.
-func (s *stream) position() int {
-	n, _ := eventNumber(s.exchange.request.LastEventID)
-	return int(n) + s.eventsDelivered()
-}
-
-// run passes the stream on until its end, from one upstream after another. It reports
-// whether another upstream may be tried from the beginning.
+// run forwards the stream to its end, failing over from one upstream to another. retry
+// reports whether another upstream may be tried from the beginning.
 func (s *stream) run(ctx context.Context, a *Answer) (retry bool, err error) {
 	if a.Status != http.StatusOK {
 		return s.exchange.deliver(ctx, a)
@@ -232,7 +230,7 @@
 		if err == nil {
 			s.finished = true
 			s.exchange.recordServed()
-			s.writeHeader(a) // of a stream without an event, whose caller has had all of them
+			s.writeHeader(a) // not written yet if the caller had all events before
 			return false, nil
 		}
 		if ctx.Err() != nil || fail.Reason(err) == reasonCallerGone {
@@ -248,20 +246,12 @@
 	}
 }
 
-// eventTimeout returns how long the next event may be waited for. Of a stream that may not be
-// resumed nothing is gained by giving it up: it ends with its caller's patience.
-func (s *stream) eventTimeout() time.Duration {
-	e := s.exchange
-	switch {
-	case e.route.Spec.Repeat != resource.RepeatResume:
-		return time.Until(e.deadline)
-	case s.eventsDelivered() == 0:
-		return firstEventTimeout
-	}
-	return nextEventTimeout
+// tokensDelivered returns the number of tokens forwarded; the caller holds the mutex.
+func (s *stream) tokensDelivered() int {
+	return s.events * s.tokensPerEvent()
 }
 
-// tokensPerEvent returns how many tokens an event holds; the lock is held.
+// tokensPerEvent returns the number of tokens in an event; the caller holds the mutex.
 func (s *stream) tokensPerEvent() int {
 	if g := s.assignment.upstream.Engine(); g != nil && g.TokensPerEvent > 0 {
 		return g.TokensPerEvent
@@ -269,7 +259,18 @@
 	return 1
 }
 
-// writeEvent passes one event on, after the header where it is the first.
+// upstream returns the upstream at which the generation runs now.
+func (s *stream) upstream() *resource.Upstream {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.assignment.upstream
+}
+
+func (s *stream) upstreamPlace(step string) fail.Place {
+	return fail.Place{Peer: "upstream " + s.upstream().Name, Step: step}
+}
+
+// writeEvent writes one event to the caller, after the answer's header if it is the first.
 func (s *stream) writeEvent(a *Answer, b []byte) error {
 	e := s.exchange
 	_ = s.control.SetWriteDeadline(time.Now().Add(eventWriteTimeout))
@@ -280,7 +281,7 @@
 	return s.control.Flush()
 }
 
-// writeHeader passes the head of an answer on, unless that of one was.
+// writeHeader writes status and header of an answer to the caller, unless that was done before.
 func (s *stream) writeHeader(a *Answer) {
 	e := s.exchange
 	if e.status != 0 {
@@ -291,7 +292,7 @@
 	e.writer.WriteHeader(a.Status)
 }
 
-// eventNumber returns the number that an event's id is, and whether it is one.
+// eventNumber parses an event's id as a non-negative number, and reports whether it is one.
 func eventNumber(id string) (int64, bool) {
 	n, err := strconv.ParseInt(id, 10, 64)
 	return n, err == nil && n >= 0
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -10,8 +10,8 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// TestNoMoveStartsOnceAStreamIsClosed has the engine leave just as the stream closes: a
-// move that started then would leave its copy to nobody.
+// TestNoMoveStartsOnceAStreamIsClosed guards against a move that starts just as its stream is
+// closed: nothing would ever release its copy.
 func TestNoMoveStartsOnceAStreamIsClosed(t *testing.T) {
 	x := New(resource.NewView(), nil, policy.NewLengths(), "a", metric.NewSet(), slog.New(slog.DiscardHandler))
 	e := &exchange{clientCtx: t.Context(), relay: x, request: new(Request), route: new(resource.Route), writer: httptest.NewRecorder()}
