--- a/answer.go
+++ b/answer.go
@@ -54,7 +54,7 @@
 // answerTurn tells a caller that its run's turn has come, and holds the turn until
 // the caller hangs up.
 func (b *Box) answerTurn(ctx context.Context, t *box.MoveSlotRequest, answer func(*box.Reply) error) {
-	release, err := b.turns.Take(ctx, t.Upstream, t.Inbound, &t.Run)
+	release, err := b.turns.Acquire(ctx, t.Upstream, t.Inbound, &t.Run)
 	if err != nil {
 		return
 	}
--- a/ask.go
+++ b/ask.go
@@ -42,7 +42,7 @@
 func (b *Box) takeTurn(ctx context.Context, u *resource.Upstream, arriving bool, r *policy.Run) (func(), error) {
 	o := policy.First(u.Name, b.members.Alive(u.Spec.Hall))
 	if o == b.settings.Box {
-		return b.turns.Take(ctx, u.Name, arriving, r)
+		return b.turns.Acquire(ctx, u.Name, arriving, r)
 	}
 	// The wait ends with ctx; the turn, once it has come, only with its release.
 	call, hangUp := context.WithCancel(context.WithoutCancel(ctx))
--- a/assemble.go
+++ b/assemble.go
@@ -56,10 +56,10 @@
 	b.rests = health.NewBackoffs(b.view)
 
 	b.owners = ownership.New(b.view, b.members, lengths, b.metrics, b.log,
-		ownership.WithCold(ownership.Cold(s.Cold)), ownership.WithMaxQueued(s.Limits.Queued), ownership.WithReportEvery(s.Timeouts.Report.Duration))
-	b.owners.Away = b.follower.Away
-	b.owners.Leaving = func(u *resource.Upstream) { b.announceLeaving(u, "its report") }
-	b.owners.Rests = func(n string) bool { return !b.rests.Until(n, time.Now()).IsZero() }
+		ownership.WithColdStartLimits(ownership.ColdStartLimits(s.Cold)), ownership.WithMaxQueued(s.Limits.Queued), ownership.WithReportInterval(s.Timeouts.Report.Duration))
+	b.owners.PlatformUnavailable = b.follower.Away
+	b.owners.OnLeaving = func(u *resource.Upstream) { b.announceLeaving(u, "its report") }
+	b.owners.BackedOff = func(n string) bool { return !b.rests.Until(n, time.Now()).IsZero() }
 	b.owners.ReadLoad = b.readLoad
 
 	b.reserved = placement.NewReserved(b.view, b.members, lengths, b.metrics, seed)
@@ -129,7 +129,7 @@
 	k.NewWriteID = crand.Text
 	b.orders = order.New(b.view, k, b.metrics, b.log, b.settings.Limits.WeightLoads)
 	b.orders.SendOrder = b.engines.Order
-	b.orders.Owns = b.owners.Mine
+	b.orders.Owns = b.owners.Owns
 	b.orders.ReadLoad = b.engines.Load
 }
 
--- a/internal/delivery/follower.go
+++ b/internal/delivery/follower.go
@@ -18,7 +18,7 @@
 // a cut, a mismatch or a silence, at the token that is next.
 type follower struct {
 	generation string
-	running    *placement.Running
+	running    *placement.Generation
 	session    *session
 	stream     *upstream.Stream
 	upstream   *resource.Upstream
--- a/internal/delivery/relay_test.go
+++ b/internal/delivery/relay_test.go
@@ -48,7 +48,7 @@
 	e := upstream.NewEngines(time.Second, upstream.WithTransport(&recorded{b}))
 	d := New(e, nil, placement.NewTracker(func(*policy.Load) {}), v, m, slog.New(slog.DiscardHandler))
 	d.Place = func(context.Context, *policy.Work, map[string]bool) (*placement.Place, error) {
-		return &placement.Place{Granted: time.Now(), Upstream: v.Upstream("u")}, nil
+		return &placement.Place{GrantedAt: time.Now(), Upstream: v.Upstream("u")}, nil
 	}
 	return d, &Request{Work: policy.Work{Deadline: time.Now().Add(time.Hour), ID: "w", MaxTokens: n, Model: "m"}}
 }
--- a/internal/delivery/rig_test.go
+++ b/internal/delivery/rig_test.go
@@ -87,7 +87,7 @@
 func (r *rig) place(_ context.Context, _ *policy.Work, avoid map[string]bool) (*placement.Place, error) {
 	for _, n := range []string{"engine-1", "engine-2"} {
 		if u := r.view.Upstream(n); !avoid[n] && u != nil && !u.Spec.Leaving {
-			return &placement.Place{Granted: time.Now(), Upstream: u}, nil
+			return &placement.Place{GrantedAt: time.Now(), Upstream: u}, nil
 		}
 	}
 	return nil, fail.New(fail.NotRun, fail.Place{Peer: "upstreams", Step: "choose"}, "no_upstream", "none is left")
--- a/internal/delivery/session.go
+++ b/internal/delivery/session.go
@@ -131,7 +131,7 @@
 	if p.Stale(time.Now()) {
 		return nil, fail.WithRetryAt(fail.New(fail.NotRun, place, "stale_place", "the place was given too long ago"), time.Now())
 	}
-	return &placement.Place{Granted: p.Granted, Upstream: u}, nil
+	return &placement.Place{GrantedAt: p.GrantedAt, Upstream: u}, nil
 }
 
 // end settles the request's key and returns the request's final error.
--- a/internal/ownership/assign.go
+++ b/internal/ownership/assign.go
@@ -7,8 +7,8 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// Mine reports whether an upstream falls to this box, as far as it knows.
-func (o *Owners) Mine(u *resource.Upstream) bool {
+// Owns reports whether an upstream falls to this box, as far as it knows.
+func (o *Owners) Owns(u *resource.Upstream) bool {
 	s := o.members.Self()
 	return policy.First(u.Name, o.members.Alive(u.Spec.Hall)) == s.Name
 }
@@ -18,26 +18,26 @@
 // that their load is known before the first ask.
 func (o *Owners) assign(now time.Time) {
 	boxes, revision := o.members.Version(), o.view.Version()
-	if now.Sub(o.assignedAt) < assignEvery || (boxes == o.assignedBoxes && revision == o.assignedView) {
+	if now.Sub(o.assignedAt) < assignInterval || (boxes == o.assignedMembers && revision == o.assignedView) {
 		return
 	}
 	o.assignedAt = now
-	o.assignedBoxes, o.assignedView = boxes, revision
+	o.assignedMembers, o.assignedView = boxes, revision
 	s := o.members.Self()
 	alive := policy.NewRendezvous(o.members.Alive(s.Hall))
 	for _, u := range o.view.Upstreams(func(u *resource.Upstream) bool {
 		return u.Spec.Type == resource.UpstreamEngine && u.Spec.Hall == s.Hall
 	}) {
 		if alive.First(u.Name) == s.Name {
-			o.get(u.Name)
+			o.getOrCreate(u.Name)
 		}
 	}
 	for _, x := range o.list() {
 		u := o.view.Upstream(x.owner.Upstream)
-		mine := u != nil && o.Mine(u)
+		assigned := u != nil && o.Owns(u)
 		x.mutex.Lock()
-		x.mine = mine
-		x.see(u)
+		x.assigned = assigned
+		x.applyEntry(u)
 		x.mutex.Unlock()
 	}
 }
--- a/internal/ownership/assign_test.go
+++ b/internal/ownership/assign_test.go
@@ -32,8 +32,8 @@
 	o := New(v, m, policy.NewLengths(), metric.NewSet(), slog.New(slog.DiscardHandler))
 	now := time.Now()
 	for b.Loop() {
-		now = now.Add(assignEvery)
-		o.assignedBoxes--
+		now = now.Add(assignInterval)
+		o.assignedMembers--
 		o.assign(now)
 	}
 }
--- a/internal/ownership/cold_test.go
+++ b/internal/ownership/cold_test.go
@@ -27,15 +27,15 @@
 		want int           // generations that start at once
 	}{
 		{"cold, just restarted", 5000, 0, 0},
-		{"cold, restarted a while ago", 5000, startPeriod, 4},
+		{"cold, restarted a while ago", 5000, restartPeriod, 4},
 		{"warm, just restarted", 0, 0, 4},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				v := resource.NewView()
-				put(v, 1, resource.SourceConfiguration, resource.KindService, "llm", `{"coldPerSecond":6,"engine":{"kvTokens":34500,"maxBatch":64}}`, false)
+				applyChange(v, 1, resource.SourceConfiguration, resource.KindService, "llm", `{"coldPerSecond":6,"engine":{"kvTokens":34500,"maxBatch":64}}`, false)
 				o := New(v, member.NewTable(box.Member{Hall: "a", Name: "box-1", State: box.StateServing}), policy.NewLengths(), metric.NewSet(), slog.New(slog.DiscardHandler),
-					WithCold(Cold{Overage: 1, Slack: 2}))
+					WithColdStartLimits(ColdStartLimits{Overage: 1, Slack: 2}))
 				o.ReadLoad = func(context.Context, string) (*upstream.Load, error) { return &upstream.Load{AsOf: time.Now()}, nil }
 				run, stop := context.WithCancel(t.Context())
 				ran := make(chan struct{})
@@ -44,9 +44,9 @@
 					close(ran)
 				}()
 				time.Sleep(x.age)
-				put(v, 1, resource.SourceUpstreams, resource.KindUpstream, "u1",
+				applyChange(v, 1, resource.SourceUpstreams, resource.KindUpstream, "u1",
 					fmt.Sprintf(`{"address":"http://u1","coldMilliseconds":%d,"hall":"a","kvTokens":34500,"maxBatch":64,"models":["llm/m"],"service":"llm","type":"engine"}`, x.cold), false)
-				ctx, cancel := context.WithTimeout(t.Context(), startPeriod-100*time.Millisecond)
+				ctx, cancel := context.WithTimeout(t.Context(), restartPeriod-100*time.Millisecond)
 				defer cancel()
 				started := make(chan string, 20)
 				for i := range 20 {
--- a/internal/ownership/evacuation_test.go
+++ b/internal/ownership/evacuation_test.go
@@ -17,8 +17,8 @@
 	"github.com/linetiller/linetiller/internal/upstream"
 )
 
-// put has a view take in one change.
-func put(v *resource.View, revision int64, s resource.Source, k resource.Kind, name, spec string, deleted bool) {
+// applyChange has a view take in one change.
+func applyChange(v *resource.View, revision int64, s resource.Source, k resource.Kind, name, spec string, deleted bool) {
 	v.Merge(&resource.Batch{Revision: revision, Source: s, Changes: []resource.Change{{
 		Deleted: deleted, Revision: revision, Resource: &resource.Resource{Kind: k, Metadata: resource.Metadata{Name: name}, Spec: json.RawMessage(spec)},
 	}}})
@@ -30,7 +30,7 @@
 func TestWhatWaitsGoesElsewhereAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := resource.NewView()
-		put(v, 1, resource.SourceUpstreams, resource.KindUpstream, "u1", `{"address":"http://u1","hall":"a","models":["m"],"kvTokens":4000,"maxBatch":8,"type":"engine"}`, false)
+		applyChange(v, 1, resource.SourceUpstreams, resource.KindUpstream, "u1", `{"address":"http://u1","hall":"a","models":["m"],"kvTokens":4000,"maxBatch":8,"type":"engine"}`, false)
 		o := New(v, member.NewTable(box.Member{Hall: "a", Name: "box-1", State: box.StateServing}), policy.NewLengths(), metric.NewSet(), slog.New(slog.DiscardHandler))
 		o.ReadLoad = func(context.Context, string) (*upstream.Load, error) { return &upstream.Load{AsOf: time.Now()}, nil }
 		ctx, cancel := context.WithCancel(t.Context())
@@ -52,22 +52,22 @@
 		if a := <-ask("first"); a.Verdict != policy.VerdictStart {
 			t.Fatalf("the first: got %+v, want a place", a)
 		}
-		waits := ask("waits")
-		if a := <-waits; a.Verdict != policy.VerdictQueue {
+		queued := ask("waits")
+		if a := <-queued; a.Verdict != policy.VerdictQueue {
 			t.Fatalf("the second: got %+v, want a place in the queue", a)
 		}
-		put(v, 2, resource.SourceEvacuations, resource.KindEvacuation, "e", `{"hall":"a"}`, false)
+		applyChange(v, 2, resource.SourceEvacuations, resource.KindEvacuation, "e", `{"hall":"a"}`, false)
 		began := time.Now()
-		if a := <-waits; a.Reason != policy.ReasonEvacuated || !a.RetryAt.After(began) {
+		if a := <-queued; a.Reason != policy.ReasonEvacuated || !a.RetryAt.After(began) {
 			t.Errorf("what waits: got %+v, want a refusal with a time to come back", a)
 		}
-		if got, most := time.Since(began), assignEvery+2*tickEvery; got > most {
+		if got, most := time.Since(began), assignInterval+2*tickInterval; got > most {
 			t.Errorf("what waits: got its answer after %v, want at most %v", got, most)
 		}
 		if a := <-ask("new"); a.Reason != policy.ReasonEvacuated {
 			t.Errorf("new work: got %+v, want a refusal", a)
 		}
-		put(v, 3, resource.SourceEvacuations, resource.KindEvacuation, "e", `{"hall":"a"}`, true)
+		applyChange(v, 3, resource.SourceEvacuations, resource.KindEvacuation, "e", `{"hall":"a"}`, true)
 		time.Sleep(time.Second)
 		o.Update(&box.ProgressReport{Upstream: "u1", Items: []box.GenerationProgress{{Released: true, ID: "first"}}})
 		if a := <-ask("back"); a.Verdict != policy.VerdictStart {
@@ -87,7 +87,7 @@
 func TestOwnerGoesByItsViewAsItIsAsked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := resource.NewView()
-		put(v, 1, resource.SourceUpstreams, resource.KindUpstream, "u1", `{"address":"http://u1","hall":"a","models":["m"],"kvTokens":4000,"maxBatch":8,"type":"engine"}`, false)
+		applyChange(v, 1, resource.SourceUpstreams, resource.KindUpstream, "u1", `{"address":"http://u1","hall":"a","models":["m"],"kvTokens":4000,"maxBatch":8,"type":"engine"}`, false)
 		o := New(v, member.NewTable(box.Member{Hall: "a", Name: "box-1", State: box.StateServing}), policy.NewLengths(), metric.NewSet(), slog.New(slog.DiscardHandler))
 		ask := func(id string) policy.Answer {
 			var a policy.Answer
@@ -104,11 +104,11 @@
 		if a := ask("before"); a.Reason == policy.ReasonEvacuated {
 			t.Fatalf("before: got %+v, want no word of an evacuation", a)
 		}
-		put(v, 2, resource.SourceEvacuations, resource.KindEvacuation, "e", `{"hall":"a"}`, false)
+		applyChange(v, 2, resource.SourceEvacuations, resource.KindEvacuation, "e", `{"hall":"a"}`, false)
 		if a := ask("evacuated"); a.Reason != policy.ReasonEvacuated {
 			t.Errorf("evacuated: got %+v, want a refusal", a)
 		}
-		put(v, 3, resource.SourceEvacuations, resource.KindEvacuation, "e", `{"hall":"a"}`, true)
+		applyChange(v, 3, resource.SourceEvacuations, resource.KindEvacuation, "e", `{"hall":"a"}`, true)
 		if a := ask("taken back"); a.Reason == policy.ReasonEvacuated {
 			t.Errorf("taken back: got %+v, want no word of an evacuation", a)
 		}
--- a/internal/ownership/owned.go
+++ b/internal/ownership/owned.go
@@ -9,42 +9,42 @@
 	"github.com/linetiller/linetiller/internal/upstream"
 )
 
-// owned is one upstream owned by this box.
-type owned struct {
-	mutex      sync.Mutex
-	failures   int // reads of the load report that failed in a row
-	instance   string
-	mine       bool // the upstream falls to this box
-	owner      *policy.Owner
-	reportedAt time.Time // when the report was read last
-	reporting  bool
-	waiters    map[string]chan policy.Answer
+// ownedUpstream is one upstream owned by this box.
+type ownedUpstream struct {
+	mutex          sync.Mutex
+	reportFailures int // reads of the load report that failed in a row
+	instance       string
+	assigned       bool // the upstream falls to this box
+	owner          *policy.Owner
+	reportReadAt   time.Time // when the report was read last
+	readingReport  bool
+	waiters        map[string]chan policy.Answer
 }
 
-// dueReport reports whether the upstream's report is to be read now, and notes that it
+// beginReport reports whether the upstream's report is to be read now, and notes that it
 // is being read.
-func (x *owned) dueReport(now time.Time, every time.Duration) bool {
+func (x *ownedUpstream) beginReport(now time.Time, interval time.Duration) bool {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	if x.reporting || now.Sub(x.reportedAt) < every {
+	if x.readingReport || now.Sub(x.reportReadAt) < interval {
 		return false
 	}
-	x.reporting = true
-	x.reportedAt = now
+	x.readingReport = true
+	x.reportReadAt = now
 	return true
 }
 
-// evacuate takes in whether the upstream's hall is evacuated, and has what waits go
+// setEvacuated takes in whether the upstream's hall is evacuated, and has what waits go
 // elsewhere at once; the lock is held.
-func (x *owned) evacuate(evacuated bool) {
+func (x *ownedUpstream) setEvacuated(evacuated bool) {
 	x.owner.Evacuated = evacuated
 	if evacuated {
-		x.flush(policy.ReasonEvacuated)
+		x.refuseWaiting(policy.ReasonEvacuated)
 	}
 }
 
-// flush refuses all that waits; the lock is held.
-func (x *owned) flush(r policy.Reason) {
+// refuseWaiting refuses all that waits; the lock is held.
+func (x *ownedUpstream) refuseWaiting(r policy.Reason) {
 	for id, c := range x.waiters {
 		now := time.Now()
 		x.owner.Cancel(id, now)
@@ -54,29 +54,29 @@
 }
 
 // idle reports whether a tick would change nothing.
-func (x *owned) idle() bool {
+func (x *ownedUpstream) idle() bool {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	return x.mine && x.owner.Running() == 0 && len(x.waiters) == 0
+	return x.assigned && x.owner.Running() == 0 && len(x.waiters) == 0
 }
 
 // load returns the upstream's load as it is now.
-func (x *owned) load() policy.Load {
+func (x *ownedUpstream) load() policy.Load {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	return x.owner.Load(time.Now())
 }
 
-// missed counts a report that could not be read, and returns how many in a row that is.
-func (x *owned) missed() int {
+// reportFailed counts a report that could not be read, and returns how many in a row that is.
+func (x *ownedUpstream) reportFailed() int {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	x.failures++
-	return x.failures
+	x.reportFailures++
+	return x.reportFailures
 }
 
-// next hands out places to those who wait; the lock is held.
-func (x *owned) next(now time.Time) {
+// grantNext hands out places to those who wait; the lock is held.
+func (x *ownedUpstream) grantNext(now time.Time) {
 	for _, a := range x.owner.Dispatch(now) {
 		if c := x.waiters[a.ID]; c != nil {
 			delete(x.waiters, a.ID)
@@ -85,31 +85,31 @@
 	}
 }
 
-// reported notes that a report is no longer being read.
-func (x *owned) reported() {
+// endReport notes that a report is no longer being read.
+func (x *ownedUpstream) endReport() {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	x.reporting = false
+	x.readingReport = false
 }
 
-// see takes in what the box's view says of the upstream, nil where it is not known any more;
+// applyEntry takes in what the box's view says of the upstream, nil where it is not known any more;
 // the lock is held.
-func (x *owned) see(u *resource.Upstream) {
+func (x *ownedUpstream) applyEntry(u *resource.Upstream) {
 	if u != nil {
 		x.owner.StartedAtMS, x.owner.LeavingReported = u.Spec.Born, u.ReportedLeaving
 	}
 	x.owner.Leaving = x.owner.Leaving || (u != nil && u.IsLeaving())
-	x.evacuate(u != nil && u.Evacuated())
+	x.setEvacuated(u != nil && u.Evacuated())
 }
 
-// take takes in a report; leaving tells that the upstream is known to leave, and told that it
+// applyReport takes in a report; leaving tells that the upstream is known to leave, and told that it
 // said so itself.
-func (x *owned) take(l *upstream.Load, leaving, told bool) {
+func (x *ownedUpstream) applyReport(l *upstream.Load, leaving, selfReported bool) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	x.failures = 0
+	x.reportFailures = 0
 	x.owner.Leaving = leaving || l.Leaving
-	x.owner.LeavingReported = told
+	x.owner.LeavingReported = selfReported
 	if x.instance != "" && x.instance != l.Instance {
 		x.owner.HandleRestart()
 	}
--- a/internal/ownership/owned_test.go
+++ b/internal/ownership/owned_test.go
@@ -8,21 +8,21 @@
 // TestReportIsDueSoonOnceTheStoreIsAway checks that a report which was read a moment ago
 // is due again after the shorter time at which reports are read from then on.
 func TestReportIsDueSoonOnceTheStoreIsAway(t *testing.T) {
-	x, now := new(owned), time.Now()
-	if !x.dueReport(now, time.Second) {
+	x, now := new(ownedUpstream), time.Now()
+	if !x.beginReport(now, time.Second) {
 		t.Fatal("the first report: got not due, want due")
 	}
-	x.reported()
+	x.endReport()
 	for _, c := range []struct {
 		after, every time.Duration
 		want         bool
-	}{{200 * time.Millisecond, time.Second, false}, {200 * time.Millisecond, awayReportEvery, true}, {300 * time.Millisecond, awayReportEvery, false}} {
-		got := x.dueReport(now.Add(c.after), c.every)
+	}{{200 * time.Millisecond, time.Second, false}, {200 * time.Millisecond, outageReportInterval, true}, {300 * time.Millisecond, outageReportInterval, false}} {
+		got := x.beginReport(now.Add(c.after), c.every)
 		if got != c.want {
 			t.Errorf("%v after the first, one each %v: got due %v, want %v", c.after, c.every, got, c.want)
 		}
 		if got {
-			x.reported()
+			x.endReport()
 		}
 	}
 }
--- a/internal/ownership/reports.go
+++ b/internal/ownership/reports.go
@@ -10,34 +10,34 @@
 )
 
 // readReport reads the load report of an upstream and takes it in.
-func (o *Owners) readReport(ctx context.Context, x *owned) {
-	defer x.reported()
+func (o *Owners) readReport(ctx context.Context, x *ownedUpstream) {
+	defer x.endReport()
 	u := o.view.Upstream(x.owner.Upstream)
-	if u == nil || (o.Rests != nil && o.Rests(u.Name)) {
+	if u == nil || (o.BackedOff != nil && o.BackedOff(u.Name)) {
 		return
 	}
-	r, cancel := context.WithTimeout(ctx, o.report)
+	r, cancel := context.WithTimeout(ctx, o.reportInterval)
 	defer cancel()
 	l, err := o.ReadLoad(r, u.Spec.Address)
-	tells := err == nil && l.Leaving && l.Role != upstream.RoleLeaving // of its own, and not by an order, which may be taken back
-	if tells && o.Leaving != nil {
-		o.Leaving(u)
+	selfReported := err == nil && l.Leaving && l.Role != upstream.RoleLeaving // of its own, and not by an order, which may be taken back
+	if selfReported && o.OnLeaving != nil {
+		o.OnLeaving(u)
 	}
 	if err != nil {
-		if x.missed() == 1 && ctx.Err() == nil {
+		if x.reportFailed() == 1 && ctx.Err() == nil {
 			event.ReportMissing.Log(o.log, "upstream", u.Name, "error", err.Error())
 		}
 		o.metrics.Add(metric.UpstreamReports, 1)
 		return
 	}
-	x.take(l, u.IsLeaving(), u.ReportedLeaving || tells)
+	x.applyReport(l, u.IsLeaving(), u.ReportedLeaving || selfReported)
 }
 
-// reportEvery returns how often reports are read: more often while the platform's
+// currentReportInterval returns how often reports are read: more often while the platform's
 // list cannot be had, since they are then the only word of an upstream's leaving.
-func (o *Owners) reportEvery() time.Duration {
-	if o.Away != nil && o.Away() {
-		return min(o.report, awayReportEvery)
+func (o *Owners) currentReportInterval() time.Duration {
+	if o.PlatformUnavailable != nil && o.PlatformUnavailable() {
+		return min(o.reportInterval, outageReportInterval)
 	}
-	return o.report
+	return o.reportInterval
 }
--- a/internal/ownership/turns.go
+++ b/internal/ownership/turns.go
@@ -9,64 +9,64 @@
 	"github.com/linetiller/linetiller/internal/policy"
 )
 
-// Turns gives, for each upstream, one run at a time the turn to be moved away and
+// MoveTurns gives, for each upstream, one run at a time the turn to be moved away and
 // one the turn to arrive, so that the short copy of a run that stands still does not
 // wait behind another run's long one on a link. The zero value is ready. It is safe
 // for concurrent use.
-type Turns struct {
+type MoveTurns struct {
 	mutex  sync.Mutex
-	queues map[string]*queue // by upstream and kind of turn
+	queues map[string]*turnQueue // by upstream and kind of turn
 }
 
-// queue is what waits for the turns at one upstream of one kind. The lock of Turns
+// turnQueue is what waits for the turns at one upstream of one kind. The lock of Turns
 // guards it.
-type queue struct {
-	taken   bool // a run has the turn
-	waiting []*turn
+type turnQueue struct {
+	held    bool // a run has the turn
+	waiting []*waiter
 }
 
-// turn is a run that waits for its turn.
-type turn struct {
-	come chan struct{} // closed when the turn has come
-	run  *policy.Run
+// waiter is a run that waits for its turn.
+type waiter struct {
+	granted chan struct{} // closed when the turn has come
+	run     *policy.Run
 }
 
-// arrivingSuffix parts the turns to arrive at an upstream from those to leave it.
-const arrivingSuffix = "/arriving"
+// incomingSuffix parts the turns to arrive at an upstream from those to leave it.
+const incomingSuffix = "/arriving"
 
-// stepAssumed is the time between tokens by which it is judged how long a run
+// assumedStep is the time between tokens by which it is judged how long a run
 // lasts; steps of 7 to 15 ms were seen.
-const stepAssumed = 10 * time.Millisecond
+const assumedStep = 10 * time.Millisecond
 
-// Take waits for a run's turn; release gives it back.
-func (t *Turns) Take(ctx context.Context, upstream string, arriving bool, r *policy.Run) (release func(), err error) {
-	if arriving {
-		upstream += arrivingSuffix
+// Acquire waits for a run's turn; release gives it back.
+func (t *MoveTurns) Acquire(ctx context.Context, upstream string, incoming bool, r *policy.Run) (release func(), err error) {
+	if incoming {
+		upstream += incomingSuffix
 	}
-	w := &turn{come: make(chan struct{}), run: r}
+	w := &waiter{granted: make(chan struct{}), run: r}
 	t.mutex.Lock()
 	if t.queues == nil {
-		t.queues = make(map[string]*queue)
+		t.queues = make(map[string]*turnQueue)
 	}
 	q := t.queues[upstream]
 	if q == nil {
-		q = new(queue)
+		q = new(turnQueue)
 		t.queues[upstream] = q
 	}
 	q.waiting = append(q.waiting, w)
 	t.next(upstream, q)
 	t.mutex.Unlock()
-	release = sync.OnceFunc(func() { t.giveBack(upstream, q) })
+	release = sync.OnceFunc(func() { t.release(upstream, q) })
 	select {
-	case <-w.come:
+	case <-w.granted:
 		return release, nil
 	case <-ctx.Done():
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	select {
-	case <-w.come:
-		q.taken = false
+	case <-w.granted:
+		q.held = false
 	default:
 		q.remove(w)
 	}
@@ -74,17 +74,17 @@
 	return nil, ctx.Err()
 }
 
-// giveBack ends the turn of the run that has it.
-func (t *Turns) giveBack(upstream string, q *queue) {
+// release ends the turn of the run that has it.
+func (t *MoveTurns) release(upstream string, q *turnQueue) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	q.taken = false
+	q.held = false
 	t.next(upstream, q)
 }
 
 // next gives the turn to the first of those that wait; the lock is held.
-func (t *Turns) next(upstream string, q *queue) {
-	if q.taken {
+func (t *MoveTurns) next(upstream string, q *turnQueue) {
+	if q.held {
 		return
 	}
 	if len(q.waiting) == 0 {
@@ -93,16 +93,16 @@
 	}
 	first := q.waiting[0]
 	for _, w := range q.waiting[1:] {
-		if policy.CompareRuns(w.run, first.run, stepAssumed) < 0 {
+		if policy.CompareRuns(w.run, first.run, assumedStep) < 0 {
 			first = w
 		}
 	}
 	q.remove(first)
-	q.taken = true
-	close(first.come)
+	q.held = true
+	close(first.granted)
 }
 
 // remove takes a run out of those that wait.
-func (q *queue) remove(w *turn) {
-	q.waiting = slices.DeleteFunc(q.waiting, func(x *turn) bool { return x == w })
+func (q *turnQueue) remove(w *waiter) {
+	q.waiting = slices.DeleteFunc(q.waiting, func(x *waiter) bool { return x == w })
 }
--- a/internal/ownership/turns_test.go
+++ b/internal/ownership/turns_test.go
@@ -15,8 +15,8 @@
 // first, then those with most left.
 func TestTurnsGoOneByOneInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var turns Turns
-		release, err := turns.Take(t.Context(), "u", false, &policy.Run{ID: "holder"})
+		var turns MoveTurns
+		release, err := turns.Acquire(t.Context(), "u", false, &policy.Run{ID: "holder"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -29,7 +29,7 @@
 			{ID: "less-urgent", Priority: 8, Left: 900, Tokens: 10},
 		} {
 			go func() {
-				release, err := turns.Take(t.Context(), "u", false, &r)
+				release, err := turns.Acquire(t.Context(), "u", false, &r)
 				if err != nil {
 					t.Error(err)
 					return
@@ -43,7 +43,7 @@
 		if len(got) != 0 {
 			t.Errorf("turns while one is taken: got %d, want none", len(got))
 		}
-		other, err := turns.Take(t.Context(), "u", true, &policy.Run{ID: "arrives"})
+		other, err := turns.Acquire(t.Context(), "u", true, &policy.Run{ID: "arrives"})
 		if err != nil {
 			t.Errorf("the turn to arrive: got %v, want it beside that to leave", err)
 		}
@@ -62,12 +62,12 @@
 // comes: the turn goes on to the next.
 func TestTurnsPassThoseWhoGiveUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var turns Turns
-		release, _ := turns.Take(t.Context(), "u", false, &policy.Run{ID: "holder"})
+		var turns MoveTurns
+		release, _ := turns.Acquire(t.Context(), "u", false, &policy.Run{ID: "holder"})
 		ctx, cancel := context.WithCancel(t.Context())
 		for i := range 3 {
 			go func() {
-				if _, err := turns.Take(ctx, "u", false, &policy.Run{ID: fmt.Sprint(i), Priority: 9}); err == nil {
+				if _, err := turns.Acquire(ctx, "u", false, &policy.Run{ID: fmt.Sprint(i), Priority: 9}); err == nil {
 					t.Error("a turn for who had given up")
 				}
 			}()
@@ -77,7 +77,7 @@
 		synctest.Wait()
 		release()
 		release()
-		last, err := turns.Take(t.Context(), "u", false, &policy.Run{ID: "last"})
+		last, err := turns.Acquire(t.Context(), "u", false, &policy.Run{ID: "last"})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -10,10 +10,10 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// candidates lists the upstreams that may get new work, by model and hall. A list is
+// candidateCache lists the upstreams that may get new work, by model and hall. A list is
 // made once after each change, since it is asked for with every request and a model
 // may run on thousands of engines. It is safe for concurrent use.
-type candidates struct {
+type candidateCache struct {
 	lists   map[candidateKey]*candidateList
 	members *member.Table
 	mutex   sync.Mutex // guards lists
@@ -31,44 +31,44 @@
 }
 
 const (
-	// candidatesLife bounds the age of a list where nothing changes: an upstream whose
+	// candidatesTTL bounds the age of a list where nothing changes: an upstream whose
 	// entry lapsed ends its time without a change.
-	candidatesLife = 100 * time.Millisecond
-	maxLists       = 256 // callers name models; unknown names must not fill the memory
-	// otherHallDelay is how many seconds of backlog another hall counts for: a cut between
+	candidatesTTL     = 100 * time.Millisecond
+	maxCandidateLists = 256 // callers name models; unknown names must not fill the memory
+	// crossHallPenalty is how many seconds of backlog another hall counts for: a cut between
 	// halls ends its streams, and copies to and from there take twice as long.
-	otherHallDelay = 5
+	crossHallPenalty = 5
 )
 
-// newCandidates returns no lists yet; they are made when asked for.
-func newCandidates(v *resource.View, m *member.Table) *candidates {
-	return &candidates{lists: make(map[candidateKey]*candidateList), members: m, view: v}
+// newCandidateCache returns no lists yet; they are made when asked for.
+func newCandidateCache(v *resource.View, m *member.Table) *candidateCache {
+	return &candidateCache{lists: make(map[candidateKey]*candidateList), members: m, view: v}
 }
 
-// list makes a list.
-func (c *candidates) list(k candidateKey, now time.Time) []policy.Candidate {
+// build makes a list.
+func (c *candidateCache) build(k candidateKey, now time.Time) []policy.Candidate {
 	all := c.view.UpstreamsOfModel(k.model)
-	reachable := c.reachable()
+	reachable := c.reachableHalls()
 	l := make([]policy.Candidate, 0, len(all))
 	for _, u := range all {
 		if u.AcceptsWork(now) && reachable[u.Spec.Hall] {
-			l = append(l, candidateOf(u, k.hall))
+			l = append(l, newCandidate(u, k.hall))
 		}
 	}
 	return l
 }
 
-// of returns the upstreams that run w's model, may get new work, and have a box in
+// get returns the upstreams that run w's model, may get new work, and have a box in
 // their hall that could own them. Callers must not change the list.
-func (c *candidates) of(w *policy.Work, now time.Time) []policy.Candidate {
+func (c *candidateCache) get(w *policy.Work, now time.Time) []policy.Candidate {
 	k := candidateKey{hall: cmp.Or(w.Hall, c.members.Self().Hall), model: w.Model}
 	boxes, view := c.members.Version(), c.view.Version()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	l := c.lists[k]
 	if l == nil || l.boxes != boxes || l.view != view || !now.Before(l.expires) {
-		l = &candidateList{boxes: boxes, entries: c.list(k, now), expires: now.Add(candidatesLife), view: view}
-		if len(c.lists) >= maxLists {
+		l = &candidateList{boxes: boxes, entries: c.build(k, now), expires: now.Add(candidatesTTL), view: view}
+		if len(c.lists) >= maxCandidateLists {
 			clear(c.lists)
 		}
 		c.lists[k] = l
@@ -76,8 +76,8 @@
 	return l.entries
 }
 
-// reachable returns the halls that have a box which could own upstreams.
-func (c *candidates) reachable() map[string]bool {
+// reachableHalls returns the halls that have a box which could own upstreams.
+func (c *candidateCache) reachableHalls() map[string]bool {
 	m := make(map[string]bool)
 	for _, h := range c.members.Halls() {
 		m[h] = len(c.members.Alive(h)) > 0
@@ -85,14 +85,14 @@
 	return m
 }
 
-// candidateOf returns an upstream as a candidate for work of a hall.
-func candidateOf(u *resource.Upstream, hall string) policy.Candidate {
+// newCandidate returns an upstream as a candidate for work of a hall.
+func newCandidate(u *resource.Upstream, hall string) policy.Candidate {
 	x := policy.Candidate{Capacity: policy.Capacity{KVTokens: u.Spec.KVTokens, MaxBatch: u.Spec.MaxBatch}, Name: u.Name}
 	if g := u.Engine(); g != nil && g.Migrates {
 		x.Capacity.CopyTimePerToken = g.CopyTime(1)
 	}
 	if u.Spec.Hall != hall {
-		x.Penalty = otherHallDelay
+		x.Penalty = crossHallPenalty
 	}
 	return x
 }
--- a/internal/placement/candidates_test.go
+++ b/internal/placement/candidates_test.go
@@ -21,18 +21,18 @@
 	m.ApplyList(l, time.Now())
 	v := resource.NewView()
 	for i := range n {
-		putEngine(v, i, int64(i+1), "")
+		declareEngine(v, i, int64(i+1), "")
 	}
 	return v, m
 }
 
-// putEngine declares an engine, with more of its spec.
-func putEngine(v *resource.View, i int, revision int64, more string) {
-	s := fmt.Sprintf(`{"address":"http://10.0.0.1:%d","hall":"h%d","kvTokens":60000,"maxBatch":100,"models":["m"],"type":"engine"%s}`, i, i%3, more)
+// declareEngine declares an engine, with more of its spec.
+func declareEngine(v *resource.View, i int, revision int64, extra string) {
+	s := fmt.Sprintf(`{"address":"http://10.0.0.1:%d","hall":"h%d","kvTokens":60000,"maxBatch":100,"models":["m"],"type":"engine"%s}`, i, i%3, extra)
 	v.Apply([]resource.Change{{Revision: revision, Resource: &resource.Resource{Kind: resource.KindUpstream, Metadata: resource.Metadata{Name: fmt.Sprint("engine-", i)}, Spec: []byte(s)}}}, revision)
 }
 
-func names(l []policy.Candidate) map[string]bool {
+func candidateNames(l []policy.Candidate) map[string]bool {
 	m := make(map[string]bool)
 	for _, x := range l {
 		m[x.Name] = true
@@ -44,26 +44,26 @@
 // once an engine leaves, its entry has lapsed for long, or a hall has no box left.
 func TestCandidatesFollowChanges(t *testing.T) {
 	v, m := testView(6, 3)
-	c := newCandidates(v, m)
+	c := newCandidateCache(v, m)
 	w := &policy.Work{Model: "m"}
 	now := time.Now()
-	if got, want := len(c.of(w, now)), 6; got != want {
+	if got, want := len(c.get(w, now)), 6; got != want {
 		t.Fatalf("candidates: got %d, want %d", got, want)
 	}
-	putEngine(v, 1, 100, `,"leaving":true`)
-	if got := names(c.of(w, now)); got["engine-1"] || len(got) != 5 {
+	declareEngine(v, 1, 100, `,"leaving":true`)
+	if got := candidateNames(c.get(w, now)); got["engine-1"] || len(got) != 5 {
 		t.Errorf("an engine leaves: got %v, want all but engine-1", got)
 	}
-	putEngine(v, 3, 101, `,"lapsed":true`)
-	if got := names(c.of(w, time.Now())); !got["engine-3"] {
+	declareEngine(v, 3, 101, `,"lapsed":true`)
+	if got := candidateNames(c.get(w, time.Now())); !got["engine-3"] {
 		t.Errorf("its entry has just lapsed: got %v, want engine-3 among them", got)
 	}
-	if got := names(c.of(w, time.Now().Add(resource.LapseGracePeriod+time.Second))); got["engine-3"] {
+	if got := candidateNames(c.get(w, time.Now().Add(resource.LapseGracePeriod+time.Second))); got["engine-3"] {
 		t.Errorf("its entry has lapsed for long: got %v, want it not among them", got)
 	}
 	began := time.Now()
 	m.RecordFailure("box-2", began, began.Add(time.Second))
-	if got := names(c.of(w, now)); got["engine-2"] || got["engine-5"] {
+	if got := candidateNames(c.get(w, now)); got["engine-2"] || got["engine-5"] {
 		t.Errorf("no box is left in h2: got %v, want none of its engines", got)
 	}
 }
@@ -71,16 +71,16 @@
 // TestCandidatesKnowTheirHall checks what a candidate tells of the way to it.
 func TestCandidatesKnowTheirHall(t *testing.T) {
 	v, m := testView(4, 3)
-	c := newCandidates(v, m)
-	for hall, near := range map[string]int{"": 2, "h0": 2, "h1": 1} {
+	c := newCandidateCache(v, m)
+	for hall, sameHall := range map[string]int{"": 2, "h0": 2, "h1": 1} {
 		got := 0
-		for _, x := range c.of(&policy.Work{Hall: hall, Model: "m"}, time.Now()) {
+		for _, x := range c.get(&policy.Work{Hall: hall, Model: "m"}, time.Now()) {
 			if x.Penalty == 0 {
 				got++
 			}
 		}
-		if got != near {
-			t.Errorf("from hall %q: got %d near, want %d", hall, got, near)
+		if got != sameHall {
+			t.Errorf("from hall %q: got %d near, want %d", hall, got, sameHall)
 		}
 	}
 }
--- a/internal/placement/naive.go
+++ b/internal/placement/naive.go
@@ -17,16 +17,16 @@
 	// ReadLoad reads an upstream's load report; a seam.
 	ReadLoad func(ctx context.Context, address string) (*upstream.Load, error)
 
-	every  time.Duration
-	mutex  sync.Mutex // guards policy
-	policy *policy.Naive
-	view   *resource.View
+	interval time.Duration
+	mutex    sync.Mutex // guards policy
+	policy   *policy.Naive
+	view     *resource.View
 }
 
 // NewNaive returns the baseline over the upstreams in v, which reads every
 // upstream's report that often.
-func NewNaive(v *resource.View, every time.Duration, seed uint64) *Naive {
-	return &Naive{every: every, policy: policy.NewNaive(seed), view: v}
+func NewNaive(v *resource.View, interval time.Duration, seed uint64) *Naive {
+	return &Naive{interval: interval, policy: policy.NewNaive(seed), view: v}
 }
 
 // Place returns an upstream that is not among those to avoid.
@@ -46,7 +46,7 @@
 		return nil, fail.New(fail.NotRun, fail.Place{Peer: "upstreams", Step: "choose"},
 			string(policy.ReasonNoUpstream), "no upstream takes new work for model %q", w.Model)
 	}
-	return &Place{Granted: time.Now(), Upstream: u}, nil
+	return &Place{GrantedAt: time.Now(), Upstream: u}, nil
 }
 
 // Run reads reports until the context ends.
@@ -63,7 +63,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(p.every):
+		case <-time.After(p.interval):
 		}
 	}
 }
--- a/internal/placement/reserved.go
+++ b/internal/placement/reserved.go
@@ -26,7 +26,7 @@
 	// Call asks another box; a seam.
 	Call func(ctx context.Context, owner string, a *box.PlacementRequest, answer func(*box.Reply) error) error
 
-	candidates *candidates
+	candidates *candidateCache
 	loadAge    *metrics.Histogram
 	members    *member.Table
 	metrics    *metric.Set
@@ -36,12 +36,12 @@
 	view       *resource.View
 }
 
-// rerouteEvery is the time between looks for a better upstream while work waits at one.
-const rerouteEvery = time.Second
+// rerouteInterval is the time between looks for a better upstream while work waits at one.
+const rerouteInterval = time.Second
 
 // NewReserved returns a placement over the upstreams in v.
 func NewReserved(v *resource.View, m *member.Table, l *policy.Lengths, s *metric.Set, seed uint64) *Reserved {
-	return &Reserved{candidates: newCandidates(v, m), loadAge: s.Histogram(metric.LoadAge), members: m, metrics: s, prompts: policy.NewPrompts(), router: policy.NewRouter(l, seed), view: v}
+	return &Reserved{candidates: newCandidateCache(v, m), loadAge: s.Histogram(metric.LoadAge), members: m, metrics: s, prompts: policy.NewPrompts(), router: policy.NewRouter(l, seed), view: v}
 }
 
 // Guess returns the upstream that seems best for w without asking its owner, or
@@ -50,8 +50,8 @@
 	return p.view.Upstream(p.route(w, avoid))
 }
 
-// Learn takes in a load that an owner told.
-func (p *Reserved) Learn(l *policy.Load) {
+// RecordLoad takes in a load that an owner told.
+func (p *Reserved) RecordLoad(l *policy.Load) {
 	if l == nil {
 		return
 	}
@@ -63,10 +63,10 @@
 // Place returns a place for w at an upstream that is not among those to avoid.
 // Its errors are of type fail.NotRun: nothing was sent anywhere.
 func (p *Reserved) Place(ctx context.Context, w *policy.Work, avoid map[string]bool) (*Place, error) {
-	ctx, cancel := context.WithDeadline(ctx, waitUntil(w))
+	ctx, cancel := context.WithDeadline(ctx, waitDeadline(w))
 	defer cancel()
 	if !w.Moved {
-		w.Large = p.large(w)
+		w.Large = p.observePrompt(w)
 	}
 	s := &search{placement: p, queued: make(map[string]bool), skip: make(map[string]bool, len(avoid)), work: w}
 	for n := range avoid {
@@ -80,13 +80,13 @@
 	}
 }
 
-// afterExchange returns the answer that may still stand in replies once the
+// drainReplies returns the answer that may still stand in replies once the
 // exchange has ended, or its error.
-func (p *Reserved) afterExchange(ctx context.Context, err error, replies <-chan *box.Reply, owner string, began time.Time, place fail.Place) (*policy.Answer, error) {
+func (p *Reserved) drainReplies(ctx context.Context, err error, replies <-chan *box.Reply, owner string, began time.Time, place fail.Place) (*policy.Answer, error) {
 	for {
 		select {
 		case r := <-replies:
-			if a := p.final(r); a != nil {
+			if a := p.finalAnswer(r); a != nil {
 				return a, nil
 			}
 			continue
@@ -116,24 +116,24 @@
 	replies := make(chan *box.Reply, 2)
 	failed := make(chan error, 1)
 	go func() { failed <- p.exchange(ctx, owner, &box.PlacementRequest{Upstream: u.Name, Work: *w}, replies) }()
-	t := time.NewTicker(rerouteEvery)
+	t := time.NewTicker(rerouteInterval)
 	defer t.Stop()
 	waited := time.NewTimer(wait)
 	defer waited.Stop()
 	for {
 		select {
 		case r := <-replies:
-			if a := p.final(r); a != nil {
+			if a := p.finalAnswer(r); a != nil {
 				return a, nil
 			}
 			if r.Answer != nil && wait == 0 {
 				return nil, errQueued
 			}
 		case err := <-failed:
-			return p.afterExchange(ctx, err, replies, owner, began, place)
+			return p.drainReplies(ctx, err, replies, owner, began, place)
 		case <-t.C:
-			if to := p.better(w, u.Name); to != "" {
-				return nil, movedError{to}
+			if to := p.betterUpstream(w, u.Name); to != "" {
+				return nil, rerouteError{to}
 			}
 		case <-waited.C:
 			if wait > 0 {
@@ -145,25 +145,25 @@
 	}
 }
 
-// better returns an upstream that is much better for w than the one where it waits,
+// betterUpstream returns an upstream that is much better for w than the one where it waits,
 // or "".
-func (p *Reserved) better(w *policy.Work, at string) string {
+func (p *Reserved) betterUpstream(w *policy.Work, at string) string {
 	now := time.Now()
-	c := p.candidates.of(w, now)
+	c := p.candidates.get(w, now)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.router.BetterUpstream(w, at, c, now)
 }
 
-// choose returns the upstream to ask about, or nil where those that there are
+// chooseUpstream returns the upstream to ask about, or nil where those that there are
 // have no owner that could be asked. An error means that there are none.
-func (p *Reserved) choose(w *policy.Work, skip map[string]bool, next string) (*resource.Upstream, error) {
+func (p *Reserved) chooseUpstream(w *policy.Work, skip map[string]bool, next string) (*resource.Upstream, error) {
 	if next == "" {
 		next = p.route(w, skip)
 	}
-	if next == "" && !p.left(w, skip) {
+	if next == "" && !p.upstreamLeft(w, skip) {
 		return nil, fail.WithRetryAt(fail.New(fail.NotRun, fail.Place{Peer: "upstreams", Step: "choose"},
-			string(p.noneReason(w)), "no upstream takes new work for model %q", w.Model), time.Now().Add(time.Second))
+			string(p.unavailableReason(w)), "no upstream takes new work for model %q", w.Model), time.Now().Add(time.Second))
 	}
 	return p.view.Upstream(next), nil
 }
@@ -185,36 +185,36 @@
 	return p.Call(ctx, owner, a, pass)
 }
 
-// final takes in a reply and returns its answer, unless that is a place in the
+// finalAnswer takes in a reply and returns its answer, unless that is a place in the
 // queue, which another answer follows.
-func (p *Reserved) final(r *box.Reply) *policy.Answer {
-	p.Learn(r.Load)
+func (p *Reserved) finalAnswer(r *box.Reply) *policy.Answer {
+	p.RecordLoad(r.Load)
 	if r.Answer == nil || r.Answer.Verdict == policy.VerdictQueue {
 		return nil
 	}
 	return r.Answer
 }
 
-// large reports whether the prompt of w is large for its kind, and learns it.
-func (p *Reserved) large(w *policy.Work) bool {
+// observePrompt reports whether the prompt of w is large for its kind, and learns it.
+func (p *Reserved) observePrompt(w *policy.Work) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.prompts.Observe(w)
 }
 
-// late returns the refusal of work whose time ran out, or whose caller went.
-func (p *Reserved) late(ctx context.Context, w *policy.Work) error {
+// waitError returns the refusal of work whose time ran out, or whose caller went.
+func (p *Reserved) waitError(ctx context.Context, w *policy.Work) error {
 	place := fail.Place{Peer: "upstreams", Step: "wait for a place"}
-	if time.Now().Before(waitUntil(w)) {
+	if time.Now().Before(waitDeadline(w)) {
 		return fail.Wrap(fail.NotRun, place, "caller_gone", ctx.Err())
 	}
 	return fail.WithRetryAt(fail.New(fail.NotRun, place, string(policy.ReasonDeadline), "the deadline passed in the queue"), time.Now())
 }
 
-// waitUntil returns until when work may wait for a place: later its caller would go before
+// waitDeadline returns until when work may wait for a place: later its caller would go before
 // its first token came, and is better told while it is there. How long a prompt takes to be
 // read is an estimate, so that any work may wait for half of its caller's patience.
-func waitUntil(w *policy.Work) time.Time {
+func waitDeadline(w *policy.Work) time.Time {
 	b := policy.LatestStart(w)
 	if b.IsZero() {
 		return w.Deadline
@@ -228,8 +228,8 @@
 	return w.Deadline
 }
 
-// left reports whether an upstream is left that runs w's model and takes new work.
-func (p *Reserved) left(w *policy.Work, skip map[string]bool) bool {
+// upstreamLeft reports whether an upstream is left that runs w's model and takes new work.
+func (p *Reserved) upstreamLeft(w *policy.Work, skip map[string]bool) bool {
 	now := time.Now()
 	for _, u := range p.view.UpstreamsOfModel(w.Model) {
 		if u.AcceptsWork(now) && !skip[u.Name] {
@@ -239,8 +239,8 @@
 	return false
 }
 
-// noneReason returns why no upstream is left for w.
-func (p *Reserved) noneReason(w *policy.Work) policy.Reason {
+// unavailableReason returns why no upstream is left for w.
+func (p *Reserved) unavailableReason(w *policy.Work) policy.Reason {
 	for _, u := range p.view.UpstreamsOfModel(w.Model) {
 		if u.Evacuated() {
 			return policy.ReasonEvacuated
@@ -249,9 +249,9 @@
 	return policy.ReasonNoUpstream
 }
 
-// pause waits before the next ask after some failures in a row, of which err was the
+// backOff waits before the next ask after some failures in a row, of which err was the
 // last, and counts it.
-func (p *Reserved) pause(ctx context.Context, failures int, err error) {
+func (p *Reserved) backOff(ctx context.Context, failures int, err error) {
 	r := string(policy.ReasonMoved)
 	if err != nil {
 		r = fail.Reason(err)
@@ -266,7 +266,7 @@
 // route returns the name of the upstream to ask about, among those not to skip, or "".
 func (p *Reserved) route(w *policy.Work, skip map[string]bool) string {
 	now := time.Now()
-	c := p.candidates.of(w, now)
+	c := p.candidates.get(w, now)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	n := p.router.Choose(w, c, now, func(n string) bool { return !skip[n] })
--- a/internal/placement/search_test.go
+++ b/internal/placement/search_test.go
@@ -15,9 +15,9 @@
 	"github.com/linetiller/linetiller/internal/policy"
 )
 
-// fullHalls returns a placement before 60 engines in three halls, of which those of the
+// newFullHalls returns a placement before 60 engines in three halls, of which those of the
 // halls named have no room: work waits there. It counts the asks by hall.
-func fullHalls(full ...string) (p *Reserved, asked func() map[string]int) {
+func newFullHalls(full ...string) (p *Reserved, asked func() map[string]int) {
 	v, m := testView(60, 6)
 	p = NewReserved(v, m, policy.NewLengths(), metric.NewSet(), 1)
 	var mutex sync.Mutex // an ask that is given up may still be under way
@@ -52,7 +52,7 @@
 // most of its worth, while one elsewhere ends early only where the halls are cut off.
 func TestFullHallIsLeftBeforeWorkWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, asked := fullHalls("h0")
+		p, asked := newFullHalls("h0")
 		for range 20 {
 			began := time.Now()
 			w := &policy.Work{Arrived: began, Deadline: began.Add(time.Minute), FirstBy: began.Add(7 * time.Second), ID: "id", MaxTokens: 400, Model: "m", Prompt: 3000}
@@ -61,7 +61,7 @@
 				t.Fatalf("got %+v %v, want a place in another hall", v, err)
 			}
 		}
-		if got, most := asked()["h0"], 20*looksMost; got > most {
+		if got, most := asked()["h0"], 20*maxProbes; got > most {
 			t.Errorf("asks in the full hall: got %d, want at most %d", got, most)
 		}
 	})
@@ -71,9 +71,9 @@
 // not where the work waits: it starts there soon, long before its target.
 func TestWorkLooksAgainWhileItWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, _ := fullHalls("h0", "h1", "h2")
+		p, _ := newFullHalls("h0", "h1", "h2")
 		began := time.Now()
-		free := func(a *box.PlacementRequest, f func(*box.Reply) error) bool {
+		startIfFree := func(a *box.PlacementRequest, f func(*box.Reply) error) bool {
 			if time.Since(began) < 300*time.Millisecond {
 				return false
 			}
@@ -86,12 +86,12 @@
 		}
 		local, call := p.AskLocal, p.Call
 		p.AskLocal = func(ctx context.Context, a *box.PlacementRequest, f func(*box.Reply) error) {
-			if !free(a, f) {
+			if !startIfFree(a, f) {
 				local(ctx, a, f)
 			}
 		}
 		p.Call = func(ctx context.Context, o string, a *box.PlacementRequest, f func(*box.Reply) error) error {
-			if free(a, f) {
+			if startIfFree(a, f) {
 				return nil
 			}
 			return call(ctx, o, a, f)
@@ -111,9 +111,9 @@
 // of the halls, and then the work waits.
 func TestWorkWaitsWhereAllHallsAreFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, asked := fullHalls("h0", "h1", "h2")
+		p, asked := newFullHalls("h0", "h1", "h2")
 		began := time.Now()
-		w := &policy.Work{Arrived: began, Deadline: began.Add(time.Minute), FirstBy: began.Add(lookAgainFirst), ID: "id", MaxTokens: 400, Model: "m", Prompt: 750}
+		w := &policy.Work{Arrived: began, Deadline: began.Add(time.Minute), FirstBy: began.Add(initialQueueWait), ID: "id", MaxTokens: 400, Model: "m", Prompt: 750}
 		if v, err := p.Place(t.Context(), w, nil); err == nil {
 			t.Fatalf("got %+v, want no place", v)
 		}
@@ -122,7 +122,7 @@
 		for n := range maps.Values(counts) {
 			total += n
 		}
-		if most := looksMost + looksAway + 1; total > most || counts["h0"] == 0 || counts["h1"]+counts["h2"] == 0 {
+		if most := maxProbes + maxProbesAway + 1; total > most || counts["h0"] == 0 || counts["h1"]+counts["h2"] == 0 {
 			t.Errorf("asks by hall: got %v, want some in each, and at most %d", counts, most)
 		}
 	})
@@ -133,15 +133,15 @@
 // finds none hears it at once.
 func TestSearchForLargePromptsOutlastsAFewRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, _ := fullHalls()
-		roomy := make(map[string]bool)
+		p, _ := newFullHalls()
+		hasRoom := make(map[string]bool)
 		for i, u := range p.view.UpstreamsOfModel("m") {
-			roomy[u.Name] = i%6 == 0
+			hasRoom[u.Name] = i%6 == 0
 		}
 		answer := func(_ context.Context, a *box.PlacementRequest, f func(*box.Reply) error) {
 			time.Sleep(3 * time.Millisecond)
 			v := &policy.Answer{ID: a.Work.ID, Reason: policy.ReasonDeadline, Verdict: policy.VerdictRefuse}
-			if roomy[a.Upstream] {
+			if hasRoom[a.Upstream] {
 				v.Verdict = policy.VerdictStart
 			}
 			_ = f(&box.Reply{Answer: v})
@@ -177,7 +177,7 @@
 // vain, and not as it goes.
 func TestWorkIsRefusedWhileItsCallerIsThere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, _ := fullHalls("h0", "h1", "h2")
+		p, _ := newFullHalls("h0", "h1", "h2")
 		began := time.Now()
 		w := &policy.Work{Arrived: began, Deadline: began.Add(time.Minute), FirstBy: began.Add(2 * time.Second), ID: "id", MaxTokens: 400, Model: "m", Prompt: 3000}
 		_, err := p.Place(t.Context(), w, nil)
@@ -194,7 +194,7 @@
 // to be read than its caller waits: an engine that has room is asked all the same.
 func TestPromptsThatTakeLongAreNotGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, _ := fullHalls()
+		p, _ := newFullHalls()
 		now := time.Now()
 		w := &policy.Work{Arrived: now, Deadline: now.Add(time.Minute), FirstBy: now.Add(2 * time.Second), ID: "id", MaxTokens: 400, Model: "m", Prompt: 30_000}
 		if v, err := p.Place(t.Context(), w, nil); err != nil {
--- a/internal/placement/tracker.go
+++ b/internal/placement/tracker.go
@@ -16,16 +16,16 @@
 	// Send sends an update to the owner of its upstream; a seam.
 	Send func(ctx context.Context, u *box.ProgressReport) (*box.Reply, error)
 
-	fresh   map[*Running]bool                   // have their first token since the last update
-	gone    map[string][]box.GenerationProgress // by upstream: ended since the last update
-	learn   func(*policy.Load)
-	mutex   sync.Mutex // no other lock is taken under it
-	running map[string]*Running
-	wake    chan struct{}
+	firstTokens map[*Generation]bool                // have their first token since the last update
+	finished    map[string][]box.GenerationProgress // by upstream: ended since the last update
+	recordLoad  func(*policy.Load)
+	mutex       sync.Mutex // no other lock is taken under it
+	running     map[string]*Generation
+	wake        chan struct{}
 }
 
-// Running is a generation that this box holds.
-type Running struct {
+// Generation is a generation that this box holds.
+type Generation struct {
 	Produced atomic.Int64 // tokens so far
 
 	upstream string
@@ -33,45 +33,45 @@
 }
 
 const (
-	sendPeriod    = 2 * time.Second
-	updateEvery   = 500 * time.Millisecond
-	updateWorkers = 8
+	sendTimeout    = 2 * time.Second
+	updateInterval = 500 * time.Millisecond
+	updateWorkers  = 8
 )
 
 // NewTracker returns a tracker that hands the loads it is told to learn.
-func NewTracker(learn func(*policy.Load)) *Tracker {
+func NewTracker(recordLoad func(*policy.Load)) *Tracker {
 	return &Tracker{
-		fresh: make(map[*Running]bool), gone: make(map[string][]box.GenerationProgress), learn: learn, running: make(map[string]*Running), wake: make(chan struct{}, 1),
+		firstTokens: make(map[*Generation]bool), finished: make(map[string][]box.GenerationProgress), recordLoad: recordLoad, running: make(map[string]*Generation), wake: make(chan struct{}, 1),
 	}
 }
 
-// First says that a generation has its first token: its prompt is read, and others may
+// FirstToken says that a generation has its first token: its prompt is read, and others may
 // have theirs read.
-func (t *Tracker) First(r *Running) {
+func (t *Tracker) FirstToken(r *Generation) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.running[r.work.ID] != r {
 		return
 	}
-	t.fresh[r] = true
-	t.signal()
+	t.firstTokens[r] = true
+	t.wakeRun()
 }
 
 // Finish says that a generation holds nothing any more; ended tells whether it
 // reached its own end.
-func (t *Tracker) Finish(r *Running, ended bool) {
+func (t *Tracker) Finish(r *Generation, ended bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.running[r.work.ID] != r {
 		return
 	}
 	delete(t.running, r.work.ID)
-	t.gone[r.upstream] = append(t.gone[r.upstream], box.GenerationProgress{Ended: ended, Released: true, ID: r.work.ID, Produced: int(r.Produced.Load())})
-	t.signal()
+	t.finished[r.upstream] = append(t.finished[r.upstream], box.GenerationProgress{Ended: ended, Released: true, ID: r.work.ID, Produced: int(r.Produced.Load())})
+	t.wakeRun()
 }
 
-// Held returns how many generations this box holds.
-func (t *Tracker) Held() int {
+// Count returns how many generations this box holds.
+func (t *Tracker) Count() int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return len(t.running)
@@ -89,7 +89,7 @@
 			}
 		})
 	}
-	k := time.NewTicker(updateEvery)
+	k := time.NewTicker(updateInterval)
 	defer k.Stop()
 	for ctx.Err() == nil {
 		all := false
@@ -108,8 +108,8 @@
 }
 
 // Start begins to track a generation.
-func (t *Tracker) Start(w *policy.Work, upstream string) *Running {
-	r := &Running{upstream: upstream, work: *w}
+func (t *Tracker) Start(w *policy.Work, upstream string) *Generation {
+	r := &Generation{upstream: upstream, work: *w}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.running[w.ID] = r
@@ -127,19 +127,19 @@
 		}
 		return m[n]
 	}
-	for n, l := range t.gone {
+	for n, l := range t.finished {
 		at(n).Items = l
 	}
-	clear(t.gone)
+	clear(t.finished)
 	if !all {
-		for r := range t.fresh {
+		for r := range t.firstTokens {
 			if t.running[r.work.ID] == r {
 				u := at(r.upstream)
 				u.Items = append(u.Items, box.GenerationProgress{ID: r.work.ID, Produced: int(r.Produced.Load())})
 			}
 		}
 	}
-	clear(t.fresh)
+	clear(t.firstTokens)
 	if !all {
 		return m
 	}
@@ -152,21 +152,21 @@
 
 // send sends an update, and again in full what the owner did not know of.
 func (t *Tracker) send(ctx context.Context, u *box.ProgressReport) {
-	ctx, cancel := context.WithTimeout(ctx, sendPeriod)
+	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	r, err := t.Send(ctx, u)
 	if err != nil {
 		return
 	}
 	if r.Load != nil {
-		t.learn(r.Load)
+		t.recordLoad(r.Load)
 	}
-	if a := t.inFull(r.Unknown); len(a) > 0 {
+	if a := t.fullItems(r.Unknown); len(a) > 0 {
 		_, _ = t.Send(ctx, &box.ProgressReport{Items: a, Upstream: u.Upstream})
 	}
 }
 
-func (t *Tracker) inFull(ids []string) []box.GenerationProgress {
+func (t *Tracker) fullItems(ids []string) []box.GenerationProgress {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var l []box.GenerationProgress
@@ -179,8 +179,8 @@
 	return l
 }
 
-// signal makes Run send what is new; the lock is held.
-func (t *Tracker) signal() {
+// wakeRun makes Run send what is new; the lock is held.
+func (t *Tracker) wakeRun() {
 	select {
 	case t.wake <- struct{}{}:
 	default:
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -12,9 +12,9 @@
 
 // assignment is the upstream chosen for a request, with the handles that account for the request there.
 type assignment struct {
-	end      func()             // removes the request from the load count of a plain service; nil for an engine
-	place    *placement.Place   // nil for a plain service
-	running  *placement.Running // nil for a plain service
+	end      func()                // removes the request from the load count of a plain service; nil for an engine
+	place    *placement.Place      // nil for a plain service
+	running  *placement.Generation // nil for a plain service
 	upstream *resource.Upstream
 }
 
--- a/internal/relay/crash_test.go
+++ b/internal/relay/crash_test.go
@@ -138,7 +138,7 @@
 		r.relay.Place = func(context.Context, *policy.Work, map[string]bool) (*placement.Place, error) {
 			n := first.Load()
 			n += next.Add(1) % (9 - n)
-			return &placement.Place{Granted: time.Now(), Upstream: r.view.Upstream(fmt.Sprint("u", n))}, nil
+			return &placement.Place{GrantedAt: time.Now(), Upstream: r.view.Upstream(fmt.Sprint("u", n))}, nil
 		}
 		var g sync.WaitGroup
 		for i := range 8 {
@@ -193,7 +193,7 @@
 	withRig(t, 12, 0, func(t *testing.T, r *rig) {
 		var next atomic.Int32
 		r.relay.Place = func(context.Context, *policy.Work, map[string]bool) (*placement.Place, error) {
-			return &placement.Place{Granted: time.Now(), Upstream: r.view.Upstream(fmt.Sprint("u", next.Add(1)))}, nil
+			return &placement.Place{GrantedAt: time.Now(), Upstream: r.view.Upstream(fmt.Sprint("u", next.Add(1)))}, nil
 		}
 		var g sync.WaitGroup
 		send := func(i int) {
--- a/internal/relay/evacuation_test.go
+++ b/internal/relay/evacuation_test.go
@@ -121,7 +121,7 @@
 		r.setFaults("u", routed.Faults{BreakAfter: 10})
 		r.relay.Place = func(_ context.Context, w *policy.Work, avoid map[string]bool) (*placement.Place, error) {
 			if u := r.firstFree(w, avoid); u != nil {
-				return &placement.Place{Granted: time.Now(), Upstream: u}, nil
+				return &placement.Place{GrantedAt: time.Now(), Upstream: u}, nil
 			}
 			return r.place(t.Context(), w, avoid)
 		}
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -53,7 +53,7 @@
 			if w.ID == "first" || avoid[name] {
 				name = "u2"
 			}
-			return &placement.Place{Granted: time.Now(), Upstream: r.view.Upstream(name)}, nil
+			return &placement.Place{GrantedAt: time.Now(), Upstream: r.view.Upstream(name)}, nil
 		}
 		r.engines["u2"].SetLimit("0.2")
 		if _, err := r.readStream(planRequest(t.Context(), "first", 40), nil); err != nil {
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -19,7 +19,7 @@
 
 	mutex   sync.Mutex // guards the fields below until done is closed
 	copy    *Copy      // the latest copy, nil if there is none
-	running *placement.Running
+	running *placement.Generation
 	stopped bool // the source was told to stop the generation
 	to      *resource.Upstream
 }
--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -140,7 +140,7 @@
 			if u == nil {
 				return r.place(ctx, w, avoid)
 			}
-			return &placement.Place{Granted: time.Now(), Upstream: u}, nil
+			return &placement.Place{GrantedAt: time.Now(), Upstream: u}, nil
 		}
 		var g sync.WaitGroup
 		for i := range 10 {
@@ -236,7 +236,7 @@
 			if avoid[name] {
 				name = "u4"
 			}
-			return &placement.Place{Granted: time.Now(), Upstream: r.view.Upstream(name)}, nil
+			return &placement.Place{GrantedAt: time.Now(), Upstream: r.view.Upstream(name)}, nil
 		}
 		for _, n := range []string{"u1", "u2"} {
 			r.engines[n].SetFaults(routed.Faults{LateStops: 500 * time.Millisecond})
--- a/internal/relay/rig_test.go
+++ b/internal/relay/rig_test.go
@@ -50,7 +50,7 @@
 	relay        *relay.Relay
 	revision     int64
 	t            *testing.T
-	turns        ownership.Turns
+	turns        ownership.MoveTurns
 	view         *resource.View
 }
 
@@ -69,7 +69,7 @@
 		r.relay.Place = r.place
 		r.relay.ChooseLocally = r.firstFree
 		r.relay.Turn = func(ctx context.Context, u *resource.Upstream, arriving bool, x *policy.Run) (func(), error) {
-			return r.turns.Take(ctx, u.Name, arriving, x)
+			return r.turns.Acquire(ctx, u.Name, arriving, x)
 		}
 		r.link.Join("box", platform.NewIngress(r.relay, 1<<20))
 		r.declareRoutes()
@@ -145,7 +145,7 @@
 // place places w at the first engine that may be used.
 func (r *rig) place(_ context.Context, w *policy.Work, avoid map[string]bool) (*placement.Place, error) {
 	if u := r.firstFree(w, avoid); u != nil {
-		return &placement.Place{Granted: time.Now(), Upstream: u}, nil
+		return &placement.Place{GrantedAt: time.Now(), Upstream: u}, nil
 	}
 	return nil, fail.WithRetryAt(fail.New(fail.NotRun, fail.Place{Peer: "upstreams", Step: "choose"}, "no_upstream", "none"), time.Now().Add(time.Second))
 }
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -214,7 +214,7 @@
 		return
 	}
 	if s.assignment.running.Produced.Add(int64(n)) == int64(n) {
-		x.tracker.First(s.assignment.running)
+		x.tracker.FirstToken(s.assignment.running)
 	}
 }
 
--- a/leaving.go
+++ b/leaving.go
@@ -9,7 +9,7 @@
 
 // learn records the load of an upstream, as its owner reported it.
 func (b *Box) learn(l *policy.Load) {
-	b.reserved.Learn(l)
+	b.reserved.RecordLoad(l)
 	if l != nil && l.Leaving {
 		b.noteLeaving(l.Upstream, l.StartedAtMS, "its owner")
 	}
--- a/linetiller.go
+++ b/linetiller.go
@@ -65,7 +65,7 @@
 	keeper           *keeper
 	store            *table.Store
 	tracker          *placement.Tracker
-	turns            ownership.Turns
+	turns            ownership.MoveTurns
 	view             *resource.View
 
 	entry []endpoint // the listeners of the entry from the platform's balancer
--- a/region_test.go
+++ b/region_test.go
@@ -429,7 +429,7 @@
 // ownerOf returns the box of its hall that owns an engine, as that hall believes.
 func (r *region) ownerOf(engine string) string {
 	for n, b := range r.boxes {
-		if r.hallOf[n] == engine[len(engine)-1:] && b.owners.Mine(b.view.Upstream(engine)) {
+		if r.hallOf[n] == engine[len(engine)-1:] && b.owners.Owns(b.view.Upstream(engine)) {
 			return n
 		}
 	}
