--- a/internal/ownership/assign.go
+++ b/internal/ownership/assign.go
@@ -7,15 +7,16 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// Owns reports whether an upstream falls to this box, as far as it knows.
+// Owns reports whether this box owns the upstream, judged by the boxes that it currently
+// considers alive.
 func (o *Owners) Owns(u *resource.Upstream) bool {
 	s := o.members.Self()
 	return policy.First(u.Name, o.members.Alive(u.Spec.Hall)) == s.Name
 }
 
-// assign finds out which upstreams fall to this box, where the boxes or the
-// configuration have changed since it last did. It starts owners for them, so
-// that their load is known before the first ask.
+// assign recomputes which upstreams this box owns, if the boxes or the configuration have
+// changed since the last time. It creates the owners at once, so that their load is known before
+// the first request for a place.
 func (o *Owners) assign(now time.Time) {
 	boxes, revision := o.members.Version(), o.view.Version()
 	if now.Sub(o.assignedAt) < assignInterval || (boxes == o.assignedMembers && revision == o.assignedView) {
--- a/internal/ownership/assign_test.go
+++ b/internal/ownership/assign_test.go
@@ -13,8 +13,8 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// BenchmarkAssign finds the upstreams that fall to a box of a hall of 100 boxes and
-// 1,000 engines, of 300 and 3,000 in all, after a change of the boxes.
+// BenchmarkAssign recomputes the upstreams of one box after a change of the boxes, in a hall of
+// 100 boxes and 1,000 engines, out of 300 boxes and 3,000 engines in total.
 func BenchmarkAssign(b *testing.B) {
 	m := member.NewTable(box.Member{Hall: "h0", Name: "box-0", State: box.StateServing})
 	var l []box.Member
--- a/internal/ownership/cold_test.go
+++ b/internal/ownership/cold_test.go
@@ -16,15 +16,15 @@
 	"github.com/linetiller/linetiller/internal/upstream"
 )
 
-// TestColdEngineWhoseOwnerIsRestarted guards against a cold engine that three owners in one second start
-// generations at, each as many as it may: the one before a restart, the box that stood in, and the
-// restarted one.
+// TestColdEngineWhoseOwnerIsRestarted guards against overloading a cold engine when its owner
+// restarts: within one second the owner before the restart, the box that replaced it and the
+// restarted owner could each start as many generations as one owner may.
 func TestColdEngineWhoseOwnerIsRestarted(t *testing.T) {
 	for _, x := range []struct {
 		name string
-		cold int           // milliseconds that the engine is cold
-		age  time.Duration // of the box
-		want int           // generations that start at once
+		cold int           // for how many milliseconds the engine is cold
+		age  time.Duration // since the box started
+		want int           // generations started at once
 	}{
 		{"cold, just restarted", 5000, 0, 0},
 		{"cold, restarted a while ago", 5000, restartPeriod, 4},
--- a/internal/ownership/evacuation_test.go
+++ b/internal/ownership/evacuation_test.go
@@ -17,16 +17,16 @@
 	"github.com/linetiller/linetiller/internal/upstream"
 )
 
-// applyChange has a view take in one change.
+// applyChange applies a single change to a view.
 func applyChange(v *resource.View, revision int64, s resource.Source, k resource.Kind, name, spec string, deleted bool) {
 	v.Merge(&resource.Batch{Revision: revision, Source: s, Changes: []resource.Change{{
 		Deleted: deleted, Revision: revision, Resource: &resource.Resource{Kind: k, Metadata: resource.Metadata{Name: name}, Spec: json.RawMessage(spec)},
 	}}})
 }
 
-// TestWhatWaitsGoesElsewhereAtOnce evacuates the hall of an engine for which work waits: it
-// is told so within a tenth of a second, new work gets no place, and once the hall is taken
-// back it does.
+// TestWhatWaitsGoesElsewhereAtOnce evacuates the hall of an engine that has queued work. The
+// queued work must be refused within about a tenth of a second, so that it can go elsewhere, and
+// new work must be refused until the evacuation is withdrawn.
 func TestWhatWaitsGoesElsewhereAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := resource.NewView()
@@ -50,40 +50,41 @@
 			return c
 		}
 		if a := <-ask("first"); a.Verdict != policy.VerdictStart {
-			t.Fatalf("the first: got %+v, want a place", a)
+			t.Fatalf("first request: got %+v, want a place", a)
 		}
 		queued := ask("waits")
 		if a := <-queued; a.Verdict != policy.VerdictQueue {
-			t.Fatalf("the second: got %+v, want a place in the queue", a)
+			t.Fatalf("second request: got %+v, want it queued", a)
 		}
 		applyChange(v, 2, resource.SourceEvacuations, resource.KindEvacuation, "e", `{"hall":"a"}`, false)
 		began := time.Now()
 		if a := <-queued; a.Reason != policy.ReasonEvacuated || !a.RetryAt.After(began) {
-			t.Errorf("what waits: got %+v, want a refusal with a time to come back", a)
+			t.Errorf("queued request: got %+v, want a refusal with a retry time", a)
 		}
 		if got, most := time.Since(began), assignInterval+2*tickInterval; got > most {
-			t.Errorf("what waits: got its answer after %v, want at most %v", got, most)
+			t.Errorf("queued request: refused after %v, want at most %v", got, most)
 		}
 		if a := <-ask("new"); a.Reason != policy.ReasonEvacuated {
-			t.Errorf("new work: got %+v, want a refusal", a)
+			t.Errorf("new request: got %+v, want a refusal", a)
 		}
 		applyChange(v, 3, resource.SourceEvacuations, resource.KindEvacuation, "e", `{"hall":"a"}`, true)
 		time.Sleep(time.Second)
 		o.Update(&box.ProgressReport{Upstream: "u1", Items: []box.GenerationProgress{{Released: true, ID: "first"}}})
 		if a := <-ask("back"); a.Verdict != policy.VerdictStart {
-			t.Errorf("after it is taken back: got %+v, want a place", fmt.Sprint(a))
+			t.Errorf("after the evacuation is withdrawn: got %+v, want a place", fmt.Sprint(a))
 		}
 		cancel()
 		<-ran
 	})
 }
 
-// TestOwnerGoesByItsViewAsItIsAsked asks an owner for a place the moment after its box has
-// learned that the hall is evacuated, or taken back: the asking box caught this one up with
-// its own view first, and sent what that allows.
+// TestOwnerGoesByItsViewAsItIsAsked guards against an owner that decides by an outdated
+// evacuation state: it asks for a place right after the owner's box has learned that the hall is
+// evacuated, or no longer evacuated. The asking box has by then brought the owner's box up to
+// date with its own view, so the owner must decide by that view.
 //
-// Seen once: a caller was refused as evacuated 40 ms after the hall was taken back. Its box
-// knew, and so did that of the owner, which looked at evacuations at most every 100 ms.
+// A caller was once refused as evacuated 40 ms after the evacuation had been withdrawn: both
+// boxes knew of it, but the owner checked evacuations only every 100 ms.
 func TestOwnerGoesByItsViewAsItIsAsked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := resource.NewView()
@@ -102,15 +103,15 @@
 			return a
 		}
 		if a := ask("before"); a.Reason == policy.ReasonEvacuated {
-			t.Fatalf("before: got %+v, want no word of an evacuation", a)
+			t.Fatalf("before: got %+v, want no refusal for an evacuation", a)
 		}
 		applyChange(v, 2, resource.SourceEvacuations, resource.KindEvacuation, "e", `{"hall":"a"}`, false)
 		if a := ask("evacuated"); a.Reason != policy.ReasonEvacuated {
 			t.Errorf("evacuated: got %+v, want a refusal", a)
 		}
 		applyChange(v, 3, resource.SourceEvacuations, resource.KindEvacuation, "e", `{"hall":"a"}`, true)
-		if a := ask("taken back"); a.Reason == policy.ReasonEvacuated {
-			t.Errorf("taken back: got %+v, want no word of an evacuation", a)
+		if a := ask("withdrawn"); a.Reason == policy.ReasonEvacuated {
+			t.Errorf("withdrawn: got %+v, want no refusal for an evacuation", a)
 		}
 	})
 }
--- a/internal/ownership/turns.go
+++ b/internal/ownership/moveturns.go
@@ -9,17 +9,17 @@
 	"github.com/linetiller/linetiller/internal/policy"
 )
 
-// MoveTurns gives, for each upstream, one run at a time the turn to be moved away and
-// one the turn to arrive, so that the short copy of a run that stands still does not
-// wait behind another run's long one on a link. The zero value is ready. It is safe
-// for concurrent use.
+// MoveTurns serializes moves of runs between upstreams: at each upstream one run at a time may
+// be moved away and one may arrive, so that a run that is paused for its short last copy does
+// not wait behind another run's long copy on the same link. The zero value is ready to use. It
+// is safe for concurrent use.
 type MoveTurns struct {
 	mutex  sync.Mutex
-	queues map[string]*turnQueue // by upstream and kind of turn
+	queues map[string]*turnQueue // by upstream and direction
 }
 
-// turnQueue is what waits for the turns at one upstream of one kind. The lock of Turns
-// guards it.
+// turnQueue holds the runs that wait for a turn at one upstream in one direction. It is guarded
+// by MoveTurns.mutex.
 type turnQueue struct {
 	held    bool // a run has the turn
 	waiting []*waiter
@@ -27,18 +27,21 @@
 
 // waiter is a run that waits for its turn.
 type waiter struct {
-	granted chan struct{} // closed when the turn has come
+	granted chan struct{} // closed when the run gets its turn
 	run     *policy.Run
 }
 
-// incomingSuffix parts the turns to arrive at an upstream from those to leave it.
+// incomingSuffix is appended to the name of an upstream for the queue of the runs that are to
+// arrive there.
 const incomingSuffix = "/arriving"
 
-// assumedStep is the time between tokens by which it is judged how long a run
-// lasts; steps of 7 to 15 ms were seen.
+// assumedStep is the time between tokens assumed when estimating how long a run will last; 7 to
+// 15 ms were measured.
 const assumedStep = 10 * time.Millisecond
 
-// Acquire waits for a run's turn; release gives it back.
+// Acquire waits until the run may be moved away from an upstream, or to it if incoming is set.
+// The caller must call release when the move has ended. It returns ctx's error if ctx ends
+// first.
 func (t *MoveTurns) Acquire(ctx context.Context, upstream string, incoming bool, r *policy.Run) (release func(), err error) {
 	if incoming {
 		upstream += incomingSuffix
@@ -74,7 +77,7 @@
 	return nil, ctx.Err()
 }
 
-// release ends the turn of the run that has it.
+// release ends the current turn and grants the next.
 func (t *MoveTurns) release(upstream string, q *turnQueue) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -82,7 +85,8 @@
 	t.next(upstream, q)
 }
 
-// next gives the turn to the first of those that wait; the lock is held.
+// next grants the turn to the waiting run that comes first by policy.CompareRuns, if the turn is
+// free. The caller holds the mutex.
 func (t *MoveTurns) next(upstream string, q *turnQueue) {
 	if q.held {
 		return
@@ -102,7 +106,7 @@
 	close(first.granted)
 }
 
-// remove takes a run out of those that wait.
+// remove removes a run from the queue.
 func (q *turnQueue) remove(w *waiter) {
 	q.waiting = slices.DeleteFunc(q.waiting, func(x *waiter) bool { return x == w })
 }
--- a/internal/ownership/turns_test.go
+++ b/internal/ownership/moveturns_test.go
@@ -10,9 +10,9 @@
 	"github.com/linetiller/linetiller/internal/policy"
 )
 
-// TestTurnsGoOneByOneInOrder asks for the turns of several runs while one has it: they
-// come one at a time, the urgent first, then those that outlast a notice, the smaller
-// first, then those with most left.
+// TestTurnsGoOneByOneInOrder queues several runs behind one that has the turn. They must get it
+// one at a time: by priority, then runs that outlast the notice of an engine, the smaller first,
+// then the others, those with most tokens left first.
 func TestTurnsGoOneByOneInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var turns MoveTurns
@@ -41,11 +41,11 @@
 		}
 		synctest.Wait()
 		if len(got) != 0 {
-			t.Errorf("turns while one is taken: got %d, want none", len(got))
+			t.Errorf("turns granted while one is held: got %d, want none", len(got))
 		}
 		other, err := turns.Acquire(t.Context(), "u", true, &policy.Run{ID: "arrives"})
 		if err != nil {
-			t.Errorf("the turn to arrive: got %v, want it beside that to leave", err)
+			t.Errorf("incoming turn: got error %v, want it granted while the outgoing one is held", err)
 		}
 		other()
 		release()
@@ -54,12 +54,12 @@
 				t.Errorf("got %s, want %s", id, want)
 			}
 		}
-		time.Sleep(2 * time.Second) // until the last turn is given back
+		time.Sleep(2 * time.Second) // until the last turn is released
 	})
 }
 
-// TestTurnsPassThoseWhoGiveUp ends the wait of some, also at the moment their turn
-// comes: the turn goes on to the next.
+// TestTurnsPassThoseWhoGiveUp cancels runs that wait for a turn, and releases the turn
+// afterwards, twice: the turn must go to the next run that still waits, and no queue may remain.
 func TestTurnsPassThoseWhoGiveUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var turns MoveTurns
@@ -68,7 +68,7 @@
 		for i := range 3 {
 			go func() {
 				if _, err := turns.Acquire(ctx, "u", false, &policy.Run{ID: fmt.Sprint(i), Priority: 9}); err == nil {
-					t.Error("a turn for who had given up")
+					t.Error("got a turn after its context was cancelled, want an error")
 				}
 			}()
 		}
--- a/internal/ownership/owned_test.go
+++ b/internal/ownership/ownedupstream_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// TestReportIsDueSoonOnceTheStoreIsAway checks that a report which was read a moment ago
-// is due again after the shorter time at which reports are read from then on.
+// TestReportIsDueSoonOnceTheStoreIsAway checks that the shorter report interval which applies
+// while the store is unavailable also applies to a report that was read just before.
 func TestReportIsDueSoonOnceTheStoreIsAway(t *testing.T) {
 	x, now := new(ownedUpstream), time.Now()
 	if !x.beginReport(now, time.Second) {
-		t.Fatal("the first report: got not due, want due")
+		t.Fatal("first report: got not due, want due")
 	}
 	x.endReport()
 	for _, c := range []struct {
@@ -19,7 +19,7 @@
 	}{{200 * time.Millisecond, time.Second, false}, {200 * time.Millisecond, outageReportInterval, true}, {300 * time.Millisecond, outageReportInterval, false}} {
 		got := x.beginReport(now.Add(c.after), c.every)
 		if got != c.want {
-			t.Errorf("%v after the first, one each %v: got due %v, want %v", c.after, c.every, got, c.want)
+			t.Errorf("%v after the first report, with an interval of %v: got due %v, want %v", c.after, c.every, got, c.want)
 		}
 		if got {
 			x.endReport()
--- a/internal/ownership/owners.go
+++ b/internal/ownership/owners.go
@@ -1,5 +1,5 @@
-// Package ownership runs the decisions of policy.Owner for the upstreams that
-// a box owns: it answers asks, takes in progress and reads load reports.
+// Package ownership runs the policy.Owner of each upstream that a box owns: it answers requests
+// for places, records the progress of generations and reads load reports.
 package ownership
 
 import (
@@ -16,22 +16,26 @@
 	"github.com/linetiller/linetiller/internal/upstream"
 )
 
-// Owners holds the owners that live on this box. It is safe for concurrent
-// use. Lock order: Owners.mutex, then owned.mutex, then the locks of member,
-// resource and policy, which are leaves.
+// Owners holds the owners that run on this box. It is safe for concurrent use. Lock order:
+// Owners.mutex, then ownedUpstream.mutex, then the locks of the packages member, resource and
+// policy, under which no other lock is taken.
 type Owners struct {
-	// PlatformUnavailable reports whether the platform's list of upstreams cannot be had; a seam.
+	// PlatformUnavailable, if set, reports whether the platform's list of upstreams cannot be
+	// read at present.
 	PlatformUnavailable func() bool
-	// OnLeaving takes in that an upstream's report says that it is leaving; a seam.
+	// OnLeaving, if set, is called when an upstream announces in its load report that it is
+	// leaving.
 	OnLeaving func(u *resource.Upstream)
-	// BackedOff reports whether an upstream wants nothing from this box for now; a seam.
+	// BackedOff, if set, reports whether this box is to send nothing to an upstream for now; its
+	// load report is not read then.
 	BackedOff func(upstream string) bool
-	// ReadLoad reads an upstream's load report; a seam for tests.
+	// ReadLoad reads the load report of the upstream at an address. It must be set before Run.
 	ReadLoad func(ctx context.Context, address string) (*upstream.Load, error)
 
-	assignedAt      time.Time // when upstreams were assigned,
-	assignedMembers uint64    // and the versions for which they were;
-	assignedView    uint64    // used by Run alone
+	// The last assignment, used only by the goroutine of Run.
+	assignedAt      time.Time
+	assignedMembers uint64 // version of members
+	assignedView    uint64 // version of view
 
 	coldStart      ColdStartLimits
 	startedAt      time.Time
@@ -40,43 +44,46 @@
 	maxQueued      int
 	members        *member.Table
 	metrics        *metric.Set
-	mutex          sync.Mutex
+	mutex          sync.Mutex // guards owners
 	owners         map[string]*ownedUpstream
-	reportInterval time.Duration
+	reportInterval time.Duration // between reads of a load report, and the time-out of each
 	view           *resource.View
 }
 
-// ColdStartLimits tells how many requests a second engines get that have just started: so many times
-// what their service says that a cold engine bears, and some more.
+// ColdStartLimits bounds how many generations are started per second at an engine that has just
+// started: the rate that its service declares for cold engines, multiplied by Overage, plus
+// Slack.
 type ColdStartLimits struct{ Overage, Slack float64 }
 
-// Option sets one thing of Owners.
+// Option configures Owners.
 type Option func(*Owners)
 
 const (
-	// assignInterval is the least time between two looks at which upstreams fall to the
-	// box: one takes 1 ms in a hall of 100 boxes and 1,000 upstreams, of which something
-	// changes all the time.
+	// assignInterval is the minimum time between two assignments of upstreams: one takes 1 ms in
+	// a hall of 100 boxes and 1,000 upstreams, where something changes all the time.
 	assignInterval = 100 * time.Millisecond
-	// outageReportInterval is how often reports are read while the platform's list
-	// cannot be had: notices are of 1.5 to 2.1 s, a report tells one half a second late
-	// and costs a 2,500th of what a long generation is worth (prices of the users' days).
+	// outageReportInterval is how often load reports are read while the platform's list of
+	// upstreams is unavailable, so that only a report tells that an upstream is leaving.
+	// Upstreams give 1.5 to 2.1 s of notice, and a report tells of it half a second late;
+	// reading one costs 1/2,500 of what a long generation is worth (at the prices of the users'
+	// benchmark days).
 	outageReportInterval = 150 * time.Millisecond
-	// coldStartShare is the share of what a cold engine bears that one owner hands out: for a
-	// moment two boxes may both hold themselves for the owner.
+	// coldStartShare is the share of the start rate of a cold engine that one owner grants: two
+	// boxes may briefly both consider themselves its owner.
 	coldStartShare = 0.5
-	// maxPrefillTokens is how many tokens of prompts engines of routes read at once. They
-	// read some 7.5 a millisecond between the tokens of others: 0.9 s, of an aim of 1.5.
+	// maxPrefillTokens is how many prompt tokens an engine that serves routes may have in
+	// prefill at once. Such engines prefill about 7.5 tokens/ms while they decode other
+	// generations, so this takes 0.9 s of a target of 1.5 s.
 	maxPrefillTokens = 7000
-	reportWorkers    = 16 // reports that are read together
-	// restartPeriod is how long after its start a box takes cold engines to have been owned by another
-	// one: it may have been that one itself, as it was restarted.
+	reportWorkers    = 16 // load reports read concurrently
+	// restartPeriod is how long after its own start a box assumes that a cold engine had another
+	// owner just before: that owner may have been this box itself, before a restart.
 	restartPeriod = time.Second
-	tickInterval  = 20 * time.Millisecond // between looks at what is due at the upstreams
-	tickWorkers   = 4                     // upstreams that are looked at together
+	tickInterval  = 20 * time.Millisecond // between checks for queued work and load reports that are due
+	tickWorkers   = 4                     // upstreams checked concurrently
 )
 
-// New returns owners that answer for the upstreams in v.
+// New returns Owners for the upstreams in v.
 func New(v *resource.View, m *member.Table, l *policy.Lengths, s *metric.Set, log *slog.Logger, options ...Option) *Owners {
 	o := &Owners{
 		coldStart: ColdStartLimits{Overage: 1}, lengths: l, log: log, maxQueued: 10_000, members: m, metrics: s,
@@ -91,24 +98,24 @@
 	return o
 }
 
-// WithColdStartLimits bounds what engines get that have just started.
+// WithColdStartLimits sets the limits for engines that have just started.
 func WithColdStartLimits(c ColdStartLimits) Option {
 	return func(o *Owners) { o.coldStart = c }
 }
 
-// WithMaxQueued bounds the work that waits at one upstream.
+// WithMaxQueued sets how much work may be queued at one upstream; the default is 10,000.
 func WithMaxQueued(n int) Option {
 	return func(o *Owners) { o.maxQueued = n }
 }
 
-// WithReportInterval sets how often load reports are read.
+// WithReportInterval sets how often load reports are read; the default is one second.
 func WithReportInterval(d time.Duration) Option {
 	return func(o *Owners) { o.reportInterval = d }
 }
 
-// Ask answers an ask, first at once and then, while it waits in the queue,
-// when its turn comes. It returns when the answer is final or ctx ends; work
-// whose caller has gone leaves the queue.
+// Ask answers a request for a place: immediately, and if the work is queued, a second time when
+// it gets a place or is refused. It returns after the final answer or when ctx ends. Work whose
+// caller has disconnected is removed from the queue.
 func (o *Owners) Ask(ctx context.Context, a *box.PlacementRequest, answer func(*box.Reply) error) {
 	x := o.getOrCreate(a.Upstream)
 	if x == nil {
@@ -117,7 +124,7 @@
 	}
 	now := time.Now()
 	x.mutex.Lock()
-	x.applyEntry(o.view.Upstream(a.Upstream)) // what the asking box knew, this one has caught up with
+	x.applyEntry(o.view.Upstream(a.Upstream)) // at least as recent as the view of the asking box
 	v := x.owner.Ask(&a.Work, now)
 	var c chan policy.Answer
 	if v.Verdict == policy.VerdictQueue {
@@ -138,7 +145,7 @@
 	}
 }
 
-// Loads returns the loads of the upstreams that fall to this box.
+// Loads returns the loads of the upstreams that this box owns.
 func (o *Owners) Loads() []policy.Load {
 	now := time.Now()
 	var l []policy.Load
@@ -152,8 +159,8 @@
 	return l
 }
 
-// Run reads load reports and hands out places until the context ends, with a
-// pool of workers over the owners.
+// Run reads load reports and grants places to queued work until the context ends, then refuses
+// what is still queued.
 func (o *Owners) Run(ctx context.Context) {
 	var g sync.WaitGroup
 	ticks := make(chan *ownedUpstream)
@@ -180,8 +187,9 @@
 	o.refuseAllWaiting()
 }
 
-// Update takes in how far generations are, and returns the load and the ids
-// that this owner does not know and wants to be told whole.
+// Update records the progress of generations at an upstream. The reply holds its load and the
+// IDs of generations that the owner does not know; the caller is to send the work of these again
+// in full.
 func (o *Owners) Update(u *box.ProgressReport) *box.Reply {
 	x := o.getOrCreate(u.Upstream)
 	if x == nil {
@@ -210,7 +218,18 @@
 	return r
 }
 
-// dispatch hands the owners that have something due to the workers.
+// cancelWait removes work whose caller has disconnected from the queue; c is nil if the work was
+// not queued.
+func (o *Owners) cancelWait(x *ownedUpstream, a *box.PlacementRequest, c chan policy.Answer) {
+	x.mutex.Lock()
+	defer x.mutex.Unlock()
+	if c != nil && x.waiters[a.Work.ID] == c {
+		delete(x.waiters, a.Work.ID)
+		x.owner.Cancel(a.Work.ID, time.Now())
+	}
+}
+
+// dispatch passes to the workers the upstreams that have queued work or a load report due.
 func (o *Owners) dispatch(ctx context.Context, ticks, reports chan<- *ownedUpstream, now time.Time) {
 	for _, x := range o.list() {
 		if !x.idle() {
@@ -230,17 +249,7 @@
 	}
 }
 
-// refuseAllWaiting refuses all work that waits.
-func (o *Owners) refuseAllWaiting() {
-	for _, x := range o.list() {
-		x.mutex.Lock()
-		x.refuseWaiting(policy.ReasonMoved)
-		x.mutex.Unlock()
-	}
-}
-
-// getOrCreate returns the owner of an upstream, made where it does not exist yet, or
-// nil where the upstream is not known.
+// getOrCreate returns the owner of an upstream, or nil if the upstream is not known.
 func (o *Owners) getOrCreate(name string) *ownedUpstream {
 	u := o.view.Upstream(name)
 	o.mutex.Lock()
@@ -270,17 +279,6 @@
 	return x
 }
 
-// cancelWait takes work out of the queue whose caller has gone; c is nil where it does not
-// wait.
-func (o *Owners) cancelWait(x *ownedUpstream, a *box.PlacementRequest, c chan policy.Answer) {
-	x.mutex.Lock()
-	defer x.mutex.Unlock()
-	if c != nil && x.waiters[a.Work.ID] == c {
-		delete(x.waiters, a.Work.ID)
-		x.owner.Cancel(a.Work.ID, time.Now())
-	}
-}
-
 // list returns all owners.
 func (o *Owners) list() []*ownedUpstream {
 	o.mutex.Lock()
@@ -292,12 +290,21 @@
 	return l
 }
 
-// reply returns a reply of its own: the caller may still hold an earlier one.
+// refuseAllWaiting refuses all queued work, as this box stops owning its upstreams.
+func (o *Owners) refuseAllWaiting() {
+	for _, x := range o.list() {
+		x.mutex.Lock()
+		x.refuseWaiting(policy.ReasonMoved)
+		x.mutex.Unlock()
+	}
+}
+
+// reply returns a new reply for each call, since the caller may still hold an earlier one.
 func (o *Owners) reply(a policy.Answer, l policy.Load) *box.Reply {
 	return &box.Reply{Answer: &a, Load: &l, Revisions: o.view.Revisions()}
 }
 
-// sum returns the sum of a figure over all owners.
+// sum returns the sum of f over all owners.
 func (o *Owners) sum(f func(*policy.Owner) int) float64 {
 	n := 0
 	for _, x := range o.list() {
@@ -308,8 +315,8 @@
 	return float64(n)
 }
 
-// tick hands out places at one upstream; an owner that has nothing left to do
-// for an upstream that falls to another box, or that is gone, is dropped.
+// tick grants places at one upstream. If this box no longer owns the upstream, it refuses the
+// queued work, and drops the owner once no generation is running.
 func (o *Owners) tick(x *ownedUpstream) {
 	x.mutex.Lock()
 	if !x.assigned {
@@ -325,14 +332,14 @@
 	}
 }
 
-// forEach calls f with every value that comes, until the channel is closed.
+// forEach calls f for each value received from c until c is closed.
 func forEach[T any](c <-chan T, f func(T)) {
 	for v := range c {
 		f(v)
 	}
 }
 
-// refusal returns the refusal of an ask.
+// refusal returns an answer that refuses a request for a place.
 func refusal(a *box.PlacementRequest, r policy.Reason) *policy.Answer {
 	return &policy.Answer{ID: a.Work.ID, Reason: r, Verdict: policy.VerdictRefuse}
 }
--- a/internal/ownership/reports.go
+++ b/internal/ownership/reports.go
@@ -9,7 +9,7 @@
 	"github.com/linetiller/linetiller/internal/upstream"
 )
 
-// readReport reads the load report of an upstream and takes it in.
+// readReport reads and applies an upstream's load report.
 func (o *Owners) readReport(ctx context.Context, x *ownedUpstream) {
 	defer x.endReport()
 	u := o.view.Upstream(x.owner.Upstream)
@@ -19,7 +19,7 @@
 	r, cancel := context.WithTimeout(ctx, o.reportInterval)
 	defer cancel()
 	l, err := o.ReadLoad(r, u.Spec.Address)
-	selfReported := err == nil && l.Leaving && l.Role != upstream.RoleLeaving // of its own, and not by an order, which may be taken back
+	selfReported := err == nil && l.Leaving && l.Role != upstream.RoleLeaving // by its own decision, not by an operator's order, which may be withdrawn
 	if selfReported && o.OnLeaving != nil {
 		o.OnLeaving(u)
 	}
@@ -33,8 +33,9 @@
 	x.applyReport(l, u.IsLeaving(), u.ReportedLeaving || selfReported)
 }
 
-// currentReportInterval returns how often reports are read: more often while the platform's
-// list cannot be had, since they are then the only word of an upstream's leaving.
+// currentReportInterval returns how often load reports are read: more often while the platform's
+// list of upstreams is unavailable, since a report is then the only sign that an upstream is
+// leaving.
 func (o *Owners) currentReportInterval() time.Duration {
 	if o.PlatformUnavailable != nil && o.PlatformUnavailable() {
 		return min(o.reportInterval, outageReportInterval)
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidatecache.go
@@ -10,9 +10,9 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// candidateCache lists the upstreams that may get new work, by model and hall. A list is
-// made once after each change, since it is asked for with every request and a model
-// may run on thousands of engines. It is safe for concurrent use.
+// candidateCache caches the lists of upstreams that accept new work, by model and hall. A list
+// is built once after each change, since every request needs one and a model may run on
+// thousands of engines. It is safe for concurrent use.
 type candidateCache struct {
 	lists   map[candidateKey]*candidateList
 	members *member.Table
@@ -20,32 +20,32 @@
 	view    *resource.View
 }
 
-// candidateKey names a list: that of a model, as seen from a hall.
+// candidateKey identifies a list: the candidates for a model, as seen from a hall.
 type candidateKey struct{ hall, model string }
 
-// candidateList is a list with what it was made from.
+// candidateList is a cached list with the versions that it was built from.
 type candidateList struct {
-	boxes, view uint64 // versions
+	boxes, view uint64 // versions of the boxes and of the view
 	entries     []policy.Candidate
 	expires     time.Time
 }
 
 const (
-	// candidatesTTL bounds the age of a list where nothing changes: an upstream whose
-	// entry lapsed ends its time without a change.
+	// candidatesTTL bounds the age of a list when nothing changes: an upstream whose entry has
+	// lapsed stops being a candidate by the passing of time alone, without a change.
 	candidatesTTL     = 100 * time.Millisecond
-	maxCandidateLists = 256 // callers name models; unknown names must not fill the memory
-	// crossHallPenalty is how many seconds of backlog another hall counts for: a cut between
-	// halls ends its streams, and copies to and from there take twice as long.
+	maxCandidateLists = 256 // callers choose the model names; unknown ones must not exhaust memory
+	// crossHallPenalty is how many seconds of backlog an upstream in another hall counts for: if
+	// the halls are disconnected, its streams end, and copies between halls take twice as long.
 	crossHallPenalty = 5
 )
 
-// newCandidateCache returns no lists yet; they are made when asked for.
+// newCandidateCache returns an empty cache; lists are built on demand.
 func newCandidateCache(v *resource.View, m *member.Table) *candidateCache {
 	return &candidateCache{lists: make(map[candidateKey]*candidateList), members: m, view: v}
 }
 
-// build makes a list.
+// build computes a list from the current view, without the cache.
 func (c *candidateCache) build(k candidateKey, now time.Time) []policy.Candidate {
 	all := c.view.UpstreamsOfModel(k.model)
 	reachable := c.reachableHalls()
@@ -58,8 +58,8 @@
 	return l
 }
 
-// get returns the upstreams that run w's model, may get new work, and have a box in
-// their hall that could own them. Callers must not change the list.
+// get returns the upstreams that serve w's model, accept new work, and have a box in their hall
+// that could own them. Callers must not modify the list.
 func (c *candidateCache) get(w *policy.Work, now time.Time) []policy.Candidate {
 	k := candidateKey{hall: cmp.Or(w.Hall, c.members.Self().Hall), model: w.Model}
 	boxes, view := c.members.Version(), c.view.Version()
@@ -76,7 +76,7 @@
 	return l.entries
 }
 
-// reachableHalls returns the halls that have a box which could own upstreams.
+// reachableHalls returns the halls with at least one box that could own upstreams.
 func (c *candidateCache) reachableHalls() map[string]bool {
 	m := make(map[string]bool)
 	for _, h := range c.members.Halls() {
@@ -85,7 +85,7 @@
 	return m
 }
 
-// newCandidate returns an upstream as a candidate for work of a hall.
+// newCandidate returns an upstream as a candidate for work from a hall.
 func newCandidate(u *resource.Upstream, hall string) policy.Candidate {
 	x := policy.Candidate{Capacity: policy.Capacity{KVTokens: u.Spec.KVTokens, MaxBatch: u.Spec.MaxBatch}, Name: u.Name}
 	if g := u.Engine(); g != nil && g.Migrates {
--- a/internal/placement/naive.go
+++ b/internal/placement/naive.go
@@ -11,25 +11,25 @@
 	"github.com/linetiller/linetiller/internal/upstream"
 )
 
-// Naive is the baseline: it sends straight to the upstream with the least
+// Naive is the baseline policy: it sends requests directly to the upstream with the lowest
 // reported load. It is safe for concurrent use.
 type Naive struct {
-	// ReadLoad reads an upstream's load report; a seam.
+	// ReadLoad reads the load report of the upstream at an address. It must be set before Run.
 	ReadLoad func(ctx context.Context, address string) (*upstream.Load, error)
 
-	interval time.Duration
-	mutex    sync.Mutex // guards policy
+	interval time.Duration // between reads of all load reports
+	mutex    sync.Mutex    // guards policy
 	policy   *policy.Naive
 	view     *resource.View
 }
 
-// NewNaive returns the baseline over the upstreams in v, which reads every
-// upstream's report that often.
+// NewNaive returns the baseline policy for the upstreams in v. It reads every upstream's load
+// report once per interval.
 func NewNaive(v *resource.View, interval time.Duration, seed uint64) *Naive {
 	return &Naive{interval: interval, policy: policy.NewNaive(seed), view: v}
 }
 
-// Place returns an upstream that is not among those to avoid.
+// Place returns the upstream with the lowest reported load that is not in avoid.
 func (p *Naive) Place(_ context.Context, w *policy.Work, avoid map[string]bool) (*Place, error) {
 	var c []policy.Candidate
 	now := time.Now()
@@ -49,7 +49,7 @@
 	return &Place{GrantedAt: time.Now(), Upstream: u}, nil
 }
 
-// Run reads reports until the context ends.
+// Run reads load reports until the context ends.
 func (p *Naive) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, u := range p.view.Upstreams(func(u *resource.Upstream) bool { return u.Spec.Type == resource.UpstreamEngine }) {
--- a/internal/placement/place.go
+++ b/internal/placement/place.go
@@ -6,13 +6,13 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// Place is an upstream at which a generation may start.
+// Place is permission to start a generation at an upstream.
 type Place struct {
-	GrantedAt time.Time // when; a place is for using at once
+	GrantedAt time.Time // a place must be used soon after; see Stale
 	Upstream  *resource.Upstream
 }
 
-// placeTTL is how long a place may be used after it was given.
+// placeTTL is how long a place may be used after it was granted.
 const placeTTL = time.Second
 
 // Stale reports whether the place is too old to be used.
--- a/internal/placement/reserved.go
+++ b/internal/placement/reserved.go
@@ -1,5 +1,5 @@
-// Package placement finds an upstream for a generation: by asking the owners
-// of upstreams for a place, or, as the baseline does, alone.
+// Package placement chooses the upstream for a generation: either by reserving a place with the
+// upstream's owner, or, as the baseline does, by reported load alone.
 package placement
 
 import (
@@ -18,50 +18,40 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// Reserved asks the owner of an upstream before anything is sent there. It is
-// safe for concurrent use.
+// Reserved reserves a place with the owner of an upstream before anything is sent to the
+// upstream. It is safe for concurrent use.
 type Reserved struct {
-	// AskLocal answers an ask where this box is the owner; a seam.
+	// AskLocal asks the owner of an upstream on this box. It must be set before Place is called.
 	AskLocal func(ctx context.Context, a *box.PlacementRequest, answer func(*box.Reply) error)
-	// Call asks another box; a seam.
+	// Call asks the owner of an upstream on another box. It must be set before Place is called.
 	Call func(ctx context.Context, owner string, a *box.PlacementRequest, answer func(*box.Reply) error) error
 
 	candidates *candidateCache
 	loadAge    *metrics.Histogram
 	members    *member.Table
 	metrics    *metric.Set
-	mutex      sync.Mutex // guards prompts and router; only that of its lengths is taken under it
+	mutex      sync.Mutex // guards prompts and router; only the lock of the router's Lengths is taken while it is held
 	prompts    *policy.Prompts
 	router     *policy.Router
 	view       *resource.View
 }
 
-// rerouteInterval is the time between looks for a better upstream while work waits at one.
+// rerouteInterval is how often queued work checks for a better upstream.
 const rerouteInterval = time.Second
 
-// NewReserved returns a placement over the upstreams in v.
+// NewReserved returns a Reserved for the upstreams in v.
 func NewReserved(v *resource.View, m *member.Table, l *policy.Lengths, s *metric.Set, seed uint64) *Reserved {
 	return &Reserved{candidates: newCandidateCache(v, m), loadAge: s.Histogram(metric.LoadAge), members: m, metrics: s, prompts: policy.NewPrompts(), router: policy.NewRouter(l, seed), view: v}
 }
 
-// Guess returns the upstream that seems best for w without asking its owner, or
-// nil. It is for work that is better run without a place than not at all.
+// Guess returns the upstream that seems best for w without asking its owner, or nil. It is meant
+// for work that should run even if no place could be reserved.
 func (p *Reserved) Guess(w *policy.Work, avoid map[string]bool) *resource.Upstream {
 	return p.view.Upstream(p.route(w, avoid))
 }
 
-// RecordLoad takes in a load that an owner told.
-func (p *Reserved) RecordLoad(l *policy.Load) {
-	if l == nil {
-		return
-	}
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.router.UpdateLoad(*l)
-}
-
-// Place returns a place for w at an upstream that is not among those to avoid.
-// Its errors are of type fail.NotRun: nothing was sent anywhere.
+// Place reserves a place for w at an upstream that is not in avoid. Its errors are of kind
+// fail.NotRun: nothing was sent to any upstream.
 func (p *Reserved) Place(ctx context.Context, w *policy.Work, avoid map[string]bool) (*Place, error) {
 	ctx, cancel := context.WithDeadline(ctx, waitDeadline(w))
 	defer cancel()
@@ -80,30 +70,19 @@
 	}
 }
 
-// drainReplies returns the answer that may still stand in replies once the
-// exchange has ended, or its error.
-func (p *Reserved) drainReplies(ctx context.Context, err error, replies <-chan *box.Reply, owner string, began time.Time, place fail.Place) (*policy.Answer, error) {
-	for {
-		select {
-		case r := <-replies:
-			if a := p.finalAnswer(r); a != nil {
-				return a, nil
-			}
-			continue
-		default:
-		}
-		if ctx.Err() == nil && owner != p.members.Self().Name {
-			p.members.RecordFailure(owner, began, time.Now())
-		}
-		if err == nil {
-			err = fail.New(fail.Unavailable, place, "owner_lost", "the owner hung up")
-		}
-		return nil, err
+// RecordLoad records the load of an upstream as reported by its owner; nil is ignored.
+func (p *Reserved) RecordLoad(l *policy.Load) {
+	if l == nil {
+		return
 	}
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.router.UpdateLoad(*l)
 }
 
-// ask asks u's owner and waits while w is queued, but no longer than wait, after which it
-// returns errQueued, or until a much better upstream is known.
+// ask asks u's owner for a place and returns its final answer. While w is queued it waits for at
+// most the given time, after which it returns errQueued, or until a much better upstream is
+// known, in which case it returns a rerouteError.
 func (p *Reserved) ask(ctx context.Context, u *resource.Upstream, w *policy.Work, wait time.Duration) (*policy.Answer, error) {
 	owner := policy.First(u.Name, p.members.Alive(u.Spec.Hall))
 	place := fail.Place{Peer: "box " + owner, Step: "ask"}
@@ -145,7 +124,22 @@
 	}
 }
 
-// betterUpstream returns an upstream that is much better for w than the one where it waits,
+// backOff counts a retry and waits before the next request, for a time that depends on the
+// number of consecutive failures; err is the last of them, or nil if the upstream has another
+// owner now.
+func (p *Reserved) backOff(ctx context.Context, failures int, err error) {
+	r := string(policy.ReasonMoved)
+	if err != nil {
+		r = fail.Reason(err)
+	}
+	p.metrics.Count(metric.Retries, "reason", r)
+	select {
+	case <-ctx.Done():
+	case <-time.After(time.Until(policy.Backoff(time.Now(), failures, rand.Float64()))):
+	}
+}
+
+// betterUpstream returns an upstream that is much better for w than the one where it is queued,
 // or "".
 func (p *Reserved) betterUpstream(w *policy.Work, at string) string {
 	now := time.Now()
@@ -155,8 +149,8 @@
 	return p.router.BetterUpstream(w, at, c, now)
 }
 
-// chooseUpstream returns the upstream to ask about, or nil where those that there are
-// have no owner that could be asked. An error means that there are none.
+// chooseUpstream returns the upstream to ask for a place, or nil if none of those left has an
+// owner that can be asked. It returns an error if no upstream is left.
 func (p *Reserved) chooseUpstream(w *policy.Work, skip map[string]bool, next string) (*resource.Upstream, error) {
 	if next == "" {
 		next = p.route(w, skip)
@@ -168,7 +162,30 @@
 	return p.view.Upstream(next), nil
 }
 
-// exchange makes one ask and passes its replies on until the last.
+// drainReplies returns the final answer if it is still buffered in replies after the exchange
+// has ended, or else the exchange's error. Without an answer it also marks the owner as failed,
+// unless the owner is this box or ctx has ended.
+func (p *Reserved) drainReplies(ctx context.Context, err error, replies <-chan *box.Reply, owner string, began time.Time, place fail.Place) (*policy.Answer, error) {
+	for {
+		select {
+		case r := <-replies:
+			if a := p.finalAnswer(r); a != nil {
+				return a, nil
+			}
+			continue
+		default:
+		}
+		if ctx.Err() == nil && owner != p.members.Self().Name {
+			p.members.RecordFailure(owner, began, time.Now())
+		}
+		if err == nil {
+			err = fail.New(fail.Unavailable, place, "owner_lost", "the owner ended the call without a final answer")
+		}
+		return nil, err
+	}
+}
+
+// exchange sends one request for a place and forwards the replies until the last.
 func (p *Reserved) exchange(ctx context.Context, owner string, a *box.PlacementRequest, replies chan<- *box.Reply) error {
 	pass := func(r *box.Reply) error {
 		select {
@@ -185,8 +202,8 @@
 	return p.Call(ctx, owner, a, pass)
 }
 
-// finalAnswer takes in a reply and returns its answer, unless that is a place in the
-// queue, which another answer follows.
+// finalAnswer records the load in a reply and returns its answer, or nil if the work is queued,
+// so that another answer follows.
 func (p *Reserved) finalAnswer(r *box.Reply) *policy.Answer {
 	p.RecordLoad(r.Load)
 	if r.Answer == nil || r.Answer.Verdict == policy.VerdictQueue {
@@ -195,25 +212,18 @@
 	return r.Answer
 }
 
-// observePrompt reports whether the prompt of w is large for its kind, and learns it.
+// observePrompt records the size of the prompt of w, and reports whether it is large for its
+// kind of work.
 func (p *Reserved) observePrompt(w *policy.Work) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.prompts.Observe(w)
 }
 
-// waitError returns the refusal of work whose time ran out, or whose caller went.
-func (p *Reserved) waitError(ctx context.Context, w *policy.Work) error {
-	place := fail.Place{Peer: "upstreams", Step: "wait for a place"}
-	if time.Now().Before(waitDeadline(w)) {
-		return fail.Wrap(fail.NotRun, place, "caller_gone", ctx.Err())
-	}
-	return fail.WithRetryAt(fail.New(fail.NotRun, place, string(policy.ReasonDeadline), "the deadline passed in the queue"), time.Now())
-}
-
-// waitDeadline returns until when work may wait for a place: later its caller would go before
-// its first token came, and is better told while it is there. How long a prompt takes to be
-// read is an estimate, so that any work may wait for half of its caller's patience.
+// waitDeadline returns until when work may wait for a place. After that its caller would
+// disconnect before the first token, so it is better refused while the caller is still
+// connected. The time that a prompt takes to be read is only an estimate, so any work may wait
+// for at least half of the time that its caller waits for the first token.
 func waitDeadline(w *policy.Work) time.Time {
 	b := policy.LatestStart(w)
 	if b.IsZero() {
@@ -228,18 +238,21 @@
 	return w.Deadline
 }
 
-// upstreamLeft reports whether an upstream is left that runs w's model and takes new work.
-func (p *Reserved) upstreamLeft(w *policy.Work, skip map[string]bool) bool {
+// route returns the name of the upstream to ask for a place, or "" if all candidates are in
+// skip.
+func (p *Reserved) route(w *policy.Work, skip map[string]bool) string {
 	now := time.Now()
-	for _, u := range p.view.UpstreamsOfModel(w.Model) {
-		if u.AcceptsWork(now) && !skip[u.Name] {
-			return true
-		}
+	c := p.candidates.get(w, now)
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	n := p.router.Choose(w, c, now, func(n string) bool { return !skip[n] })
+	if l, ok := p.router.Load(n); ok {
+		p.loadAge.Update(now.Sub(l.AsOf).Seconds())
 	}
-	return false
+	return n
 }
 
-// unavailableReason returns why no upstream is left for w.
+// unavailableReason returns why no upstream accepts w.
 func (p *Reserved) unavailableReason(w *policy.Work) policy.Reason {
 	for _, u := range p.view.UpstreamsOfModel(w.Model) {
 		if u.Evacuated() {
@@ -249,29 +262,23 @@
 	return policy.ReasonNoUpstream
 }
 
-// backOff waits before the next ask after some failures in a row, of which err was the
-// last, and counts it.
-func (p *Reserved) backOff(ctx context.Context, failures int, err error) {
-	r := string(policy.ReasonMoved)
-	if err != nil {
-		r = fail.Reason(err)
-	}
-	p.metrics.Count(metric.Retries, "reason", r)
-	select {
-	case <-ctx.Done():
-	case <-time.After(time.Until(policy.Backoff(time.Now(), failures, rand.Float64()))):
+// upstreamLeft reports whether any upstream outside skip serves w's model and accepts new work.
+func (p *Reserved) upstreamLeft(w *policy.Work, skip map[string]bool) bool {
+	now := time.Now()
+	for _, u := range p.view.UpstreamsOfModel(w.Model) {
+		if u.AcceptsWork(now) && !skip[u.Name] {
+			return true
+		}
 	}
+	return false
 }
 
-// route returns the name of the upstream to ask about, among those not to skip, or "".
-func (p *Reserved) route(w *policy.Work, skip map[string]bool) string {
-	now := time.Now()
-	c := p.candidates.get(w, now)
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	n := p.router.Choose(w, c, now, func(n string) bool { return !skip[n] })
-	if l, ok := p.router.Load(n); ok {
-		p.loadAge.Update(now.Sub(l.AsOf).Seconds())
+// waitError returns the error for work that got no place before its deadline or before its
+// caller disconnected.
+func (p *Reserved) waitError(ctx context.Context, w *policy.Work) error {
+	place := fail.Place{Peer: "upstreams", Step: "wait for a place"}
+	if time.Now().Before(waitDeadline(w)) {
+		return fail.Wrap(fail.NotRun, place, "caller_gone", ctx.Err())
 	}
-	return n
+	return fail.WithRetryAt(fail.New(fail.NotRun, place, string(policy.ReasonDeadline), "the deadline passed while waiting for a place"), time.Now())
 }
--- a/internal/placement/reserved_test.go
+++ b/internal/placement/reserved_test.go
@@ -10,7 +10,7 @@
 	"github.com/linetiller/linetiller/internal/policy"
 )
 
-// BenchmarkGuess chooses among 45 and 3,000 engines of three halls.
+// BenchmarkGuess chooses one of 45 and one of 3,000 engines in three halls.
 func BenchmarkGuess(b *testing.B) {
 	for _, n := range []int{45, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -24,7 +24,7 @@
 	}
 }
 
-// BenchmarkPlan orders 24 runs that leave an engine and chooses one of 45 engines for
+// BenchmarkPlan sorts 24 runs on an engine that is leaving, and chooses one of 45 engines for
 // each.
 func BenchmarkPlan(b *testing.B) {
 	v, m := testView(45, 75)
--- a/internal/placement/search.go
+++ b/internal/placement/search.go
@@ -13,53 +13,57 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// search is the search for one place. It is used by one goroutine.
+// search is the search for a place for one request. It is used by one goroutine only.
 type search struct {
-	failures        int       // asks in a row to which no owner answered
+	failures        int       // consecutive requests for a place that no owner answered
 	unansweredSince time.Time // when the first of them failed
-	preferred       string    // the upstream to ask about, where one is known to be better
+	preferred       string    // the upstream to ask next, if a better one is known
 	placement       *Reserved
-	queued          map[string]bool // upstreams where it would have to wait, in this round
-	rounds          int             // waits at one upstream that ended without a place
-	refusals        int             // upstreams that refused for want of room
-	skip            map[string]bool // upstreams to avoid, and those that refused
+	queued          map[string]bool // upstreams that would queue the work, in this round
+	rounds          int             // waits in the queue of one upstream that ended without a place
+	refusals        int             // upstreams that refused, except for an evacuation
+	skip            map[string]bool // upstreams that the caller avoids, and those that refused
 	work            *policy.Work
 }
 
 const (
-	// maxRefusals is how many upstreams' refusals for want of room end the search. Large prompts,
-	// which few upstreams have room for, are looked for longer: with three for them, too, half
-	// as many of the largest tenth are served (TestLargePromptsAreServedUnderACrowd). Six or more
-	// for all hold many until their callers go who are refused in the end.
+	// maxRefusals is how many upstreams may refuse the work for lack of capacity before the
+	// search ends. The search for large prompts, for which few upstreams have capacity, is
+	// longer: with a limit of 3 for them, too, half as many of the largest tenth are served
+	// (TestLargePromptsAreServedUnderACrowd). With 6 or more for all work, many callers who are
+	// refused in the end wait until they disconnect.
 	maxRefusals      = 3
 	maxRefusalsLarge = 6
-	// maxProbes and maxProbesAway are how many upstreams are asked, of all halls and then of
-	// others, before work waits at one: an ask takes 3 ms. Four and four cost 0.012 of the
-	// worth of crowded days, as the mean of three. Later rounds, of which there are many where
-	// all engines are full, ask fewer.
+	// maxProbes and maxProbesAway are how many upstreams are probed, in any hall and then in
+	// other halls, before the work waits in the queue of one; a probe takes 3 ms. Limits of 4
+	// and 4 cost 0.012 of the worth of overloaded benchmark days (mean of three). Later rounds,
+	// of which there are many when all engines are full, probe fewer.
 	maxProbes          = 8
 	maxProbesAway      = 8
 	maxProbesLater     = 2
 	maxProbesAwayLater = 2
-	// initialQueueWait is how long work waits at one upstream before it looks around again:
-	// places elsewhere get free meanwhile, where 80 streams a second end one each 12 ms; it
-	// is worth 0.016 of crowded days and 0.040 of a quiet one. It doubles with
-	// each round, up to maxQueueWait, so that much work which waits long asks little.
+	// initialQueueWait is how long work waits in the queue of one upstream before it probes
+	// others again. Places become free elsewhere meanwhile: with 80 streams ending per second,
+	// one ends every 12 ms. Probing again is worth 0.016 of overloaded benchmark days and 0.040
+	// of a quiet one. The wait doubles with each round, up to maxQueueWait, so that a large
+	// amount of work that waits for long causes few probes.
 	initialQueueWait = 200 * time.Millisecond
 	maxQueueWait     = 3200 * time.Millisecond
-	ownerTimeout     = 10 * time.Second // of finding no owner that answers, after which work is refused
+	ownerTimeout     = 10 * time.Second // work is refused after no owner has answered for so long
 )
 
-// errQueued says that work would have to wait where it was asked for.
-var errQueued = errors.New("it would have to wait")
+// errQueued says that the upstream would queue the work, or has queued it for as long as it was
+// to wait.
+var errQueued = errors.New("work is queued at the upstream")
 
-// rerouteError says that an ask is better made at another upstream.
+// rerouteError says that the work should be placed at another upstream, which is better.
 type rerouteError struct{ to string }
 
-func (e rerouteError) Error() string { return "moved to " + e.to }
+func (e rerouteError) Error() string { return "better upstream known: " + e.to }
 
-// choose returns the upstream to ask about next, and how long to wait there. Those
-// where the work would have to wait are passed over a few times, while there are others.
+// choose returns the upstream to ask next, and how long to wait in its queue; 0 makes the
+// request a probe. Upstreams that would queue the work are passed over until the limits of
+// probes are reached.
 func (s *search) choose() (u *resource.Upstream, wait time.Duration, err error) {
 	p := s.placement
 	next := s.preferred
@@ -77,7 +81,8 @@
 	return u, wait, err
 }
 
-// probeLimits returns how many upstreams are asked in this round, of all halls and then of others.
+// probeLimits returns how many upstreams are probed in this round, in any hall and then in other
+// halls.
 func (s *search) probeLimits() (anyHall, otherHalls int) {
 	if s.rounds > 0 {
 		return maxProbesLater, maxProbesAwayLater
@@ -85,9 +90,10 @@
 	return maxProbes, maxProbesAway
 }
 
-// nextProbe returns an upstream at which the work might start at once, or nil: in any hall at
-// first, and once it would have to wait at several, in the other halls. A run there ends
-// with a cut between the halls, but one that waits comes late.
+// nextProbe returns the next upstream to probe, at which the work might start at once, or nil.
+// The first anyHall upstreams are of any hall, the others of halls other than that of the work:
+// a run there ends if the halls are disconnected, but work that is queued starts late. A run
+// that is being moved is limited to the first anyHall.
 func (s *search) nextProbe(anyHall int) *resource.Upstream {
 	p, w := s.placement, s.work
 	exclude := maps.Clone(s.skip)
@@ -107,8 +113,8 @@
 	return p.view.Upstream(p.route(w, exclude))
 }
 
-// step asks about one upstream. It returns neither a place nor an error where the
-// search goes on.
+// step asks one upstream for a place. If it returns neither a place nor an error, the search
+// continues.
 func (s *search) step(ctx context.Context) (*Place, error) {
 	p := s.placement
 	u, wait, err := s.choose()
@@ -138,8 +144,8 @@
 	return nil, s.handleFailure(ctx, err)
 }
 
-// queueWait returns how long the work waits at one upstream in this round. The time of a run
-// that is moved is bounded by its mover.
+// queueWait returns how long the work waits in the queue of one upstream in this round. For a
+// run that is being moved, the code that moves it bounds the total time.
 func (s *search) queueWait() time.Duration {
 	if s.work.Moved {
 		return maxQueueWait
@@ -147,8 +153,8 @@
 	return min(maxQueueWait, initialQueueWait<<min(s.rounds, 8))
 }
 
-// recordWait takes in that the work did not start at an upstream for some time: it looks at
-// others, anew where it has been patient.
+// recordWait records that the work did not start at an upstream. After a probe, that upstream is
+// passed over for the rest of the round; after a wait in its queue, a new round begins.
 func (s *search) recordWait(u *resource.Upstream, wait time.Duration) {
 	if wait == 0 {
 		s.queued[u.Name] = true
@@ -158,8 +164,8 @@
 	s.rounds++
 }
 
-// handleFailure waits after an ask to which no owner answered, and gives up where
-// none has answered for long.
+// handleFailure backs off after a request that no owner answered, and returns an error if none
+// has answered for ownerTimeout.
 func (s *search) handleFailure(ctx context.Context, err error) error {
 	s.failures++
 	if s.unansweredSince.IsZero() {
@@ -172,8 +178,8 @@
 	return nil
 }
 
-// handleRefusal goes on at another upstream after a refusal, while there is one
-// and not too many have refused.
+// handleRefusal excludes the upstream that refused, and returns the refusal as an error if too
+// many upstreams have refused or none is left.
 func (s *search) handleRefusal(u *resource.Upstream, a *policy.Answer) error {
 	s.skip[u.Name] = true
 	if a.Reason != policy.ReasonEvacuated {
@@ -186,7 +192,7 @@
 	return nil
 }
 
-// refusalLimit returns how many refusals for want of room end the search.
+// refusalLimit returns how many refusals for lack of capacity end the search.
 func (s *search) refusalLimit() int {
 	if s.work.Large {
 		return maxRefusalsLarge
@@ -194,7 +200,8 @@
 	return maxRefusals
 }
 
-// noOwnerError refuses work for whose upstreams no owner could be asked.
+// noOwnerError returns the error for work for which no owner could be asked; err is the last
+// failure, or nil.
 func noOwnerError(w *policy.Work, err error) error {
 	p := fail.Place{Peer: "boxes", Step: "ask"}
 	if err == nil {
--- a/internal/placement/search_test.go
+++ b/internal/placement/search_test.go
@@ -15,12 +15,13 @@
 	"github.com/linetiller/linetiller/internal/policy"
 )
 
-// newFullHalls returns a placement before 60 engines in three halls, of which those of the
-// halls named have no room: work waits there. It counts the asks by hall.
+// newFullHalls returns a Reserved with 60 engines in three halls. The engines of the halls named
+// are full and queue all work; the others start it. asked returns the number of requests for
+// places by hall.
 func newFullHalls(full ...string) (p *Reserved, asked func() map[string]int) {
 	v, m := testView(60, 6)
 	p = NewReserved(v, m, policy.NewLengths(), metric.NewSet(), 1)
-	var mutex sync.Mutex // an ask that is given up may still be under way
+	var mutex sync.Mutex // a cancelled request may still be in progress
 	counts := make(map[string]int)
 	asked = func() map[string]int {
 		mutex.Lock()
@@ -47,9 +48,10 @@
 	return p, asked
 }
 
-// TestFullHallIsLeftBeforeWorkWaits asks for places from a hall in which none of twenty
-// engines has room, while others have: a stream that waits at home comes late, which costs
-// most of its worth, while one elsewhere ends early only where the halls are cut off.
+// TestFullHallIsLeftBeforeWorkWaits guards against work that waits in the queue of its own hall
+// while other halls have capacity: all twenty engines of its hall are full. A queued stream
+// starts late, which costs most of its worth, while one in another hall ends early only if the
+// halls are disconnected.
 func TestFullHallIsLeftBeforeWorkWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, asked := newFullHalls("h0")
@@ -62,13 +64,14 @@
 			}
 		}
 		if got, most := asked()["h0"], 20*maxProbes; got > most {
-			t.Errorf("asks in the full hall: got %d, want at most %d", got, most)
+			t.Errorf("requests in the full hall: got %d, want at most %d", got, most)
 		}
 	})
 }
 
-// TestWorkLooksAgainWhileItWaits has no engine of 60 with room, until one gets free that is
-// not where the work waits: it starts there soon, long before its target.
+// TestWorkLooksAgainWhileItWaits guards against work that stays in the queue of one upstream
+// while another becomes free: all 60 engines are full until those of another hall get capacity.
+// The work must start there soon, long before its target time.
 func TestWorkLooksAgainWhileItWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newFullHalls("h0", "h1", "h2")
@@ -107,8 +110,8 @@
 	})
 }
 
-// TestWorkWaitsWhereAllHallsAreFull asks where no engine has room: a few are asked in each
-// of the halls, and then the work waits.
+// TestWorkWaitsWhereAllHallsAreFull checks that, when no engine has capacity, a few engines of
+// each hall are probed before the work waits in a queue.
 func TestWorkWaitsWhereAllHallsAreFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, asked := newFullHalls("h0", "h1", "h2")
@@ -123,14 +126,14 @@
 			total += n
 		}
 		if most := maxProbes + maxProbesAway + 1; total > most || counts["h0"] == 0 || counts["h1"]+counts["h2"] == 0 {
-			t.Errorf("asks by hall: got %v, want some in each, and at most %d", counts, most)
+			t.Errorf("requests by hall: got %v, want some in the hall of the work and in the others, and at most %d", counts, most)
 		}
 	})
 }
 
-// TestSearchForLargePromptsOutlastsAFewRefusals has one engine of six with room, while the others
-// refuse what would come too late there: most large prompts among others find a place, and what
-// finds none hears it at once.
+// TestSearchForLargePromptsOutlastsAFewRefusals gives capacity to one engine in six, while the
+// others refuse at once because the work would start too late there. Most large prompts must get
+// a place, and work that gets none must be refused quickly.
 func TestSearchForLargePromptsOutlastsAFewRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newFullHalls()
@@ -157,7 +160,7 @@
 			w := &policy.Work{Arrived: began, Deadline: began.Add(time.Minute), ID: "id", MaxTokens: 400, Model: "m", Prompt: 1000 + i%10*200}
 			_, err := p.Place(t.Context(), w, nil)
 			if got, most := time.Since(began), 40*time.Millisecond; got > most {
-				t.Errorf("an answer: got it after %v, want it within %v", got, most)
+				t.Errorf("answer: got it after %v, want it within %v", got, most)
 			}
 			if w.Large {
 				large++
@@ -172,9 +175,10 @@
 	})
 }
 
-// TestWorkIsRefusedWhileItsCallerIsThere asks where no engine has room, for a caller who goes
-// after two seconds: it is told as soon as a prompt that takes 0.4 s to be read would come in
-// vain, and not as it goes.
+// TestWorkIsRefusedWhileItsCallerIsThere guards against refusals that come only when the caller
+// disconnects. No engine has capacity, and the caller waits two seconds for its first token: it
+// must be refused as soon as its prompt, which takes 0.4 s to be read, could no longer be read
+// in time.
 func TestWorkIsRefusedWhileItsCallerIsThere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newFullHalls("h0", "h1", "h2")
@@ -190,8 +194,9 @@
 	})
 }
 
-// TestPromptsThatTakeLongAreNotGivenUp asks for a place for a prompt that is thought to take longer
-// to be read than its caller waits: an engine that has room is asked all the same.
+// TestPromptsThatTakeLongAreNotGivenUp guards against refusing a prompt merely because its
+// estimated reading time exceeds the time that its caller waits: an engine with capacity must
+// still be asked.
 func TestPromptsThatTakeLongAreNotGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newFullHalls()
--- a/internal/placement/crowd_test.go
+++ b/internal/placement/surge_test.go
@@ -20,13 +20,13 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// The crowd: engines of a fleet that read 14 tokens of prompts a millisecond alone and half of
-// that beside others, and whose memory six long streams fill. Callers of two routes bring
-// four times what they usually do for eight seconds, while a fifth of the engines is dark.
+// A surge in load. The engines read 14 prompt tokens/ms when idle and half of that beside other
+// generations, and six long streams fill the memory of one. The callers of two routes send four
+// times their usual load for eight seconds, while a fifth of the engines is unavailable.
 const (
 	surgeStart          = 3 * time.Second
 	surgeEnd            = surgeStart + 8*time.Second
-	surgeEngineCount    = 16 // of 20
+	surgeEngineCount    = 16 // of 20; the others are unavailable
 	surgeReportInterval = 500 * time.Millisecond
 	surgeLastArrival    = surgeEnd + 3*time.Second
 	surgeTick           = 20 * time.Millisecond
@@ -37,12 +37,12 @@
 	KVTokens: 21_878, MaxRunning: 24, PrefillChunk: 113, PrefillToken: time.Second / 14_000, StepBase: 7 * time.Millisecond,
 }
 
-// surgeRoute is one route's work.
+// surgeRoute describes the requests of one route.
 type surgeRoute struct {
 	name                string
-	perSecond           float64 // usually
-	prompt, promptSigma float64 // tokens, the mean, and the standard deviation of its logarithm
-	output              float64 // tokens
+	perSecond           float64 // outside of the surge
+	prompt, promptSigma float64 // mean in tokens, and the standard deviation of the logarithm
+	output              float64 // mean in tokens
 	priority            int
 	deadline, patience  time.Duration
 	target              time.Duration
@@ -53,18 +53,18 @@
 	{name: "check", perSecond: 18.2, prompt: 2550, promptSigma: 0.5, output: 10, priority: 8, deadline: 6 * time.Second, patience: 6 * time.Second, target: 1500 * time.Millisecond},
 }
 
-// surgeRequest is one request and what became of it.
+// surgeRequest is one request and its outcome.
 type surgeRequest struct {
-	refusalTime time.Duration // until it was refused, of all its tries
+	refusalTime time.Duration // total time to a refusal, over all attempts
 	route       *surgeRoute
 	onTime      bool
 	output      int
 	prompt      int
-	refusals    map[string]int // by reason and what was lacking
+	refusals    map[string]int // counts by reason and shortage
 	served      bool
 }
 
-// surgeEngine is an engine with its owner.
+// surgeEngine is a simulated engine with its owner.
 type surgeEngine struct {
 	mutex     sync.Mutex
 	owner     *policy.Owner
@@ -72,7 +72,7 @@
 	waiters   map[string]chan policy.Answer
 }
 
-// surge is one play.
+// surge is one simulation.
 type surge struct {
 	requests  []*surgeRequest
 	engines   map[string]*surgeEngine
@@ -80,7 +80,7 @@
 	random    *rand.Rand
 }
 
-// newSurge returns engines that are idle.
+// newSurge returns a simulation with idle engines.
 func newSurge(seed uint64) *surge {
 	v, m := testView(0, 6)
 	l := policy.NewLengths()
@@ -109,7 +109,7 @@
 	return c
 }
 
-// ask answers an ask as the owner of its engine.
+// ask answers a request for a place as the engine's owner, with 1.5 ms of latency each way.
 func (c *surge) ask(ctx context.Context, a *box.PlacementRequest, answer func(*box.Reply) error) {
 	time.Sleep(1500 * time.Microsecond)
 	e := c.engines[a.Upstream]
@@ -139,7 +139,7 @@
 	}
 }
 
-// run lets an engine compute until the context ends.
+// run simulates an engine until the context ends.
 func (e *surgeEngine) run(ctx context.Context) {
 	report, next := time.Now(), time.Now()
 	for ctx.Err() == nil {
@@ -181,8 +181,8 @@
 	}
 }
 
-// send carries one request, and once more where it is refused: its caller comes back when it
-// is told to.
+// send sends one request, and once more if it is refused, at the retry time given in the refusal
+// or after 5 s, whichever is first.
 func (c *surge) send(ctx context.Context, x *surgeRequest, id string) {
 	began := time.Now()
 	for try := range 2 {
@@ -215,7 +215,7 @@
 	}
 }
 
-// run lets callers come until the crowd is over.
+// run sends requests until the surge is over and the requests have ended.
 func (c *surge) run(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var g sync.WaitGroup
@@ -239,10 +239,10 @@
 	time.Sleep(10 * time.Second)
 	cancel()
 	g.Wait()
-	time.Sleep(surgeTick) // asks that were given up end
+	time.Sleep(surgeTick) // let cancelled requests for places end
 }
 
-// drawRequest returns a caller.
+// drawRequest returns a random request.
 func (c *surge) drawRequest() *surgeRequest {
 	k := &surgeRoutes[0]
 	if c.random.Float64()*(surgeRoutes[0].perSecond+surgeRoutes[1].perSecond) > surgeRoutes[0].perSecond {
@@ -253,7 +253,7 @@
 	return &surgeRequest{route: k, output: max(1, int(o)), prompt: int(min(6300, max(400, p))), refusals: make(map[string]int)}
 }
 
-// refusals returns the counts of refusals, by kind, reason and what was lacking.
+// refusals returns the counts of refusals, by route, reason and shortage.
 func (c *surge) refusals() map[string]int {
 	m := make(map[string]int)
 	for _, x := range c.requests {
@@ -264,13 +264,13 @@
 	return m
 }
 
-// tally counts the callers of one kind and size.
+// tally counts the requests of one route within a range of prompt sizes.
 type tally struct {
-	refusalTime           time.Duration // by what was refused and not served, in all
+	refusalTime           time.Duration // total, of the requests that were not served
 	onTime, total, served int
 }
 
-// add counts the callers of a kind, from one share of them by size to another.
+// add counts the requests of a route between two quantiles of prompt size.
 func (s *tally) add(c *surge, route string, from, to float64) {
 	var l []*surgeRequest
 	for _, x := range c.requests {
@@ -292,24 +292,24 @@
 	}
 }
 
-// servedShare returns the share that was served.
+// servedShare returns the share of requests that were served.
 func (s *tally) servedShare() float64 { return float64(s.served) / float64(s.total) }
 
-// TestLargePromptsAreServedUnderACrowd brings the callers of two routes four times as often for
-// eight seconds while a fifth of the engines is dark.
+// TestLargePromptsAreServedUnderACrowd guards against starvation of large prompts under a surge
+// in load while a fifth of the engines is unavailable.
 //
-// Seen by users of such a fleet: of the largest tenth of the short answers 0.2 were served, of
-// all of them 0.4. Here, before the repair, 0.12 against 0.53, and of long streams 0.26
-// against 0.66. It came about as every engine was kept nearly full: each gap went to the first
-// work that fitted in it, cheap classes went before dear ones, and three refusals ended a
-// search. That was proved by taking each apart in this test: neither one class for all, nor
-// bounds that take all prompts as equal, nor waits of any length, changed it alone; it went
-// once the large ones had the first turn and a longer search.
+// Users of such a fleet reported it: 0.2 of the largest tenth of the short answers were served,
+// against 0.4 of all. Here it was 0.12 against 0.53 before the fix, and 0.26 against 0.66 for
+// long streams. Every engine was nearly full, so that each gap in memory went to the first work
+// that fitted, cheap classes went before expensive ones, and three refusals ended a search. Each
+// cause was isolated in this test: one class for all work, bounds that treat all prompts as
+// equal, and waits of any length did not help alone; precedence for large prompts together with
+// a longer search did.
 func TestLargePromptsAreServedUnderACrowd(t *testing.T) {
 	sizes := []struct {
 		name     string
 		from, to float64
-		least    float64 // of the share of all that are served
+		minShare float64 // minimum, relative to the served share of all sizes
 	}{
 		{"smallest half", 0, 0.5, 0}, {"fifth above", 0.5, 0.7, 0}, {"fifth below the largest", 0.7, 0.9, 0.7}, {"largest tenth", 0.9, 1, 0.65},
 	}
@@ -338,8 +338,8 @@
 		for i, x := range sizes {
 			s := &bySize[k][i]
 			t.Logf("  %s: served %.2f, in time %.2f", x.name, s.servedShare(), float64(s.onTime)/float64(s.total))
-			if got, want := s.servedShare(), x.least*a.servedShare(); got < want {
-				t.Errorf("%s, %s: got %.2f of them served, want at least %.2f, as %.2f of all were", k, x.name, got, want, a.servedShare())
+			if got, want := s.servedShare(), x.minShare*a.servedShare(); got < want {
+				t.Errorf("%s, %s: got %.2f served, want at least %.2f, since %.2f of all sizes were", k, x.name, got, want, a.servedShare())
 			}
 		}
 	}
--- a/internal/placement/tracker.go
+++ b/internal/placement/tracker.go
@@ -10,21 +10,21 @@
 	"github.com/linetiller/linetiller/internal/policy"
 )
 
-// Tracker tells owners how far the generations that this box holds are. It is
-// safe for concurrent use.
+// Tracker reports to the owners of upstreams the progress of the generations that this box
+// relays. It is safe for concurrent use.
 type Tracker struct {
-	// Send sends an update to the owner of its upstream; a seam.
+	// Send sends an update to the owner of its upstream. It must be set before Run.
 	Send func(ctx context.Context, u *box.ProgressReport) (*box.Reply, error)
 
-	firstTokens map[*Generation]bool                // have their first token since the last update
-	finished    map[string][]box.GenerationProgress // by upstream: ended since the last update
+	firstTokens map[*Generation]bool                // that got their first token since the last update
+	finished    map[string][]box.GenerationProgress // by upstream: generations that ended since the last update
 	recordLoad  func(*policy.Load)
-	mutex       sync.Mutex // no other lock is taken under it
+	mutex       sync.Mutex // no other lock is taken while it is held
 	running     map[string]*Generation
 	wake        chan struct{}
 }
 
-// Generation is a generation that this box holds.
+// Generation is a running generation that this box relays.
 type Generation struct {
 	Produced atomic.Int64 // tokens so far
 
@@ -33,32 +33,27 @@
 }
 
 const (
-	sendTimeout    = 2 * time.Second
-	updateInterval = 500 * time.Millisecond
-	updateWorkers  = 8
+	sendTimeout    = 2 * time.Second        // of one update, including the second one for unknown generations
+	updateInterval = 500 * time.Millisecond // between updates of all running generations
+	updateWorkers  = 8                      // updates sent concurrently
 )
 
-// NewTracker returns a tracker that hands the loads it is told to learn.
+// NewTracker returns a tracker that passes the loads in the replies of owners to recordLoad.
 func NewTracker(recordLoad func(*policy.Load)) *Tracker {
 	return &Tracker{
 		firstTokens: make(map[*Generation]bool), finished: make(map[string][]box.GenerationProgress), recordLoad: recordLoad, running: make(map[string]*Generation), wake: make(chan struct{}, 1),
 	}
 }
 
-// FirstToken says that a generation has its first token: its prompt is read, and others may
-// have theirs read.
-func (t *Tracker) FirstToken(r *Generation) {
+// Count returns the number of generations that this box relays.
+func (t *Tracker) Count() int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.running[r.work.ID] != r {
-		return
-	}
-	t.firstTokens[r] = true
-	t.wakeRun()
+	return len(t.running)
 }
 
-// Finish says that a generation holds nothing any more; ended tells whether it
-// reached its own end.
+// Finish stops tracking a generation, which no longer uses its upstream; ended says whether it
+// completed, as opposed to being cut off.
 func (t *Tracker) Finish(r *Generation, ended bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -70,15 +65,20 @@
 	t.wakeRun()
 }
 
-// Count returns how many generations this box holds.
-func (t *Tracker) Count() int {
+// FirstToken reports that a generation has its first token. The owner is told at once: the
+// prompt has been read, so that the upstream can read others.
+func (t *Tracker) FirstToken(r *Generation) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return len(t.running)
+	if t.running[r.work.ID] != r {
+		return
+	}
+	t.firstTokens[r] = true
+	t.wakeRun()
 }
 
-// Run sends updates until the context ends: ended generations at once, running
-// ones regularly.
+// Run sends updates until the context ends: first tokens and ended generations at once, all
+// running generations every updateInterval.
 func (t *Tracker) Run(ctx context.Context) {
 	var g sync.WaitGroup
 	updates := make(chan *box.ProgressReport)
@@ -107,7 +107,7 @@
 	g.Wait()
 }
 
-// Start begins to track a generation.
+// Start begins tracking a generation of w at an upstream.
 func (t *Tracker) Start(w *policy.Work, upstream string) *Generation {
 	r := &Generation{upstream: upstream, work: *w}
 	t.mutex.Lock()
@@ -116,7 +116,7 @@
 	return r
 }
 
-// collect returns the updates that are due, one an upstream.
+// collect returns the updates that are due, by upstream; all includes every running generation.
 func (t *Tracker) collect(all bool) map[string]*box.ProgressReport {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -150,7 +150,23 @@
 	return m
 }
 
-// send sends an update, and again in full what the owner did not know of.
+// fullItems returns items that contain the full work of those of the generations that are still
+// running.
+func (t *Tracker) fullItems(ids []string) []box.GenerationProgress {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	var l []box.GenerationProgress
+	for _, id := range ids {
+		if r := t.running[id]; r != nil {
+			w := r.work
+			l = append(l, box.GenerationProgress{ID: id, Produced: int(r.Produced.Load()), Work: &w})
+		}
+	}
+	return l
+}
+
+// send sends an update, and a second one with the full work of the generations that the owner
+// did not know.
 func (t *Tracker) send(ctx context.Context, u *box.ProgressReport) {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
@@ -166,20 +182,7 @@
 	}
 }
 
-func (t *Tracker) fullItems(ids []string) []box.GenerationProgress {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	var l []box.GenerationProgress
-	for _, id := range ids {
-		if r := t.running[id]; r != nil {
-			w := r.work
-			l = append(l, box.GenerationProgress{ID: id, Produced: int(r.Produced.Load()), Work: &w})
-		}
-	}
-	return l
-}
-
-// wakeRun makes Run send what is new; the lock is held.
+// wakeRun makes Run send pending updates. The caller holds the mutex.
 func (t *Tracker) wakeRun() {
 	select {
 	case t.wake <- struct{}{}:
