--- a/assemble.go
+++ b/assemble.go
@@ -156,7 +156,7 @@
 	s := b.settings
 	services := service.NewRouter(b.view, b.keys, b.metrics)
 	services.Do = b.engines.Call
-	services.Rests = b.rests
+	services.Backoffs = b.rests
 	c := client.New(b.view, b.metrics, client.WithBodyBytes(s.Limits.BodyBytes), client.WithDeadline(s.Timeouts.Request.Duration))
 	c.CallService = services.Call
 	c.Generate = b.deliverer.Generate
--- a/bench_test.go
+++ b/bench_test.go
@@ -70,7 +70,7 @@
 	box := func(tokens int) error {
 		g := h.client(0)
 		g.HTTP = &http.Client{Transport: transport}
-		_, _, err := g.Run(b.Context(), &client.Ask{MaxTokens: tokens, Model: "fast", Prompt: "x"})
+		_, _, err := g.Run(b.Context(), &client.GenerationRequest{MaxTokens: tokens, Model: "fast", Prompt: "x"})
 		return err
 	}
 	many := func(f func(int) error) time.Duration {
--- a/callers_test.go
+++ b/callers_test.go
@@ -23,7 +23,7 @@
 		}
 		r.Header.Set("Authorization", "Bearer "+testKey)
 		if key != "" {
-			r.Header.Set(client.HeaderKey, key)
+			r.Header.Set(client.HeaderIdempotencyKey, key)
 		}
 		w, err := http.DefaultClient.Do(r)
 		if err != nil {
@@ -76,10 +76,10 @@
 		{"unknown model", "/v1/completions", `{"model":"no","prompt":"x"}`, "", "", "model_unknown", 404},
 		{"bad deadline", "/v1/completions", `{"model":"tiller-llm","prompt":"x"}`, client.HeaderDeadline, "soon", "bad_deadline", 400},
 		{"past deadline", "/v1/completions", `{"model":"tiller-llm","prompt":"x"}`, client.HeaderDeadline, "2020-01-01T00:00:00Z", "deadline", 503},
-		{"bad key", "/v1/completions", `{"model":"tiller-llm","prompt":"x"}`, client.HeaderKey, "a b", "bad_key", 400},
-		{"long key", "/v1/completions", `{"model":"tiller-llm","prompt":"x"}`, client.HeaderKey, strings.Repeat("k", 300), "bad_key", 400},
-		{"bad event id", "/v1/completions", `{"model":"tiller-llm","prompt":"x"}`, client.HeaderLast, "x", "bad_event_id", 400},
-		{"event id of no upstream", "/v1/completions", `{"model":"tiller-llm","prompt":"x"}`, client.HeaderLast, "no/g/1", "generation_unknown", 404},
+		{"bad key", "/v1/completions", `{"model":"tiller-llm","prompt":"x"}`, client.HeaderIdempotencyKey, "a b", "bad_key", 400},
+		{"long key", "/v1/completions", `{"model":"tiller-llm","prompt":"x"}`, client.HeaderIdempotencyKey, strings.Repeat("k", 300), "bad_key", 400},
+		{"bad event id", "/v1/completions", `{"model":"tiller-llm","prompt":"x"}`, client.HeaderLastEventID, "x", "bad_event_id", 400},
+		{"event id of no upstream", "/v1/completions", `{"model":"tiller-llm","prompt":"x"}`, client.HeaderLastEventID, "no/g/1", "generation_unknown", 404},
 		{"bad priority", "/v1/completions", `{"model":"tiller-llm","prompt":"x"}`, client.HeaderPriority, "no", "bad_priority", 400},
 		{"large body", "/v1/completions", `{"prompt":"` + strings.Repeat("x", 5<<20) + `"}`, "", "", "body_too_large", 400},
 		{"unknown path", "/v2", ``, "", "", "path_unknown", 404},
--- a/hall_test.go
+++ b/hall_test.go
@@ -69,7 +69,7 @@
 }
 
 func (h *hall) client(boxes ...int) *client.Generator {
-	g := &client.Generator{HTTP: &http.Client{}, Key: testKey, Taken: func(string, string) error { return nil }}
+	g := &client.Generator{HTTP: &http.Client{}, Key: testKey, OnToken: func(string, string) error { return nil }}
 	for _, b := range boxes {
 		g.Boxes = append(g.Boxes, "http://"+h.boxes[b].ClientAddress())
 	}
--- a/heartbeat.go
+++ b/heartbeat.go
@@ -37,7 +37,7 @@
 // heard marks a peer as alive and fetches what it is ahead by.
 func (b *Box) heard(ctx context.Context, q *box.Request) {
 	if b.members.RecordContact(q.From, time.Now()) {
-		event.PeerBack.Log(b.log, "box", q.From.Name)
+		event.PeerReachable.Log(b.log, "box", q.From.Name)
 	}
 	b.limits.heard(q.From.Name)
 	b.learnAll(q.Loads)
@@ -59,14 +59,14 @@
 	r, err := b.links.CallOnce(ctx, m.Address, b.request(q))
 	if err != nil {
 		if b.members.RecordFailure(m.Name, began, time.Now()) {
-			event.PeerLost.Log(b.log, "box", m.Name, "error", err.Error())
+			event.PeerUnreachable.Log(b.log, "box", m.Name, "error", err.Error())
 		}
 		return
 	}
 	m.State = r.State
 	b.learnAll(r.Loads)
 	if b.members.RecordContact(m, time.Now()) {
-		event.PeerBack.Log(b.log, "box", m.Name)
+		event.PeerReachable.Log(b.log, "box", m.Name)
 	}
 	if b.follower.CatchUp(ctx, m.Address, r.Revisions) == nil { // or the next heartbeat tries again
 		b.follower.HeardAge(r.ViewAge)
--- a/internal/account/try.go
+++ b/internal/account/try.go
@@ -61,7 +61,7 @@
 		return finishedCause(lines, end, a)
 	case event.RequestRefused.Number:
 		return refusedCause(end)
-	case event.CallerGone.Number:
+	case event.CallerDisconnected.Number:
 		for _, t := range l.stops[end.Box] {
 			if end.Time.Sub(t).Abs() < time.Second {
 				return CauseBoxStopped
@@ -135,7 +135,7 @@
 func endOf(lines []*explain.Line) *explain.Line {
 	for _, x := range slices.Backward(lines) {
 		switch x.Event {
-		case event.RequestFinished.Number, event.RequestRefused.Number, event.RequestInterrupted.Number, event.CallerGone.Number:
+		case event.RequestFinished.Number, event.RequestRefused.Number, event.RequestInterrupted.Number, event.CallerDisconnected.Number:
 			return x
 		}
 	}
--- a/internal/box/endpoint.go
+++ b/internal/box/endpoint.go
@@ -60,7 +60,7 @@
 // Next returns the next reply. It returns an error if the reply cannot be read or reports a
 // failure.
 func (c *Call) Next() (*Reply, error) {
-	p := fail.Place{Peer: c.Peer, Step: "read reply"}
+	p := fail.Origin{Peer: c.Peer, Step: "read reply"}
 	r := new(Reply)
 	if err := c.Read(r); err != nil {
 		return nil, fail.Wrap(fail.Unavailable, p, ReasonUnreachable, err)
--- a/internal/box/http.go
+++ b/internal/box/http.go
@@ -42,7 +42,7 @@
 func ListenHTTP(address string, h Handler) (*HTTPTransport, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, fail.Wrap(fail.Unavailable, fail.Place{Peer: "boxes", Step: "listen"}, "listen", err)
+		return nil, fail.Wrap(fail.Unavailable, fail.Origin{Peer: "boxes", Step: "listen"}, "listen", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &HTTPTransport{cancel: cancel, clients: make(map[string]*http.Client), ctx: ctx, handler: h, listener: l}
@@ -61,7 +61,7 @@
 
 // Call sends q to the box at address. The caller must close the call.
 func (p *HTTPTransport) Call(ctx context.Context, address string, q *Request) (*Call, error) {
-	place := fail.Place{Peer: "box " + address, Step: "call " + string(q.Kind)}
+	place := fail.Origin{Peer: "box " + address, Step: "call " + string(q.Kind)}
 	ctx, cancel := context.WithCancel(ctx)
 	c := &httpCall{cancel: cancel, onTimeout: func() { p.dropIdleConnections(address) }, ready: make(chan struct{})}
 	go func() {
--- a/internal/box/transport.go
+++ b/internal/box/transport.go
@@ -52,7 +52,7 @@
 // Both TLS configurations must name Protocol. If both carry certificates, the boxes authenticate
 // each other.
 func ListenQUIC(address string, server, client *tls.Config, h Handler) (*QUICTransport, error) {
-	p := fail.Place{Peer: "boxes", Step: "listen"}
+	p := fail.Origin{Peer: "boxes", Step: "listen"}
 	s, err := net.ListenPacket("udp", address)
 	if err != nil {
 		return nil, fail.Wrap(fail.Unavailable, p, "listen", err)
@@ -79,7 +79,7 @@
 
 // Call sends q to the box at address. The caller must close the call.
 func (t *QUICTransport) Call(ctx context.Context, address string, q *Request) (*Call, error) {
-	p := fail.Place{Peer: "box " + address, Step: "call " + string(q.Kind)}
+	p := fail.Origin{Peer: "box " + address, Step: "call " + string(q.Kind)}
 	c, err := t.connection(ctx, address)
 	if err != nil {
 		return nil, fail.Wrap(fail.Unavailable, p, ReasonUnreachable, err)
--- a/internal/certificate/certificate.go
+++ b/internal/certificate/certificate.go
@@ -25,15 +25,15 @@
 }
 
 const (
-	authorityLife = 10 * 365 * 24 * time.Hour
-	boxLife       = 90 * 24 * time.Hour
-	clockSlack    = 5 * time.Minute
-	serialBits    = 127
+	authorityValidity = 10 * 365 * 24 * time.Hour
+	boxValidity       = 90 * 24 * time.Hour
+	clockSkew         = 5 * time.Minute
+	serialBits        = 127
 )
 
 // NewAuthority returns a new authority that signs the certificates of boxes.
 func NewAuthority(now time.Time) (*Pair, error) {
-	t := template("linetiller authority", now, authorityLife)
+	t := template("linetiller authority", now, authorityValidity)
 	t.IsCA = true
 	t.BasicConstraintsValid = true
 	t.KeyUsage = x509.KeyUsageCertSign
@@ -42,7 +42,7 @@
 
 // NewBox returns a certificate of a box, signed by the authority a, for its IP numbers.
 func NewBox(a *Pair, name string, addresses []net.IP, now time.Time) (*Pair, error) {
-	t := template(name, now, boxLife)
+	t := template(name, now, boxValidity)
 	t.IPAddresses = addresses
 	t.DNSNames = []string{name}
 	t.KeyUsage = x509.KeyUsageDigitalSignature
@@ -150,10 +150,10 @@
 	return x, s, err
 }
 
-func template(name string, now time.Time, life time.Duration) *x509.Certificate {
+func template(name string, now time.Time, validity time.Duration) *x509.Certificate {
 	n, _ := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	return &x509.Certificate{
-		NotAfter: now.Add(life), NotBefore: now.Add(-clockSlack),
+		NotAfter: now.Add(validity), NotBefore: now.Add(-clockSkew),
 		SerialNumber: n, Subject: pkix.Name{CommonName: name},
 	}
 }
--- a/internal/client/answer.go
+++ b/internal/client/answer.go
@@ -13,8 +13,8 @@
 	"github.com/linetiller/linetiller/internal/sse"
 )
 
-// answerWriter writes one completion, whole or token by token.
-type answerWriter struct {
+// completionWriter writes one completion, whole or token by token.
+type completionWriter struct {
 	buffer       []byte
 	chunk        []byte
 	chunkEnd     []byte // of every chunk, after the text
@@ -22,7 +22,7 @@
 	eventID      []byte
 	control      *http.ResponseController
 	created      int64
-	form         form
+	object       objectType
 	id           string
 	finish       string
 	model        string
@@ -33,17 +33,17 @@
 	writer       http.ResponseWriter
 }
 
-type chatDelta struct {
+type chatMessage struct {
 	Content string `json:"content,omitempty"`
 	Role    string `json:"role,omitempty"`
 }
 
 type choice struct {
-	Delta        *chatDelta `json:"delta,omitempty"`
-	FinishReason *string    `json:"finish_reason"`
-	Index        int        `json:"index"`
-	Message      *chatDelta `json:"message,omitempty"`
-	Text         *string    `json:"text,omitempty"`
+	Delta        *chatMessage `json:"delta,omitempty"`
+	FinishReason *string      `json:"finish_reason"`
+	Index        int          `json:"index"`
+	Message      *chatMessage `json:"message,omitempty"`
+	Text         *string      `json:"text,omitempty"`
 }
 
 type completion struct {
@@ -61,11 +61,11 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// writePeriod bounds how long a client may take to read one token.
-const writePeriod = 30 * time.Second
+// writeTimeout bounds how long a client may take to read one token.
+const writeTimeout = 30 * time.Second
 
 // collect keeps a token for a whole answer.
-func (a *answerWriter) collect(t *delivery.Token) error {
+func (a *completionWriter) collect(t *delivery.Token) error {
 	a.id, a.finish = t.Generation, t.Finish
 	a.text.Write(t.Text)
 	a.tokens = t.Index
@@ -74,18 +74,18 @@
 
 // fail ends the answer with an error: as a status where nothing was sent yet,
 // as a last event otherwise. The delivery has counted it.
-func (a *answerWriter) fail(err error) {
+func (a *completionWriter) fail(err error) {
 	if !a.started {
 		writeError(a.writer, err)
 		return
 	}
-	e, _ := errorOf(err)
-	b, _ := json.Marshal(errorAnswer{e})
+	e, _ := apiErrorOf(err)
+	b, _ := json.Marshal(errorBody{e})
 	_ = a.write(sse.Append(nil, sse.Event{Data: b}))
 }
 
 // send writes one token as an event.
-func (a *answerWriter) send(t *delivery.Token) error {
+func (a *completionWriter) send(t *delivery.Token) error {
 	if !a.started {
 		a.id = t.Generation
 		a.start()
@@ -100,25 +100,25 @@
 	return a.write(a.buffer)
 }
 
-// whole writes the collected answer.
-func (a *answerWriter) whole() {
+// writeWhole writes the collected answer.
+func (a *completionWriter) writeWhole() {
 	t := a.text.String()
 	c := choice{FinishReason: &a.finish}
-	if a.form == formChat {
-		c.Message = &chatDelta{Content: t, Role: "assistant"}
+	if a.object == objectChat {
+		c.Message = &chatMessage{Content: t, Role: "assistant"}
 	} else {
 		c.Text = &t
 	}
 	u := &usage{CompletionTokens: a.tokens, PromptTokens: a.promptTokens, TotalTokens: a.tokens + a.promptTokens}
 	writeJSON(a.writer, http.StatusOK, completion{
-		Choices: []choice{c}, Created: a.created, ID: a.id, Model: a.model, Object: string(a.form), Usage: u,
+		Choices: []choice{c}, Created: a.created, ID: a.id, Model: a.model, Object: string(a.object), Usage: u,
 	})
 }
 
 // fillChunk makes the data of one token's event. All but the text is the same
 // for every token of an answer, save the first of a chat and the last.
-func (a *answerWriter) fillChunk(t *delivery.Token) {
-	if t.Finish != "" || (a.form == formChat && t.Index == 0) || !isPlain(t.Text) {
+func (a *completionWriter) fillChunk(t *delivery.Token) {
+	if t.Finish != "" || (a.object == objectChat && t.Index == 0) || !isPlain(t.Text) {
 		a.chunk = a.marshalChunk(t, string(t.Text))
 		return
 	}
@@ -128,12 +128,12 @@
 }
 
 // marshalChunk returns the data of an event that carries the given text.
-func (a *answerWriter) marshalChunk(t *delivery.Token, text string) []byte {
-	o := string(a.form)
+func (a *completionWriter) marshalChunk(t *delivery.Token, text string) []byte {
+	o := string(a.object)
 	x := choice{}
-	if a.form == formChat {
+	if a.object == objectChat {
 		o += ".chunk"
-		x.Delta = &chatDelta{Content: text}
+		x.Delta = &chatMessage{Content: text}
 		if t.Index == 0 {
 			x.Delta.Role = "assistant"
 		}
@@ -150,7 +150,7 @@
 	return b
 }
 
-func (a *answerWriter) start() {
+func (a *completionWriter) start() {
 	a.started = true
 	const mark = "\x01"
 	b := a.marshalChunk(&delivery.Token{Index: 1}, mark)
@@ -161,8 +161,8 @@
 	a.writer.WriteHeader(http.StatusOK)
 }
 
-func (a *answerWriter) write(b []byte) error {
-	_ = a.control.SetWriteDeadline(time.Now().Add(writePeriod))
+func (a *completionWriter) write(b []byte) error {
+	_ = a.control.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := a.writer.Write(b); err != nil {
 		return err
 	}
--- a/internal/client/answer_test.go
+++ b/internal/client/answer_test.go
@@ -29,16 +29,16 @@
 	return len(b), nil
 }
 
-func newAnswer(f form, w *sinkWriter) *answerWriter {
-	return &answerWriter{control: http.NewResponseController(w), created: 1, form: f, model: "m", writer: w}
+func newCompletionWriter(f objectType, w *sinkWriter) *completionWriter {
+	return &completionWriter{control: http.NewResponseController(w), created: 1, object: f, model: "m", writer: w}
 }
 
 // TestChunksAgainstMarshal compares the chunks that are put together from parts
 // with those that are encoded whole.
 func TestChunksAgainstMarshal(t *testing.T) {
-	for _, f := range []form{formChat, formText} {
+	for _, f := range []objectType{objectChat, objectText} {
 		for _, text := range []string{" a", "", "\"\\\n\t\x00\x7f", "ü € 😀", "\xff broken", "</script>&<"} {
-			a := newAnswer(f, &sinkWriter{header: make(http.Header)})
+			a := newCompletionWriter(f, &sinkWriter{header: make(http.Header)})
 			v := &delivery.Token{Generation: "g", Index: 3, Text: []byte(text), Upstream: "u"}
 			if err := a.send(v); err != nil {
 				t.Fatal(err)
@@ -58,7 +58,7 @@
 }
 
 func TestSendAllocatesNothing(t *testing.T) {
-	a := newAnswer(formText, &sinkWriter{header: make(http.Header)})
+	a := newCompletionWriter(objectText, &sinkWriter{header: make(http.Header)})
 	v := &delivery.Token{Generation: "g", Text: []byte(" token"), Upstream: "u"}
 	got := testing.AllocsPerRun(1000, func() {
 		v.Index++
@@ -72,7 +72,7 @@
 }
 
 func BenchmarkSendToken(b *testing.B) {
-	a := newAnswer(formText, &sinkWriter{header: make(http.Header)})
+	a := newCompletionWriter(objectText, &sinkWriter{header: make(http.Header)})
 	v := &delivery.Token{Generation: "g", Text: []byte(" token"), Upstream: "u"}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -43,13 +43,13 @@
 
 // The headers by which a caller says more than the OpenAI interface can.
 const (
-	HeaderDeadline = "Linetiller-Deadline" // RFC 3339, or a time from now such as 30s
-	HeaderKey      = "Idempotency-Key"
-	HeaderKind     = "Linetiller-Kind"
-	HeaderLast     = "Last-Event-ID"
-	HeaderPriority = "Linetiller-Priority"
-	HeaderRepeated = "Linetiller-Repeated" // on an answer from an earlier request with the same key
-	HeaderRetry    = "X-Should-Retry"      // what client libraries obey
+	HeaderDeadline       = "Linetiller-Deadline" // RFC 3339, or a time from now such as 30s
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderKind           = "Linetiller-Kind"
+	HeaderLastEventID    = "Last-Event-ID"
+	HeaderPriority       = "Linetiller-Priority"
+	HeaderRepeated       = "Linetiller-Repeated" // on an answer from an earlier request with the same key
+	HeaderShouldRetry    = "X-Should-Retry"      // what client libraries obey
 )
 
 const maxHeaderValue = 256
@@ -64,8 +64,8 @@
 	s.mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { m.Write(w) })
 	s.mux.HandleFunc("GET /readyz", s.getReady)
 	s.mux.HandleFunc("GET /v1/models", s.getModels)
-	s.mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { s.postCompletion(w, r, formChat) })
-	s.mux.HandleFunc("POST /v1/completions", func(w http.ResponseWriter, r *http.Request) { s.postCompletion(w, r, formText) })
+	s.mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { s.postCompletion(w, r, objectChat) })
+	s.mux.HandleFunc("POST /v1/completions", func(w http.ResponseWriter, r *http.Request) { s.postCompletion(w, r, objectText) })
 	s.mux.HandleFunc("/services/{name}/", s.anyService)
 	s.mux.HandleFunc("/", s.anyOther)
 	return s
@@ -87,7 +87,7 @@
 }
 
 func (s *Server) anyOther(w http.ResponseWriter, r *http.Request) {
-	s.refuse(w, fail.New(fail.NotFound, place("route"), "path_unknown", "%s %s is not served", r.Method, r.URL.Path))
+	s.refuse(w, fail.New(fail.NotFound, origin("route"), "path_unknown", "%s %s is not served", r.Method, r.URL.Path))
 }
 
 func (s *Server) anyService(w http.ResponseWriter, r *http.Request) {
@@ -114,11 +114,11 @@
 func (s *Server) authorize(r *http.Request) (*resource.Workspace, error) {
 	k, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || k == "" {
-		return nil, fail.New(fail.Unauthorized, place("authorize"), "key_absent", "the Authorization header must carry a bearer key")
+		return nil, fail.New(fail.Unauthorized, origin("authorize"), "key_absent", "the Authorization header must carry a bearer key")
 	}
 	w := s.view.WorkspaceByKey(k)
 	if w == nil {
-		return nil, fail.New(fail.Unauthorized, place("authorize"), "key_unknown", "the bearer key opens no workspace")
+		return nil, fail.New(fail.Unauthorized, origin("authorize"), "key_unknown", "the bearer key opens no workspace")
 	}
 	return w, nil
 }
@@ -134,7 +134,7 @@
 	}
 	d, err := time.ParseDuration(h)
 	if err != nil || d <= 0 {
-		return time.Time{}, fail.New(fail.BadInput, place("read headers"), "bad_deadline", "%s must be a time such as %s or 30s", HeaderDeadline, time.RFC3339)
+		return time.Time{}, fail.New(fail.BadInput, origin("read headers"), "bad_deadline", "%s must be a time such as %s or 30s", HeaderDeadline, time.RFC3339)
 	}
 	return now.Add(d), nil
 }
@@ -161,9 +161,9 @@
 
 // keyOf returns the request key, which must be short and plain.
 func keyOf(r *http.Request) (string, error) {
-	k := r.Header.Get(HeaderKey)
+	k := r.Header.Get(HeaderIdempotencyKey)
 	if len(k) > maxHeaderValue || strings.ContainsFunc(k, func(c rune) bool { return c <= ' ' || c > '~' }) {
-		return "", fail.New(fail.BadInput, place("read headers"), "bad_key", "%s must be at most %d printable ASCII characters", HeaderKey, maxHeaderValue)
+		return "", fail.New(fail.BadInput, origin("read headers"), "bad_key", "%s must be at most %d printable ASCII characters", HeaderIdempotencyKey, maxHeaderValue)
 	}
 	return k, nil
 }
@@ -172,10 +172,10 @@
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.bodyBytes))
 	var m *http.MaxBytesError
 	if errors.As(err, &m) {
-		return nil, fail.New(fail.BadInput, place("read body"), "body_too_large", "the body is larger than %d bytes", s.bodyBytes)
+		return nil, fail.New(fail.BadInput, origin("read body"), "body_too_large", "the body is larger than %d bytes", s.bodyBytes)
 	}
 	if err != nil {
-		return nil, fail.Wrap(fail.BadInput, place("read body"), "body_cut", err)
+		return nil, fail.Wrap(fail.BadInput, origin("read body"), "body_cut", err)
 	}
 	return b, nil
 }
@@ -201,7 +201,7 @@
 	p := service.PathOf(r.URL, n)
 	return &service.Call{
 		Body: b, Deadline: d, Header: r.Header, Key: k, Method: r.Method, Path: p,
-		Print: printOf([]byte(r.Method+" "+n+" "+p), b), Service: n, Workspace: x.Name,
+		Fingerprint: fingerprint([]byte(r.Method+" "+n+" "+p), b), Service: n, Workspace: x.Name,
 	}, nil
 }
 
@@ -211,8 +211,8 @@
 	writeError(w, err)
 }
 
-// printOf returns a hash of a request, by which a repeat of its key is known.
-func printOf(parts ...[]byte) string {
+// fingerprint returns a hash of a request, by which a repeat of its key is known.
+func fingerprint(parts ...[]byte) string {
 	h := sha256.New()
 	for _, p := range parts {
 		_, _ = h.Write([]byte(strconv.Itoa(len(p)) + ":"))
@@ -221,8 +221,8 @@
 	return hex.EncodeToString(h.Sum(nil))[:32]
 }
 
-func place(step string) fail.Place {
-	return fail.Place{Peer: "client", Step: step}
+func origin(step string) fail.Origin {
+	return fail.Origin{Peer: "client", Step: step}
 }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
--- a/internal/client/completion.go
+++ b/internal/client/completion.go
@@ -15,12 +15,12 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// form tells the two kinds of completions apart.
-type form string
+// objectType tells the two kinds of completions apart.
+type objectType string
 
 const (
-	formChat form = "chat.completion"
-	formText form = "text_completion"
+	objectChat objectType = "chat.completion"
+	objectText objectType = "text_completion"
 )
 
 // completionRequest is the body of both kinds of completions.
@@ -50,27 +50,27 @@
 	Object string       `json:"object"`
 }
 
-type part struct {
+type contentPart struct {
 	Text string `json:"text"`
 	Type string `json:"type"`
 }
 
 const (
-	charactersToken = 4   // of a prompt, per token: an estimate for the decisions
-	prefixBytes     = 512 // of a prompt that name its prefix
-	prefixLeast     = 64
+	bytesPerToken  = 4   // of a prompt, per token: an estimate for the decisions
+	maxPrefixBytes = 512 // of a prompt that name its prefix
+	minPrefixBytes = 64
 )
 
 // postCompletion answers a completion.
-func (s *Server) postCompletion(w http.ResponseWriter, r *http.Request, f form) {
+func (s *Server) postCompletion(w http.ResponseWriter, r *http.Request, f objectType) {
 	now := time.Now()
 	q, stream, err := s.readCompletion(w, r, f, now)
 	if err != nil {
 		s.refuse(w, err)
 		return
 	}
-	a := &answerWriter{
-		created: now.Unix(), form: f, model: q.Work.Model, promptTokens: q.Work.Prompt, writer: w, control: http.NewResponseController(w),
+	a := &completionWriter{
+		created: now.Unix(), object: f, model: q.Work.Model, promptTokens: q.Work.Prompt, writer: w, control: http.NewResponseController(w),
 	}
 	sink := a.collect
 	if stream {
@@ -81,13 +81,13 @@
 		return
 	}
 	if !stream {
-		a.whole()
+		a.writeWhole()
 	}
 }
 
 // promptOf returns the text of a request, and faults in its shape.
-func promptOf(c *completionRequest, f form) (string, error) {
-	if f == formChat {
+func promptOf(c *completionRequest, f objectType) (string, error) {
+	if f == objectChat {
 		return promptOfMessages(c.Messages)
 	}
 	var t string
@@ -124,7 +124,7 @@
 	if json.Unmarshal(c, &t) == nil {
 		return t, nil
 	}
-	var l []part
+	var l []contentPart
 	if json.Unmarshal(c, &l) != nil {
 		return "", badField("messages.content", "must be a text or a list of text parts")
 	}
@@ -139,7 +139,7 @@
 }
 
 // readCompletion reads and checks all that a completion asks for.
-func (s *Server) readCompletion(w http.ResponseWriter, r *http.Request, f form, now time.Time) (*delivery.Request, bool, error) {
+func (s *Server) readCompletion(w http.ResponseWriter, r *http.Request, f objectType, now time.Time) (*delivery.Request, bool, error) {
 	x, err := s.authorize(r)
 	if err != nil {
 		return nil, false, err
@@ -150,7 +150,7 @@
 	}
 	c := new(completionRequest)
 	if err := json.Unmarshal(b, c); err != nil {
-		return nil, false, fail.Wrap(fail.BadInput, place("read body"), "bad_json", err)
+		return nil, false, fail.Wrap(fail.BadInput, origin("read body"), "bad_json", err)
 	}
 	if c.N != nil && *c.N != 1 {
 		return nil, false, badField("n", "must be 1")
@@ -159,7 +159,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	q := &delivery.Request{MaxQueued: x.Spec.MaxQueued, Print: printOf([]byte(f), b), Prompt: t}
+	q := &delivery.Request{MaxQueued: x.Spec.MaxQueued, Print: fingerprint([]byte(f), b), Prompt: t}
 	if err := s.readHeaders(r, q, now); err != nil {
 		return nil, false, err
 	}
@@ -180,9 +180,9 @@
 		return err
 	}
 	w.Model = c.Model
-	w.Prompt = 1 + len(prompt)/charactersToken
-	if len(prompt) >= prefixLeast {
-		w.Prefix = xxhash.Sum64String(c.Model + "\x00" + prompt[:min(len(prompt), prefixBytes)])
+	w.Prompt = 1 + len(prompt)/bytesPerToken
+	if len(prompt) >= minPrefixBytes {
+		w.Prefix = xxhash.Sum64String(c.Model + "\x00" + prompt[:min(len(prompt), maxPrefixBytes)])
 	}
 	w.Weight = x.Spec.Weight
 	w.Workspace = x.Name
@@ -193,24 +193,24 @@
 func (s *Server) modelOf(name string) (*resource.ModelSpec, error) {
 	x := s.view.Get(resource.KindModel, name)
 	if x == nil {
-		return nil, fail.New(fail.NotFound, place("read body"), "model_unknown", "model %q is not served", name)
+		return nil, fail.New(fail.NotFound, origin("read body"), "model_unknown", "model %q is not served", name)
 	}
 	m, err := resource.Decode[resource.ModelSpec](x)
 	if err != nil {
-		return nil, fail.Wrap(fail.NotFound, place("read body"), "model_unknown", err)
+		return nil, fail.Wrap(fail.NotFound, origin("read body"), "model_unknown", err)
 	}
 	return m, nil
 }
 
 // priorityOf returns the value of the priority asked for, at most the
 // workspace's own.
-func (s *Server) priorityOf(asked, own string) (int, error) {
-	most, err := s.priorityValue(own)
-	if err != nil || asked == "" {
-		return most, err
+func (s *Server) priorityOf(requested, own string) (int, error) {
+	limit, err := s.priorityValue(own)
+	if err != nil || requested == "" {
+		return limit, err
 	}
-	v, err := s.priorityValue(asked)
-	return min(v, most), err
+	v, err := s.priorityValue(requested)
+	return min(v, limit), err
 }
 
 func (s *Server) priorityValue(name string) (int, error) {
@@ -219,11 +219,11 @@
 	}
 	x := s.view.Get(resource.KindPriority, name)
 	if x == nil {
-		return 0, fail.New(fail.BadInput, place("read headers"), "bad_priority", "priority %q is not known", name)
+		return 0, fail.New(fail.BadInput, origin("read headers"), "bad_priority", "priority %q is not known", name)
 	}
 	p, err := resource.Decode[resource.PrioritySpec](x)
 	if err != nil {
-		return 0, fail.Wrap(fail.BadInput, place("read headers"), "bad_priority", err)
+		return 0, fail.Wrap(fail.BadInput, origin("read headers"), "bad_priority", err)
 	}
 	return p.Value, nil
 }
@@ -237,25 +237,25 @@
 		return err
 	}
 	if slices.ContainsFunc(r.Header.Values(HeaderKind), func(v string) bool { return len(v) > maxHeaderValue }) {
-		return fail.New(fail.BadInput, place("read headers"), "bad_kind", "%s must be at most %d characters", HeaderKind, maxHeaderValue)
+		return fail.New(fail.BadInput, origin("read headers"), "bad_kind", "%s must be at most %d characters", HeaderKind, maxHeaderValue)
 	}
-	h := r.Header.Get(HeaderLast)
+	h := r.Header.Get(HeaderLastEventID)
 	if h == "" {
 		return nil
 	}
 	q.Resume, err = delivery.ParseEventID(h)
 	if err != nil {
-		return fail.Wrap(fail.BadInput, place("read headers"), "bad_event_id", err)
+		return fail.Wrap(fail.BadInput, origin("read headers"), "bad_event_id", err)
 	}
 	return nil
 }
 
 func badField(field, message string) error {
-	return fail.New(fail.BadInput, place("read body"), "bad_field", "%s: %s", field, message)
+	return fail.New(fail.BadInput, origin("read body"), "bad_field", "%s: %s", field, message)
 }
 
-func maxTokensOf(c *completionRequest, most int) (int, error) {
-	n := most
+func maxTokensOf(c *completionRequest, limit int) (int, error) {
+	n := limit
 	for _, v := range []*int{c.MaxTokens, c.MaxCompletionTokens} {
 		if v != nil {
 			n = *v
@@ -264,5 +264,5 @@
 	if n < 1 {
 		return 0, badField("max_tokens", "must be above 0")
 	}
-	return min(n, most), nil
+	return min(n, limit), nil
 }
--- a/internal/client/error.go
+++ b/internal/client/error.go
@@ -20,50 +20,50 @@
 	Type    string `json:"type"`
 }
 
-type errorAnswer struct {
+type errorBody struct {
 	Error apiError `json:"error"`
 }
 
-// mapping tells how a type of error is shown to callers.
-type mapping struct {
-	name   string
-	status int
-	retry  bool // a client library may ask again by itself
+// errorStatus tells how a type of error is shown to callers.
+type errorStatus struct {
+	apiType string
+	status  int
+	retry   bool // a client library may ask again by itself
 }
 
 var (
-	mappingUnknown = mapping{"unknown", http.StatusInternalServerError, false}
-	mappings       = []struct {
+	statusUnknown = errorStatus{"unknown", http.StatusInternalServerError, false}
+	errorStatuses = []struct {
 		kind *errorx.Type
-		mapping
+		errorStatus
 	}{
-		{fail.BadInput, mapping{"invalid_request_error", http.StatusBadRequest, false}},
-		{fail.Conflict, mapping{"conflict", http.StatusConflict, false}},
-		{fail.Interrupted, mapping{"interrupted", http.StatusBadGateway, false}},
-		{fail.NotFound, mapping{"not_found", http.StatusNotFound, false}},
-		{fail.NotRun, mapping{"not_run", http.StatusServiceUnavailable, true}},
-		{fail.Unauthorized, mapping{"invalid_api_key", http.StatusUnauthorized, false}},
-		{fail.Unavailable, mapping{"unavailable", http.StatusServiceUnavailable, true}},
-		{fail.Unknown, mapping{"unknown", http.StatusInternalServerError, false}},
+		{fail.BadInput, errorStatus{"invalid_request_error", http.StatusBadRequest, false}},
+		{fail.Conflict, errorStatus{"conflict", http.StatusConflict, false}},
+		{fail.Interrupted, errorStatus{"interrupted", http.StatusBadGateway, false}},
+		{fail.NotFound, errorStatus{"not_found", http.StatusNotFound, false}},
+		{fail.NotRun, errorStatus{"not_run", http.StatusServiceUnavailable, true}},
+		{fail.Unauthorized, errorStatus{"invalid_api_key", http.StatusUnauthorized, false}},
+		{fail.Unavailable, errorStatus{"unavailable", http.StatusServiceUnavailable, true}},
+		{fail.Unknown, errorStatus{"unknown", http.StatusInternalServerError, false}},
 	}
 )
 
-func errorOf(err error) (apiError, mapping) {
-	m := mappingUnknown
-	for _, x := range mappings {
+func apiErrorOf(err error) (apiError, errorStatus) {
+	m := statusUnknown
+	for _, x := range errorStatuses {
 		if errorx.IsOfType(err, x.kind) {
-			m = x.mapping
+			m = x.errorStatus
 			break
 		}
 	}
-	return apiError{Code: fail.Reason(err), Message: err.Error(), Type: m.name}, m
+	return apiError{Code: fail.Reason(err), Message: err.Error(), Type: m.apiType}, m
 }
 
 func writeError(w http.ResponseWriter, err error) {
-	e, m := errorOf(err)
+	e, m := apiErrorOf(err)
 	if t := fail.RetryAt(err); !t.IsZero() {
 		w.Header().Set("Retry-After", strconv.Itoa(max(1, int(math.Ceil(time.Until(t).Seconds())))))
 	}
-	w.Header().Set(HeaderRetry, strconv.FormatBool(m.retry))
-	writeJSON(w, m.status, errorAnswer{e})
+	w.Header().Set(HeaderShouldRetry, strconv.FormatBool(m.retry))
+	writeJSON(w, m.status, errorBody{e})
 }
--- a/internal/client/fuzz_test.go
+++ b/internal/client/fuzz_test.go
@@ -41,13 +41,13 @@
 		}
 		r.Header.Set("Authorization", "Bearer k")
 		r.Header.Set(HeaderDeadline, deadline)
-		r.Header.Set(HeaderLast, last)
+		r.Header.Set(HeaderLastEventID, last)
 		w := httptest.NewRecorder()
 		s.ServeHTTP(w, r)
 		if w.Code == http.StatusOK || w.Code >= 300 && w.Code < 400 || w.Code == http.StatusMethodNotAllowed {
 			return
 		}
-		var e errorAnswer
+		var e errorBody
 		if json.Unmarshal(w.Body.Bytes(), &e) != nil || e.Error.Code == "" || e.Error.Type == "" {
 			t.Errorf("status %d: got %q, want an error with code and type", w.Code, w.Body)
 		}
--- a/internal/client/generator.go
+++ b/internal/client/generator.go
@@ -22,12 +22,12 @@
 	HTTP *http.Client
 	// Key is the workspace's bearer key.
 	Key string
-	// Taken is called with each token, in order and once; a seam.
-	Taken func(id, text string) error
+	// OnToken is called with each token, in order and once; a seam.
+	OnToken func(id, text string) error
 }
 
-// Ask is a generation that a Generator asks for.
-type Ask struct {
+// GenerationRequest is a generation that a Generator asks for.
+type GenerationRequest struct {
 	Deadline  string // in the form of HeaderDeadline, or ""
 	Key       string // the request key, or ""
 	Kind      string
@@ -37,13 +37,13 @@
 	Prompt    string
 }
 
-// streamed is one event of an answer, as a client reads it.
-type streamed struct {
+// streamEvent is one event of an answer, as a client reads it.
+type streamEvent struct {
 	Choices []choice  `json:"choices"`
 	Error   *apiError `json:"error"`
 }
 
-type askBody struct {
+type requestBody struct {
 	MaxTokens int    `json:"max_tokens,omitempty"`
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -54,29 +54,29 @@
 
 // Run asks for a and hands its tokens out until its end. It returns why the
 // generation ended, and at how many boxes it was asked for.
-func (g *Generator) Run(ctx context.Context, a *Ask) (finish string, boxes int, err error) {
-	last := ""
-	for boxes < len(g.Boxes) {
-		b := g.Boxes[boxes]
-		boxes++
-		finish, err = g.runAt(ctx, b, a, &last)
-		if err == nil || !errorx.IsOfType(err, fail.Unavailable) || (last == "" && a.Key == "" && fail.Reason(err) != "box_unreachable") {
-			return finish, boxes, err
+func (g *Generator) Run(ctx context.Context, q *GenerationRequest) (finish string, tried int, err error) {
+	lastEventID := ""
+	for tried < len(g.Boxes) {
+		b := g.Boxes[tried]
+		tried++
+		finish, err = g.runAt(ctx, b, q, &lastEventID)
+		if err == nil || !errorx.IsOfType(err, fail.Unavailable) || (lastEventID == "" && q.Key == "" && fail.Reason(err) != "box_unreachable") {
+			return finish, tried, err
 		}
 	}
-	return finish, boxes, err
+	return finish, tried, err
 }
 
 // runAt asks one box, from the token after last on.
-func (g *Generator) runAt(ctx context.Context, address string, a *Ask, last *string) (string, error) {
-	p := fail.Place{Peer: "box " + address, Step: "generate"}
-	w, err := g.send(ctx, address, a, *last)
+func (g *Generator) runAt(ctx context.Context, address string, q *GenerationRequest, lastEventID *string) (string, error) {
+	p := fail.Origin{Peer: "box " + address, Step: "generate"}
+	w, err := g.send(ctx, address, q, *lastEventID)
 	if err != nil {
 		return "", fail.Wrap(fail.Unavailable, p, "box_unreachable", err)
 	}
 	defer func() { _ = w.Body.Close() }()
 	if w.StatusCode != http.StatusOK {
-		return "", answerError(p, w)
+		return "", responseError(p, w)
 	}
 	r := sse.NewReader(w.Body)
 	for {
@@ -84,7 +84,7 @@
 		if err != nil {
 			return "", fail.Wrap(fail.Unavailable, p, "stream_cut", err)
 		}
-		var v streamed
+		var v streamEvent
 		if json.Unmarshal(e.Data, &v) != nil {
 			return "", fail.New(fail.Unavailable, p, "stream_garbled", "an event is not JSON")
 		}
@@ -98,17 +98,17 @@
 		if c.FinishReason != nil {
 			return *c.FinishReason, nil
 		}
-		*last = string(e.ID)
+		*lastEventID = string(e.ID)
 		if c.Text != nil {
-			if err := g.Taken(*last, *c.Text); err != nil {
+			if err := g.OnToken(*lastEventID, *c.Text); err != nil {
 				return "", err
 			}
 		}
 	}
 }
 
-func (g *Generator) send(ctx context.Context, address string, a *Ask, last string) (*http.Response, error) {
-	b, err := json.Marshal(askBody{MaxTokens: a.MaxTokens, Model: a.Model, Prompt: a.Prompt, Stream: true})
+func (g *Generator) send(ctx context.Context, address string, q *GenerationRequest, lastEventID string) (*http.Response, error) {
+	b, err := json.Marshal(requestBody{MaxTokens: q.MaxTokens, Model: q.Model, Prompt: q.Prompt, Stream: true})
 	if err != nil {
 		return nil, err
 	}
@@ -119,7 +119,7 @@
 	r.Header.Set("Authorization", "Bearer "+g.Key)
 	r.Header.Set("Content-Type", "application/json")
 	for h, v := range map[string]string{
-		HeaderDeadline: a.Deadline, HeaderKey: a.Key, HeaderKind: a.Kind, HeaderLast: last, HeaderPriority: a.Priority,
+		HeaderDeadline: q.Deadline, HeaderIdempotencyKey: q.Key, HeaderKind: q.Kind, HeaderLastEventID: lastEventID, HeaderPriority: q.Priority,
 	} {
 		if v != "" {
 			r.Header.Set(h, v)
@@ -128,8 +128,8 @@
 	return g.HTTP.Do(r)
 }
 
-func answerError(p fail.Place, w *http.Response) error {
-	var v errorAnswer
+func responseError(p fail.Origin, w *http.Response) error {
+	var v errorBody
 	if json.NewDecoder(io.LimitReader(w.Body, maxErrorBytes)).Decode(&v) != nil {
 		return fail.New(fail.Unavailable, p, "box_garbled", "%s", w.Status)
 	}
@@ -137,9 +137,9 @@
 }
 
 // typedError returns the error that a box told, in its type.
-func typedError(p fail.Place, e *apiError) error {
-	for _, m := range mappings {
-		if m.name == e.Type {
+func typedError(p fail.Origin, e *apiError) error {
+	for _, m := range errorStatuses {
+		if m.apiType == e.Type {
 			return fail.New(m.kind, p, e.Code, "%s", e.Message)
 		}
 	}
--- a/internal/cmd/checkcmd.go
+++ b/internal/cmd/checkcmd.go
@@ -48,7 +48,7 @@
 		return errors.Join(errBadInput, err)
 	}
 	_, err = settings.Parse(b)
-	var f settings.Faults
+	var f settings.FieldErrors
 	if !errors.As(err, &f) {
 		return err
 	}
--- a/internal/cmd/generatecmd.go
+++ b/internal/cmd/generatecmd.go
@@ -39,7 +39,7 @@
 				return errors.Join(errBadInput, errors.New("generate takes a PROMPT"))
 			}
 			g := &client.Generator{Boxes: c.StringSlice("box"), HTTP: &http.Client{}, Key: c.String("workspace-key")}
-			return runGenerateCmd(ctx, e, g, &client.Ask{
+			return runGenerateCmd(ctx, e, g, &client.GenerationRequest{
 				Deadline: c.String("deadline"), Key: c.String("key"), Kind: c.String("kind"), MaxTokens: c.Int("max-tokens"),
 				Model: c.String("model"), Priority: c.String("priority"), Prompt: strings.Join(c.Args().Slice(), " "),
 			}, c.String(flagOutput))
@@ -55,9 +55,9 @@
 	Text   string `json:"text,omitempty"`
 }
 
-func runGenerateCmd(ctx context.Context, e *environment, g *client.Generator, a *client.Ask, form string) error {
+func runGenerateCmd(ctx context.Context, e *environment, g *client.Generator, a *client.GenerationRequest, form string) error {
 	j := json.NewEncoder(e.output)
-	g.Taken = func(id, text string) error {
+	g.OnToken = func(id, text string) error {
 		if form == outputJSON {
 			return j.Encode(generated{ID: id, Text: text})
 		}
--- a/internal/configuration/age.go
+++ b/internal/configuration/age.go
@@ -74,7 +74,7 @@
 
 // noteLate logs that a read which began at a time has not been answered in time.
 func (f *Follower) noteLate(s *source, began time.Time) {
-	f.metrics.Count(metric.PlatformLate, "source", string(s.name))
+	f.metrics.Count(metric.PlatformLateReads, "source", string(s.name))
 	event.ReadLate.Log(f.log, "source", string(s.name), "waited_ms", time.Since(began).Milliseconds())
 }
 
--- a/internal/configuration/follower.go
+++ b/internal/configuration/follower.go
@@ -157,8 +157,8 @@
 	f.meterAge(m)
 	m.Gauge(metric.PlatformReader, func() float64 { return number(f.rank() != rankNone) })
 	for _, s := range f.sources {
-		m.GaugeOf(metric.PlatformAway, "source", string(s.name), func() float64 { return number(s.failures.Load() > 0) })
-		m.GaugeOf(metric.PlatformAge, "source", string(s.name), func() float64 {
+		m.GaugeOf(metric.PlatformReadFailing, "source", string(s.name), func() float64 { return number(s.failures.Load() > 0) })
+		m.GaugeOf(metric.PlatformReadAge, "source", string(s.name), func() float64 {
 			if s.readAt.get().IsZero() {
 				return math.Inf(1)
 			}
@@ -216,8 +216,8 @@
 		return
 	}
 	if held := f.view.Revisions()[b.Source]; b.Snapshot && b.Revision < held {
-		f.metrics.Count(metric.PlatformOlder, "source", string(b.Source))
-		event.AnswerPassedOver.Log(f.log, "source", string(b.Source), "era", revision.Era(b.Revision), "told", revision.Version(b.Revision), "held_era", revision.Era(held), "held", revision.Version(held), "from", from)
+		f.metrics.Count(metric.PlatformOlderAnswers, "source", string(b.Source))
+		event.StaleAnswerIgnored.Log(f.log, "source", string(b.Source), "era", revision.Era(b.Revision), "told", revision.Version(b.Revision), "held_era", revision.Era(held), "held", revision.Version(held), "from", from)
 	}
 }
 
--- a/internal/configuration/follower_test.go
+++ b/internal/configuration/follower_test.go
@@ -68,7 +68,7 @@
 // read reads the table as a box sees it: not at all, late, or as it is.
 func (w *world) read(p *peer, after int64) (*table.Changes, error) {
 	if p.cut {
-		return nil, fail.New(fail.Unavailable, fail.Place{}, "platform_down", "cut")
+		return nil, fail.New(fail.Unavailable, fail.Origin{}, "platform_down", "cut")
 	}
 	c := &table.Changes{}
 	newest := make(map[string]table.Row)
--- a/internal/configuration/hedge.go
+++ b/internal/configuration/hedge.go
@@ -74,7 +74,7 @@
 		r.onBegun()
 	})
 	r.workers.Go(func() {
-		l, next, err := r.source.read(table.WithBegun(ctx, onBegun), r.after, wait)
+		l, next, err := r.source.read(table.WithAnswerStarted(ctx, onBegun), r.after, wait)
 		r.answers <- answer{batches: l, err: err, next: next, hedged: hedged}
 	})
 }
@@ -108,7 +108,7 @@
 		a = r.await()
 	}
 	if a.err == nil && a.hedged {
-		event.ReadRepeated.Log(f.log, "source", string(r.source.name), "waited_ms", time.Since(r.began).Milliseconds())
+		event.ReadHedged.Log(f.log, "source", string(r.source.name), "waited_ms", time.Since(r.began).Milliseconds())
 		f.tellBack() // other reads that wait may have lost their connections, too
 	}
 	return a
--- a/internal/configuration/hedge_test.go
+++ b/internal/configuration/hedge_test.go
@@ -72,7 +72,7 @@
 					mutex.Unlock()
 					pause(ctx, wait)
 					if x.begun {
-						table.Begun(ctx)
+						table.AnswerStarted(ctx)
 					}
 					pause(ctx, time.Second)
 					return nil, after, ctx.Err()
--- a/internal/configuration/lapse.go
+++ b/internal/configuration/lapse.go
@@ -31,7 +31,7 @@
 		if err != nil {
 			continue
 		}
-		event.UpstreamLapsed.Log(f.log, "upstream", x.Metadata.Name, "revision", c.Revision)
+		event.UpstreamEntryGone.Log(f.log, "upstream", x.Metadata.Name, "revision", c.Revision)
 		*c = resource.Change{Resource: x, Revision: c.Revision}
 	}
 }
--- a/internal/configuration/news.go
+++ b/internal/configuration/news.go
@@ -95,7 +95,7 @@
 		case ctx.Err() != nil:
 			return false
 		case err != nil:
-			event.ReaderSilent.Log(f.log, "reader", p, "error", err.Error())
+			event.ReaderUnresponsive.Log(f.log, "reader", p, "error", err.Error())
 			f.setSilent(p, true)
 			f.workers.Go(func() { f.callSilent(ctx, p) })
 		default:
--- a/internal/configuration/reader.go
+++ b/internal/configuration/reader.go
@@ -46,9 +46,9 @@
 // The store's revision rises with rows of other tables, too; a batch is dated by
 // its own rows, unless rows may have gone unseen.
 func Date(b *resource.Batch, c *table.Changes) {
-	b.Snapshot = c.Whole
+	b.Snapshot = c.Snapshot
 	b.Revision = b.NewestRevision()
-	if c.Whole {
+	if c.Snapshot {
 		b.Revision = c.Revision
 	}
 }
--- a/internal/configuration/reading.go
+++ b/internal/configuration/reading.go
@@ -183,7 +183,7 @@
 	}
 	n := s.failures.Add(count)
 	if n == count {
-		event.PlatformDown.Log(f.log, "source", string(s.name), "step", fail.Step(err), "error", err.Error(), "era", revision.Era(after), "held", revision.Version(after))
+		event.PlatformUnreachable.Log(f.log, "source", string(s.name), "step", fail.Step(err), "error", err.Error(), "era", revision.Era(after), "held", revision.Version(after))
 	}
 	if n < failuresAway {
 		return
@@ -252,7 +252,7 @@
 	s.backAt.set(time.Now())
 	f.tellBack()
 	f.tellAway(s, false)
-	event.PlatformBack.Log(f.log, "source", string(s.name), "failures", n)
+	event.PlatformReachable.Log(f.log, "source", string(s.name), "failures", n)
 }
 
 // returned returns a channel that is closed when a source can be read again.
--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -253,7 +253,7 @@
 func (d *Deliverer) enter(workspace string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	p := fail.Place{Peer: "client", Step: "accept"}
+	p := fail.Origin{Peer: "client", Step: "accept"}
 	if d.closing {
 		return fail.WithRetryAt(fail.New(fail.NotRun, p, "box_leaving", "this box is leaving"), time.Now())
 	}
@@ -284,7 +284,7 @@
 	d.mutex.Lock()
 	if q.MaxQueued > 0 && d.waits[w] >= q.MaxQueued {
 		d.mutex.Unlock()
-		p := fail.Place{Peer: "client", Step: "wait for a place"}
+		p := fail.Origin{Peer: "client", Step: "wait for a place"}
 		return nil, fail.WithRetryAt(fail.New(fail.NotRun, p, "workspace_queue_full", "%d requests of the workspace wait here", q.MaxQueued), time.Now().Add(time.Second))
 	}
 	d.waits[w]++
@@ -295,7 +295,7 @@
 		release(d.waits, w)
 	}()
 	l, now := d.view.UpstreamsOfModel(q.Work.Model), time.Now()
-	if err := d.rests.AllBackingOffError(l, fail.Place{Peer: "upstreams", Step: "choose"}, now); err != nil {
+	if err := d.rests.AllBackingOffError(l, fail.Origin{Peer: "upstreams", Step: "choose"}, now); err != nil {
 		return nil, err
 	}
 	return d.Place(ctx, &q.Work, d.rests.Avoid(l, avoid, now))
--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -310,7 +310,7 @@
 
 // TestStageIsTruthful checks every pair of stage and error.
 func TestStageIsTruthful(t *testing.T) {
-	p := fail.Place{Peer: "p", Step: "s"}
+	p := fail.Origin{Peer: "p", Step: "s"}
 	for _, x := range []struct {
 		stage     stage
 		kind      *errorx.Type
--- a/internal/delivery/follower.go
+++ b/internal/delivery/follower.go
@@ -151,6 +151,6 @@
 	}
 }
 
-func (f *follower) place(step string) fail.Place {
-	return fail.Place{Peer: "upstream " + f.upstream.Name, Step: step}
+func (f *follower) place(step string) fail.Origin {
+	return fail.Origin{Peer: "upstream " + f.upstream.Name, Step: step}
 }
--- a/internal/delivery/rig_test.go
+++ b/internal/delivery/rig_test.go
@@ -90,7 +90,7 @@
 			return &placement.Place{GrantedAt: time.Now(), Upstream: u}, nil
 		}
 	}
-	return nil, fail.New(fail.NotRun, fail.Place{Peer: "upstreams", Step: "choose"}, "no_upstream", "none is left")
+	return nil, fail.New(fail.NotRun, fail.Origin{Peer: "upstreams", Step: "choose"}, "no_upstream", "none is left")
 }
 
 func (r *rig) request(prompt, key string) *Request {
--- a/internal/delivery/session.go
+++ b/internal/delivery/session.go
@@ -32,7 +32,7 @@
 	gone      bool // the client has gone
 	stage     stage
 	text      strings.Builder // of a request with a key, to be recorded
-	times     meter.Times
+	times     meter.RequestTimes
 }
 
 // errGone says that the client has gone and nothing needs the generation.
@@ -90,7 +90,7 @@
 	ended = err == nil
 	if errors.Is(err, errGone) {
 		s.abandon(f)
-		return false, fail.New(fail.Interrupted, fail.Place{Peer: "client", Step: "deliver"}, "caller_gone", "the client has gone")
+		return false, fail.New(fail.Interrupted, fail.Origin{Peer: "client", Step: "deliver"}, "caller_gone", "the client has gone")
 	}
 	return err != nil && s.mayRepeat(err), err
 }
@@ -119,7 +119,7 @@
 func (s *session) check(p *placement.Place) (*placement.Place, error) {
 	s.deliverer.Fresh(s.client)
 	u := s.deliverer.view.Upstream(p.Upstream.Name)
-	place := fail.Place{Peer: "upstream " + p.Upstream.Name, Step: "check before the send"}
+	place := fail.Origin{Peer: "upstream " + p.Upstream.Name, Step: "check before the send"}
 	if u == nil || !u.AcceptsWork(time.Now()) {
 		s.avoid[p.Upstream.Name] = true
 		return nil, fail.WithRetryAt(fail.New(fail.NotRun, place, "leaving", "the upstream is leaving"), time.Now())
@@ -197,7 +197,7 @@
 }
 
 func (s *session) answerRepeat(c *requestkey.Claim) error {
-	p := fail.Place{Peer: "platform", Step: "look up request key"}
+	p := fail.Origin{Peer: "platform", Step: "look up request key"}
 	r := &c.Record
 	if r.Print != s.request.Print {
 		return fail.New(fail.Conflict, p, "key_reused", "the request key belongs to another request")
@@ -235,7 +235,7 @@
 // resume delivers a generation that already runs from a token index on.
 func (s *session) resume(name, generation string, from int) error {
 	d := s.deliverer
-	p := fail.Place{Peer: "upstream " + name, Step: "resume for client"}
+	p := fail.Origin{Peer: "upstream " + name, Step: "resume for client"}
 	s.stage = stageSent
 	u := d.view.Upstream(name)
 	if u == nil {
@@ -351,7 +351,7 @@
 // errAnswered says that the request was answered from another attempt.
 var errAnswered = errors.New("answered from another attempt")
 
-func resumeError(p fail.Place, err error) error {
+func resumeError(p fail.Origin, err error) error {
 	if errorx.IsOfType(err, fail.NotFound) {
 		return fail.Wrap(fail.NotFound, p, "generation_unknown", err)
 	}
@@ -363,7 +363,7 @@
 	if err == nil || errorx.IsOfType(err, fail.Conflict) {
 		return err
 	}
-	p := fail.Place{Peer: "platform", Step: "claim request key"}
+	p := fail.Origin{Peer: "platform", Step: "claim request key"}
 	return fail.WithRetryAt(fail.Wrap(fail.NotRun, p, "table_unavailable", err), time.Now().Add(tableRetryPeriod))
 }
 
--- a/internal/delivery/stage.go
+++ b/internal/delivery/stage.go
@@ -19,7 +19,7 @@
 // truthful returns err in the type that is true of the stage: an error that
 // says that nothing ran is changed once something may have run.
 func (s stage) truthful(err error, delivered int) error {
-	p := fail.Place{Peer: fail.Peer(err), Step: fail.Step(err)}
+	p := fail.Origin{Peer: fail.Peer(err), Step: fail.Step(err)}
 	if s == stageNotRun {
 		if errorx.IsOfType(err, fail.Unknown) || errorx.IsOfType(err, fail.Unavailable) {
 			return fail.Wrap(fail.NotRun, p, fail.Reason(err), err)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -70,7 +70,7 @@
 			return err
 		}
 		r.Header.Set("Authorization", "Bearer "+workspaceKey)
-		r.Header.Set(client.HeaderKey, "charge-1")
+		r.Header.Set(client.HeaderIdempotencyKey, "charge-1")
 		w, err := http.DefaultClient.Do(r)
 		if err != nil {
 			return err
@@ -118,7 +118,7 @@
 func (d *demo) killBox(ctx context.Context) error {
 	var ids []string
 	g := d.generator(0, 1)
-	g.Taken = func(id, text string) error {
+	g.OnToken = func(id, text string) error {
 		ids = append(ids, id)
 		_, _ = fmt.Fprint(d.output, text)
 		if len(ids) == 40 {
@@ -127,7 +127,7 @@
 		}
 		return nil
 	}
-	finish, boxes, err := g.Run(ctx, &client.Ask{Model: model, Prompt: "a wave plan, length=120"})
+	finish, boxes, err := g.Run(ctx, &client.GenerationRequest{Model: model, Prompt: "a wave plan, length=120"})
 	d.say("\n   ended by %q after %d tokens, asked at %d boxes", finish, len(ids), boxes)
 	if err != nil {
 		return err
@@ -165,11 +165,11 @@
 	for n := range 3 {
 		text := ""
 		g := d.generator(n, n+1)
-		g.Taken = func(_, t string) error {
+		g.OnToken = func(_, t string) error {
 			text += t
 			return nil
 		}
-		if _, _, err := g.Run(ctx, &client.Ask{Key: "quote-17", Model: model, Prompt: "a charged quote, length=30"}); err != nil {
+		if _, _, err := g.Run(ctx, &client.GenerationRequest{Key: "quote-17", Model: model, Prompt: "a charged quote, length=30"}); err != nil {
 			return err
 		}
 		d.say("   answer %d at box %d: %d characters", n+1, n+1, len(text))
@@ -273,7 +273,7 @@
 func (d *demo) whole(ctx context.Context, box, count int, each func(taken int)) error {
 	var ids []string
 	g := d.generator(box)
-	g.Taken = func(id, text string) error {
+	g.OnToken = func(id, text string) error {
 		ids = append(ids, id)
 		_, _ = fmt.Fprint(d.output, text)
 		if each != nil {
@@ -281,7 +281,7 @@
 		}
 		return nil
 	}
-	if _, _, err := g.Run(ctx, &client.Ask{Model: model, Prompt: fmt.Sprintf("a plan, length=%d", count)}); err != nil {
+	if _, _, err := g.Run(ctx, &client.GenerationRequest{Model: model, Prompt: fmt.Sprintf("a plan, length=%d", count)}); err != nil {
 		return err
 	}
 	return wholeOnce(ids, count)
--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -17,7 +17,7 @@
 	var best *Line
 	for i := range lines {
 		x := &lines[i]
-		if x.Event != event.UpstreamLeaving.Number && x.Event != event.LeavingHeard.Number && x.Event != event.UpstreamLapsed.Number {
+		if x.Event != event.UpstreamLeaving.Number && x.Event != event.LeavingNoticeReceived.Number && x.Event != event.UpstreamEntryGone.Number {
 			continue
 		}
 		if x.text("upstream") == upstream && !x.Time.After(before) && (best == nil || x.Time.After(best.Time)) {
@@ -36,7 +36,7 @@
 	switch end.Event {
 	case event.RequestFinished.Number:
 		return finishedCause(own, end)
-	case event.CallerGone.Number:
+	case event.CallerDisconnected.Number:
 		return fmt.Sprintf("the caller left after %s ms", end.text("took_ms"))
 	case event.RequestRefused.Number:
 		return "it was refused and did not run: " + failureText(end) + shortageText(end)
@@ -54,7 +54,7 @@
 func endOf(own []Line) *Line {
 	for i := len(own) - 1; i >= 0; i-- {
 		switch own[i].Event {
-		case event.RequestFinished.Number, event.RequestRefused.Number, event.RequestInterrupted.Number, event.CallerGone.Number:
+		case event.RequestFinished.Number, event.RequestRefused.Number, event.RequestInterrupted.Number, event.CallerDisconnected.Number:
 			return &own[i]
 		}
 	}
--- a/internal/fail/fail.go
+++ b/internal/fail/fail.go
@@ -41,25 +41,25 @@
 	propertyStep       = errorx.RegisterPrintableProperty("step")
 )
 
-// Place names where an error arose.
-type Place struct {
+// Origin names where an error arose.
+type Origin struct {
 	Peer string // the other side, such as "platform" or "upstream tiller-1"
 	Step string // what was being done, such as "reserve"
 }
 
 // New returns an error of type t that arose at p for the given reason.
-func New(t *errorx.Type, p Place, reason, format string, arguments ...any) error {
+func New(t *errorx.Type, p Origin, reason, format string, arguments ...any) error {
 	return decorate(t.New(format, arguments...), p, reason)
 }
 
 // Peer returns the peer at which e arose, or "".
 func Peer(e error) string {
-	return text(e, propertyPeer)
+	return stringProperty(e, propertyPeer)
 }
 
 // Reason returns the reason of e, or "internal" where it carries none.
 func Reason(e error) string {
-	if r := text(e, propertyReason); r != "" {
+	if r := stringProperty(e, propertyReason); r != "" {
 		return r
 	}
 	return "internal"
@@ -78,12 +78,12 @@
 
 // ShortOf returns what was lacking where e arose, or "".
 func ShortOf(e error) string {
-	return text(e, propertyShortOf)
+	return stringProperty(e, propertyShortOf)
 }
 
 // Step returns the step at which e arose, or "".
 func Step(e error) string {
-	return text(e, propertyStep)
+	return stringProperty(e, propertyStep)
 }
 
 // WithRetryAt returns e with the time at which the caller may come back.
@@ -105,17 +105,17 @@
 }
 
 // Wrap returns e as an error of type t that arose at p for the given reason.
-func Wrap(t *errorx.Type, p Place, reason string, e error) error {
+func Wrap(t *errorx.Type, p Origin, reason string, e error) error {
 	return decorate(t.Wrap(e, "%s at %s", p.Step, p.Peer), p, reason)
 }
 
-func decorate(x *errorx.Error, p Place, reason string) error {
+func decorate(x *errorx.Error, p Origin, reason string) error {
 	return x.WithProperty(propertyPeer, p.Peer).
 		WithProperty(propertyStep, p.Step).
 		WithProperty(propertyReason, reason)
 }
 
-func text(e error, p errorx.Property) string {
+func stringProperty(e error, p errorx.Property) string {
 	x := errorx.Cast(e)
 	if x == nil {
 		return ""
--- a/internal/health/backoffs.go
+++ b/internal/health/backoffs.go
@@ -58,7 +58,7 @@
 // AllBackingOffError returns an error if every listed upstream that takes new work has requested
 // back-off, and nil otherwise or if none takes new work. Its retry time is when the first back-off
 // ends.
-func (r *Backoffs) AllBackingOffError(l []*resource.Upstream, p fail.Place, now time.Time) error {
+func (r *Backoffs) AllBackingOffError(l []*resource.Upstream, p fail.Origin, now time.Time) error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.evictExpired(now) {
--- a/internal/health/backoffs_test.go
+++ b/internal/health/backoffs_test.go
@@ -36,7 +36,7 @@
 		if got := len(r.Avoid(l, nil, at(d))); got != avoided {
 			t.Errorf("%s: avoided: got %d, want %d", when, got, avoided)
 		}
-		err := r.AllBackingOffError(l, fail.Place{}, at(d))
+		err := r.AllBackingOffError(l, fail.Origin{}, at(d))
 		if got := fail.RetryAt(err); (err != nil) != (refusedFor > 0) || (err != nil && !got.Equal(at(d+refusedFor))) {
 			t.Errorf("%s: got %v until %v, want a refusal for %v", when, err, got, refusedFor)
 		}
@@ -89,7 +89,7 @@
 				r.RecordRefusal(l[throttled].Name, now)
 			}
 			for b.Loop() {
-				_ = r.AllBackingOffError(l, fail.Place{}, now)
+				_ = r.AllBackingOffError(l, fail.Origin{}, now)
 				_ = r.Avoid(l, nil, now)
 			}
 		})
--- a/internal/idle/idle.go
+++ b/internal/idle/idle.go
@@ -12,47 +12,47 @@
 // Closer closes idle connections of a server. It is safe for concurrent use; its lock
 // is a leaf.
 type Closer struct {
-	after func() time.Duration // that a connection may rest; 0 is for ever
+	timeout func() time.Duration // that a connection may rest; 0 is for ever
 
-	mutex   sync.Mutex
-	resting map[net.Conn]*rest
+	mutex sync.Mutex
+	idle  map[net.Conn]*idlePeriod
 }
 
-// rest is the time in which a connection has no request. The lock of Closer guards it.
-type rest struct {
+// idlePeriod is the time in which a connection has no request. The lock of Closer guards it.
+type idlePeriod struct {
 	timer *time.Timer // ends it
 }
 
 // NewCloser returns a closer of connections that rest for as long as after says.
-func NewCloser(after func() time.Duration) *Closer {
-	return &Closer{after: after, resting: make(map[net.Conn]*rest)}
+func NewCloser(timeout func() time.Duration) *Closer {
+	return &Closer{timeout: timeout, idle: make(map[net.Conn]*idlePeriod)}
 }
 
 // Track takes in a connection's new state; it is to be a server's ConnState.
 func (c *Closer) Track(n net.Conn, s http.ConnState) {
-	d := c.after()
+	d := c.timeout()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if r := c.resting[n]; r != nil {
+	if r := c.idle[n]; r != nil {
 		r.timer.Stop()
-		delete(c.resting, n)
+		delete(c.idle, n)
 	}
 	if s != http.StateIdle || d <= 0 {
 		return
 	}
-	r := new(rest)
+	r := new(idlePeriod)
 	r.timer = time.AfterFunc(d, func() { c.close(n, r) })
-	c.resting[n] = r
+	c.idle[n] = r
 }
 
 // close closes a connection at the end of r, unless a request has come since: one whose
 // first byte was read is answered.
-func (c *Closer) close(n net.Conn, r *rest) {
+func (c *Closer) close(n net.Conn, r *idlePeriod) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.resting[n] != r {
+	if c.idle[n] != r {
 		return
 	}
-	delete(c.resting, n)
+	delete(c.idle, n)
 	_ = n.Close() // the server tells of it by StateClosed
 }
--- a/internal/idle/idle_test.go
+++ b/internal/idle/idle_test.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// closed is a connection that notes when it was closed.
-type closed struct {
+// closeRecorder is a connection that notes when it was closed.
+type closeRecorder struct {
 	net.Conn
 	at time.Time
 }
 
-func (c *closed) Close() error {
+func (c *closeRecorder) Close() error {
 	c.at = time.Now()
 	return nil
 }
@@ -25,37 +25,37 @@
 func TestRestingConnectionsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
-		after := 10 * time.Second
-		c := NewCloser(func() time.Duration { return after })
-		var rests, works, forever closed
-		c.Track(&rests, http.StateNew)
-		c.Track(&rests, http.StateActive)
-		c.Track(&rests, http.StateIdle)
-		c.Track(&works, http.StateIdle)
+		timeout := 10 * time.Second
+		c := NewCloser(func() time.Duration { return timeout })
+		var unused, active, unlimited closeRecorder
+		c.Track(&unused, http.StateNew)
+		c.Track(&unused, http.StateActive)
+		c.Track(&unused, http.StateIdle)
+		c.Track(&active, http.StateIdle)
 		time.Sleep(9 * time.Second)
 		synctest.Wait()
-		c.Track(&works, http.StateActive)
+		c.Track(&active, http.StateActive)
 		time.Sleep(20 * time.Second)
 		synctest.Wait() // until what timers started has ended
-		if got, want := rests.at.Sub(start), 10*time.Second; got != want {
+		if got, want := unused.at.Sub(start), 10*time.Second; got != want {
 			t.Errorf("a resting connection: closed after %v, want %v", got, want)
 		}
-		if !works.at.IsZero() {
-			t.Errorf("one with a request: closed after %v, want not at all", works.at.Sub(start))
+		if !active.at.IsZero() {
+			t.Errorf("one with a request: closed after %v, want not at all", active.at.Sub(start))
 		}
-		after = 2 * time.Second
-		c.Track(&works, http.StateIdle)
-		after = 0
-		c.Track(&forever, http.StateIdle)
+		timeout = 2 * time.Second
+		c.Track(&active, http.StateIdle)
+		timeout = 0
+		c.Track(&unlimited, http.StateIdle)
 		time.Sleep(time.Hour)
 		synctest.Wait()
-		if got, want := works.at.Sub(start), 31*time.Second; got != want {
+		if got, want := active.at.Sub(start), 31*time.Second; got != want {
 			t.Errorf("after its request: closed after %v, want %v", got, want)
 		}
-		if !forever.at.IsZero() {
-			t.Errorf("one that may rest for ever: closed after %v", forever.at.Sub(start))
+		if !unlimited.at.IsZero() {
+			t.Errorf("one that may rest for ever: closed after %v", unlimited.at.Sub(start))
 		}
-		if got := len(c.resting); got != 0 {
+		if got := len(c.idle); got != 0 {
 			t.Errorf("connections kept: got %d, want none", got)
 		}
 	})
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -162,6 +162,6 @@
 	return l, nil
 }
 
-func place(step string) fail.Place {
-	return fail.Place{Peer: "platform", Step: step}
+func place(step string) fail.Origin {
+	return fail.Origin{Peer: "platform", Step: step}
 }
--- a/internal/logging/handler.go
+++ b/internal/logging/handler.go
@@ -35,18 +35,18 @@
 type Option func(*shared)
 
 const (
-	// budgetDefault is how many lines a second one kind of event has: some 20 times
+	// defaultBudget is how many lines a second one kind of event has: some 20 times
 	// what a box of the users' sites writes in steady state.
-	budgetDefault = 200
-	// failureFactor is how much more those of failures have: they are left out last.
-	failureFactor = 5
-	keyEvent      = "event"
+	defaultBudget = 200
+	// warningFactor is how much more those of failures have: they are left out last.
+	warningFactor = 5
+	eventKey      = "event"
 )
 
 // New returns a handler that writes to output, and the writer to close in the end.
 func New(output io.Writer, level slog.Level, options ...Option) (*Handler, *Writer) {
 	w := NewWriter(output)
-	s := &shared{budget: budgetDefault, now: time.Now, omitted: make(map[int64]int), used: make(map[int64]int), writer: w}
+	s := &shared{budget: defaultBudget, now: time.Now, omitted: make(map[int64]int), used: make(map[int64]int), writer: w}
 	for _, o := range options {
 		o(s)
 	}
@@ -71,10 +71,10 @@
 // Handle writes a line, unless its kind of event has had its budget.
 func (h *Handler) Handle(ctx context.Context, r slog.Record) error {
 	e := eventOf(&r)
-	take, omitted := h.shared.take(e, r.Level)
+	take, omitted := h.shared.allow(e, r.Level)
 	for number, n := range omitted {
 		o := slog.NewRecord(r.Time, event.LinesOmitted.Level, event.LinesOmitted.Name, 0)
-		o.AddAttrs(slog.Int(keyEvent, event.LinesOmitted.Number), slog.Int64("of", number), slog.Int("lines", n))
+		o.AddAttrs(slog.Int(eventKey, event.LinesOmitted.Number), slog.Int64("of", number), slog.Int("lines", n))
 		if err := h.inner.Handle(ctx, o); err != nil {
 			return err
 		}
@@ -95,9 +95,9 @@
 	return &Handler{inner: h.inner.WithGroup(name), shared: h.shared}
 }
 
-// take takes one line of an event's budget and reports whether there was one. With
+// allow takes one line of an event's budget and reports whether there was one. With
 // the first line of a second it returns what was left out in the one before.
-func (s *shared) take(e int64, l slog.Level) (ok bool, omitted map[int64]int) {
+func (s *shared) allow(e int64, l slog.Level) (ok bool, omitted map[int64]int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if second := s.now().Unix(); second != s.second {
@@ -110,7 +110,7 @@
 	}
 	budget := s.budget
 	if l >= slog.LevelWarn {
-		budget *= failureFactor
+		budget *= warningFactor
 	}
 	if s.used[e] >= budget {
 		s.omitted[e]++
@@ -124,7 +124,7 @@
 func eventOf(r *slog.Record) int64 {
 	n := int64(0)
 	r.Attrs(func(a slog.Attr) bool {
-		if a.Key == keyEvent {
+		if a.Key == eventKey {
 			n = a.Value.Int64()
 			return false
 		}
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -60,10 +60,10 @@
 	}
 }
 
-// stuck is an output that takes nothing until it is let go.
-type stuck struct{ release chan struct{} }
+// blockedOutput is an output that takes nothing until it is let go.
+type blockedOutput struct{ release chan struct{} }
 
-func (s *stuck) Write(b []byte) (int, error) {
+func (s *blockedOutput) Write(b []byte) (int, error) {
 	<-s.release
 	return len(b), nil
 }
@@ -71,10 +71,10 @@
 // TestStuckOutputHoldsNobodyUp writes far more than is kept to an output that
 // stands still: every call returns, and what was dropped is told in the end.
 func TestStuckOutputHoldsNobodyUp(t *testing.T) {
-	s := &stuck{release: make(chan struct{})}
+	s := &blockedOutput{release: make(chan struct{})}
 	w := NewWriter(s)
 	const more = 500
-	for range linesKept + more {
+	for range maxBufferedLines + more {
 		if _, err := io.WriteString(w, "x\n"); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -10,34 +10,34 @@
 // Writer passes lines on to an output that may stand still. Writes never wait;
 // lines for which there is no room are dropped and counted.
 type Writer struct {
-	closed  chan struct{}
-	closing sync.Once
-	done    chan struct{} // closed when all that waited is written
-	dropped atomic.Int64
-	lines   chan []byte
-	output  io.Writer
+	closed    chan struct{}
+	closeOnce sync.Once
+	done      chan struct{} // closed when all that waited is written
+	dropped   atomic.Int64
+	lines     chan []byte
+	output    io.Writer
 }
 
 const (
-	// closePeriod bounds the wait for an output that stands still at the end.
-	closePeriod = time.Second
-	// linesKept is how many lines wait for the output: two seconds of a busy box.
-	linesKept = 2048
+	// closeTimeout bounds the wait for an output that stands still at the end.
+	closeTimeout = time.Second
+	// maxBufferedLines is how many lines wait for the output: two seconds of a busy box.
+	maxBufferedLines = 2048
 )
 
 // NewWriter returns a writer to output.
 func NewWriter(output io.Writer) *Writer {
-	w := &Writer{closed: make(chan struct{}), done: make(chan struct{}), lines: make(chan []byte, linesKept), output: output}
+	w := &Writer{closed: make(chan struct{}), done: make(chan struct{}), lines: make(chan []byte, maxBufferedLines), output: output}
 	go w.run()
 	return w
 }
 
 // Close writes what waits, and gives up on an output that takes nothing.
 func (w *Writer) Close() error {
-	w.closing.Do(func() { close(w.closed) })
+	w.closeOnce.Do(func() { close(w.closed) })
 	select {
 	case <-w.done:
-	case <-time.After(closePeriod):
+	case <-time.After(closeTimeout):
 	}
 	return nil
 }
@@ -57,7 +57,7 @@
 	for {
 		select {
 		case b := <-w.lines:
-			w.put(b)
+			w.writeLine(b)
 		case <-w.closed:
 			w.drain()
 			return
@@ -70,14 +70,14 @@
 	for {
 		select {
 		case b := <-w.lines:
-			w.put(b)
+			w.writeLine(b)
 		default:
 			return
 		}
 	}
 }
 
-func (w *Writer) put(b []byte) {
+func (w *Writer) writeLine(b []byte) {
 	if _, err := w.output.Write(b); err != nil {
 		w.dropped.Add(1)
 	}
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -18,26 +18,26 @@
 	tokens  *metrics.Counter
 }
 
-// Times is what a Meter keeps of one request.
-type Times struct {
+// RequestTimes is what a Meter keeps of one request.
+type RequestTimes struct {
 	last  time.Time // of the last token
 	stall time.Duration
 }
 
-// tokenTarget is the time between tokens beyond which a request stalls, from the
+// stallThreshold is the time between tokens beyond which a request stalls, from the
 // users' aim of 40 ms between tokens.
-const tokenTarget = 40 * time.Millisecond
+const stallThreshold = 40 * time.Millisecond
 
 // New returns a meter that writes to s.
 func New(s *metric.Set) *Meter {
 	return &Meter{
-		between: s.Histogram(metric.TimeBetween), first: s.Histogram(metric.TimeToFirst),
-		stall: s.Histogram(metric.StallSeconds), tokens: s.Counter(metric.Tokens),
+		between: s.Histogram(metric.TimeBetweenTokens), first: s.Histogram(metric.TimeToFirstToken),
+		stall: s.Histogram(metric.StallTime), tokens: s.Counter(metric.Tokens),
 	}
 }
 
 // End takes in that a request has had its last token.
-func (m *Meter) End(t *Times) {
+func (m *Meter) End(t *RequestTimes) {
 	if !t.last.IsZero() {
 		m.stall.Update(t.stall.Seconds())
 	}
@@ -45,7 +45,7 @@
 
 // Tokens takes in that some tokens came together at now, of a request that
 // arrived at a time.
-func (m *Meter) Tokens(n int, now, arrived time.Time, t *Times) {
+func (m *Meter) Tokens(n int, now, arrived time.Time, t *RequestTimes) {
 	m.tokens.Add(n)
 	if t.last.IsZero() {
 		m.first.Update(now.Sub(arrived).Seconds())
@@ -54,6 +54,6 @@
 	}
 	g := now.Sub(t.last)
 	t.last = now
-	t.stall += max(0, g-time.Duration(n)*tokenTarget)
+	t.stall += max(0, g-time.Duration(n)*stallThreshold)
 	m.between.Update(g.Seconds() / float64(max(1, n)))
 }
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -94,8 +94,8 @@
 	return nil
 }
 
-func (c *Client) place(step string) fail.Place {
-	return fail.Place{Peer: "box " + c.address, Step: step}
+func (c *Client) place(step string) fail.Origin {
+	return fail.Origin{Peer: "box " + c.address, Step: step}
 }
 
 func (c *Client) send(ctx context.Context, method, path string, h http.Header, in any) (*http.Response, error) {
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -281,7 +281,7 @@
 // errRestored returns the error of a write around the moment at which the store comes back from
 // a copy.
 func errRestored(t *errorx.Type, message string) error {
-	return fail.New(t, fail.Place{Peer: "platform", Step: "write resource"}, "platform_restored", "%s", message)
+	return fail.New(t, fail.Origin{Peer: "platform", Step: "write resource"}, "platform_restored", "%s", message)
 }
 
 func readResource(w http.ResponseWriter, r *http.Request) (*resource.Resource, *Problem) {
--- a/internal/operator/table.go
+++ b/internal/operator/table.go
@@ -56,7 +56,7 @@
 	}
 	v := new(configuration.Value)
 	if err := json.Unmarshal(row.Value, v); err != nil {
-		return nil, nil, fail.Wrap(fail.Unknown, fail.Place{Peer: "platform", Step: "read resource"}, "platform_garbled", err)
+		return nil, nil, fail.Wrap(fail.Unknown, fail.Origin{Peer: "platform", Step: "read resource"}, "platform_garbled", err)
 	}
 	if v.Deleted {
 		return row, nil, nil
--- a/internal/order/reconciler.go
+++ b/internal/order/reconciler.go
@@ -208,7 +208,7 @@
 		return false, err
 	}
 	r.metrics.Count(metric.Orders, "result", "given")
-	event.OrderGiven.Log(r.log, "upstream", u.Name, "kind", o.Kind, "model", o.Model, "version", o.Version, "fence", o.Fence)
+	event.OrderSent.Log(r.log, "upstream", u.Name, "kind", o.Kind, "model", o.Model, "version", o.Version, "fence", o.Fence)
 	if u.Spec.ChecksFence {
 		return true, nil
 	}
@@ -219,7 +219,7 @@
 		return true, err
 	}
 	if n := r.nextOrder(u, l); n != nil && *n == (upstream.Order{Kind: o.Kind, Model: o.Model, Role: o.Role, Version: o.Version}) {
-		return true, fail.New(fail.Conflict, fail.Place{Peer: "upstream " + u.Name, Step: "read back order"}, "order_undone", "the upstream no longer has the state that the order set")
+		return true, fail.New(fail.Conflict, fail.Origin{Peer: "upstream " + u.Name, Step: "read back order"}, "order_undone", "the upstream no longer has the state that the order set")
 	}
 	return true, nil
 }
--- a/internal/ownership/owners.go
+++ b/internal/ownership/owners.go
@@ -92,8 +92,8 @@
 	for _, x := range options {
 		x(o)
 	}
-	s.Gauge(metric.Owned, func() float64 { return float64(len(o.list())) })
-	s.Gauge(metric.Queued, func() float64 { return o.sum((*policy.Owner).Queued) })
+	s.Gauge(metric.OwnedUpstreams, func() float64 { return float64(len(o.list())) })
+	s.Gauge(metric.QueuedRequests, func() float64 { return o.sum((*policy.Owner).Queued) })
 	s.Gauge(metric.Reservations, func() float64 { return o.sum((*policy.Owner).Running) })
 	return o
 }
--- a/internal/ownership/reports.go
+++ b/internal/ownership/reports.go
@@ -27,7 +27,7 @@
 		if x.reportFailed() == 1 && ctx.Err() == nil {
 			event.ReportMissing.Log(o.log, "upstream", u.Name, "error", err.Error())
 		}
-		o.metrics.Add(metric.UpstreamReports, 1)
+		o.metrics.Add(metric.UpstreamReportErrors, 1)
 		return
 	}
 	x.applyReport(l, u.IsLeaving(), u.ReportedLeaving || selfReported)
--- a/internal/periodic/periodic.go
+++ b/internal/periodic/periodic.go
@@ -7,8 +7,8 @@
 )
 
 // Run calls f after each time every, until ctx ends.
-func Run(ctx context.Context, every time.Duration, f func(ctx context.Context)) {
-	t := time.NewTicker(every)
+func Run(ctx context.Context, interval time.Duration, f func(ctx context.Context)) {
+	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
 		select {
--- a/internal/placement/naive.go
+++ b/internal/placement/naive.go
@@ -43,7 +43,7 @@
 	p.mutex.Unlock()
 	u := p.view.Upstream(n)
 	if u == nil {
-		return nil, fail.New(fail.NotRun, fail.Place{Peer: "upstreams", Step: "choose"},
+		return nil, fail.New(fail.NotRun, fail.Origin{Peer: "upstreams", Step: "choose"},
 			string(policy.ReasonNoUpstream), "no upstream takes new work for model %q", w.Model)
 	}
 	return &Place{GrantedAt: time.Now(), Upstream: u}, nil
--- a/internal/placement/reserved.go
+++ b/internal/placement/reserved.go
@@ -85,7 +85,7 @@
 // known, in which case it returns a rerouteError.
 func (p *Reserved) ask(ctx context.Context, u *resource.Upstream, w *policy.Work, wait time.Duration) (*policy.Answer, error) {
 	owner := policy.First(u.Name, p.members.Alive(u.Spec.Hall))
-	place := fail.Place{Peer: "box " + owner, Step: "ask"}
+	place := fail.Origin{Peer: "box " + owner, Step: "ask"}
 	if owner == "" {
 		return nil, fail.New(fail.NotRun, place, "no_owner", "no box is known in hall %q", u.Spec.Hall)
 	}
@@ -156,7 +156,7 @@
 		next = p.route(w, skip)
 	}
 	if next == "" && !p.upstreamLeft(w, skip) {
-		return nil, fail.WithRetryAt(fail.New(fail.NotRun, fail.Place{Peer: "upstreams", Step: "choose"},
+		return nil, fail.WithRetryAt(fail.New(fail.NotRun, fail.Origin{Peer: "upstreams", Step: "choose"},
 			string(p.unavailableReason(w)), "no upstream takes new work for model %q", w.Model), time.Now().Add(time.Second))
 	}
 	return p.view.Upstream(next), nil
@@ -165,7 +165,7 @@
 // drainReplies returns the final answer if it is still buffered in replies after the exchange
 // has ended, or else the exchange's error. Without an answer it also marks the owner as failed,
 // unless the owner is this box or ctx has ended.
-func (p *Reserved) drainReplies(ctx context.Context, err error, replies <-chan *box.Reply, owner string, began time.Time, place fail.Place) (*policy.Answer, error) {
+func (p *Reserved) drainReplies(ctx context.Context, err error, replies <-chan *box.Reply, owner string, began time.Time, place fail.Origin) (*policy.Answer, error) {
 	for {
 		select {
 		case r := <-replies:
@@ -276,7 +276,7 @@
 // waitError returns the error for work that got no place before its deadline or before its
 // caller disconnected.
 func (p *Reserved) waitError(ctx context.Context, w *policy.Work) error {
-	place := fail.Place{Peer: "upstreams", Step: "wait for a place"}
+	place := fail.Origin{Peer: "upstreams", Step: "wait for a place"}
 	if time.Now().Before(waitDeadline(w)) {
 		return fail.Wrap(fail.NotRun, place, "caller_gone", ctx.Err())
 	}
--- a/internal/placement/search.go
+++ b/internal/placement/search.go
@@ -203,7 +203,7 @@
 // noOwnerError returns the error for work for which no owner could be asked; err is the last
 // failure, or nil.
 func noOwnerError(w *policy.Work, err error) error {
-	p := fail.Place{Peer: "boxes", Step: "ask"}
+	p := fail.Origin{Peer: "boxes", Step: "ask"}
 	if err == nil {
 		err = fail.New(fail.NotRun, p, "no_owner", "no box is known that owns an upstream of model %q", w.Model)
 	}
@@ -212,7 +212,7 @@
 
 // refusalError returns an owner's refusal as an error.
 func refusalError(upstream string, a *policy.Answer) error {
-	err := fail.New(fail.NotRun, fail.Place{Peer: "upstream " + upstream, Step: "ask"}, string(a.Reason), "refused: %s", a.Reason)
+	err := fail.New(fail.NotRun, fail.Origin{Peer: "upstream " + upstream, Step: "ask"}, string(a.Reason), "refused: %s", a.Reason)
 	if a.ShortOf != "" {
 		err = fail.WithShortOf(err, string(a.ShortOf))
 	}
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -81,7 +81,7 @@
 		return nil, err // quarantined while it waited for a place
 	}
 	now := time.Now()
-	place := fail.Place{Peer: "upstream " + t.upstream.Name, Step: stepCheck}
+	place := fail.Origin{Peer: "upstream " + t.upstream.Name, Step: stepCheck}
 	u := e.relay.view.Upstream(t.upstream.Name)
 	switch {
 	case u == nil || !u.KeepsWork(now):
--- a/internal/relay/crash.go
+++ b/internal/relay/crash.go
@@ -159,7 +159,7 @@
 	if l == nil {
 		return
 	}
-	event.RequestTried.Log(x.log, "request", e.request.ID, "asked", e.fingerprint().String(), "trial", l[0].Suspects[0].Trials)
+	event.QuarantinedRequestRetried.Log(x.log, "request", e.request.ID, "asked", e.fingerprint().String(), "trial", l[0].Suspects[0].Trials)
 	x.AnnounceCrashes(l)
 }
 
--- a/internal/relay/deliver.go
+++ b/internal/relay/deliver.go
@@ -49,7 +49,7 @@
 // deliver forwards an answer that is not a stream. retry reports whether another
 // upstream may be tried.
 func (e *exchange) deliver(ctx context.Context, a *Answer) (retry bool, err error) {
-	p := fail.Place{Peer: "upstream " + e.upstream.Name, Step: "read answer"}
+	p := fail.Origin{Peer: "upstream " + e.upstream.Name, Step: "read answer"}
 	b, err := readBody(ctx, a)
 	if errors.Is(err, errTooLarge) {
 		return false, e.copyAnswer(a, b)
@@ -77,7 +77,7 @@
 // status that means that the request did not run, where the upstream did not say so itself.
 func (e *exchange) writeAnswer(a *bufferedAnswer) error {
 	if impliesNotRun(a.Status) {
-		p := fail.Place{Peer: "upstream " + e.upstreamName(), Step: "read answer"}
+		p := fail.Origin{Peer: "upstream " + e.upstreamName(), Step: "read answer"}
 		return fail.New(fail.Unknown, p, "upstream_failed", "status %d, but the upstream did not say that the request was not run", a.Status)
 	}
 	copyHeader(e.writer.Header(), a.Header)
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -92,7 +92,7 @@
 	if e.fallback != nil && e.status == 0 && e.clientCtx.Err() == nil {
 		return e.writeAnswer(e.fallback)
 	}
-	p := fail.Place{Peer: fail.Peer(err), Step: fail.Step(err)}
+	p := fail.Origin{Peer: fail.Peer(err), Step: fail.Step(err)}
 	if e.status == 0 && ctx.Err() != nil && errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		if e.mayHaveRun {
 			return fail.Wrap(errDeadline, p, "deadline", err)
@@ -157,8 +157,8 @@
 	}
 }
 
-func (e *exchange) servicePlace() fail.Place {
-	return fail.Place{Peer: "service " + e.service.Name, Step: "choose"}
+func (e *exchange) servicePlace() fail.Origin {
+	return fail.Origin{Peer: "service " + e.service.Name, Step: "choose"}
 }
 
 // shouldRetry reports whether to try another upstream after err. A retry is charged to
@@ -187,7 +187,7 @@
 	if age < configuration.ViewStaleAfter {
 		return err
 	}
-	p := fail.Place{Peer: fail.Peer(err), Step: fail.Step(err)}
+	p := fail.Origin{Peer: fail.Peer(err), Step: fail.Step(err)}
 	return fail.WithRetryAt(fail.New(fail.NotRun, p, "view_stale", "%s, but the view was last confirmed as current %s ago", fail.Reason(err), age.Round(time.Second)), time.Now().Add(staleViewRetryDelay))
 }
 
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -41,7 +41,7 @@
 	case c.After.Lifted:
 		event.LimitLifted.Log(x.log, "upstream", c.After.Upstream, "per_second", c.After.PerSecond, "from", from)
 	case c.NeedsAnnouncement() || c.After.PerSecond != c.Before.PerSecond:
-		event.LimitNamed.Log(x.log, "upstream", c.After.Upstream, "per_second", c.After.PerSecond, "before", c.Before.PerSecond, "from", from)
+		event.LimitAnnounced.Log(x.log, "upstream", c.After.Upstream, "per_second", c.After.PerSecond, "before", c.Before.PerSecond, "from", from)
 	}
 	return c
 }
@@ -55,12 +55,12 @@
 	now, limits := time.Now(), x.limiter.Limits()
 	switch {
 	case a.LimitError != nil:
-		x.metrics.Count(metric.UpstreamWords, "word", noticeLimitInvalid)
+		x.metrics.Count(metric.UpstreamNotices, "word", noticeLimitInvalid)
 		if limits.MarkInvalid(u.Name, u.Spec.Born) {
 			event.LimitInvalid.Log(x.log, "upstream", u.Name, "error", a.LimitError.Error())
 		}
 	case a.Limit != nil:
-		x.metrics.Count(metric.UpstreamWords, "word", noticeLimit)
+		x.metrics.Count(metric.UpstreamNotices, "word", noticeLimit)
 		x.announceLimit(x.RecordLimit(ratelimit.Limit{ReportedAt: now, StartedAt: u.Spec.Born, PerSecond: *a.Limit, Upstream: u.Name}, fromAnswer))
 	case a.Stamped || (a.NotRun && a.Status != http.StatusMisdirectedRequest):
 		x.announceLimit(x.logLimitChange(limits.Lift(u.Name, u.Spec.Born, now), fromAnswer))
@@ -171,7 +171,7 @@
 	if granted {
 		result = "granted"
 	}
-	x.metrics.Count(metric.Permits, "result", result)
+	x.metrics.Count(metric.LimitPermits, "result", result)
 	return granted
 }
 
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -37,7 +37,7 @@
 			}
 		}
 		for word, want := range map[string]uint64{"limit": 9, "limit_invalid": 3} {
-			if got := r.metrics.Value(metric.UpstreamWords, "word", word); got != want {
+			if got := r.metrics.Value(metric.UpstreamNotices, "word", word); got != want {
 				t.Errorf("answers with %s: got %d, want %d", word, got, want)
 			}
 		}
--- a/internal/relay/migration.go
+++ b/internal/relay/migration.go
@@ -67,7 +67,7 @@
 	e := s.exchange
 	x := e.relay
 	if to == nil {
-		return fail.New(fail.Unavailable, fail.Place{Peer: "upstreams", Step: "choose"}, "no_room", "no engine is left to move the generation to")
+		return fail.New(fail.Unavailable, fail.Origin{Peer: "upstreams", Step: "choose"}, "no_room", "no engine is left to move the generation to")
 	}
 	began := time.Now()
 	event.MoveStarted.Log(x.log, "request", e.request.ID, "from", m.from.Name, "to", to.Name, "events", s.eventsDelivered())
@@ -262,7 +262,7 @@
 	m.mutex.Lock()
 	m.copy, m.stopped = nil, false
 	m.mutex.Unlock()
-	place := fail.Place{Peer: "upstream " + to.Name, Step: "copy"}
+	place := fail.Origin{Peer: "upstream " + to.Name, Step: "copy"}
 	if err := x.Upstreams.Release(ctx, m.from, c.Handle); err != nil {
 		return fail.Wrap(fail.Unavailable, place, "copy_withdrawn", err)
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -131,7 +131,7 @@
 	}
 	m.Gauge(metric.KeptRequests, func() float64 { return float64(x.frequent.Size()) })
 	m.Gauge(metric.LimitedUpstreams, func() float64 { return float64(x.limiter.Limits().Size(time.Now())) })
-	m.Gauge(metric.Quarantined, func() float64 { return float64(x.quarantine.Size(time.Now())) })
+	m.Gauge(metric.QuarantinedRequests, func() float64 { return float64(x.quarantine.Size(time.Now())) })
 	return x
 }
 
@@ -366,7 +366,7 @@
 	switch {
 	case e.clientCtx.Err() != nil:
 		x.metrics.Count(metric.Requests, "outcome", "caller_gone")
-		event.CallerGone.Log(x.log, l...)
+		event.CallerDisconnected.Log(x.log, l...)
 	case errorx.IsOfType(err, fail.Interrupted), errorx.IsOfType(err, fail.Unknown):
 		x.metrics.Count(metric.Requests, "outcome", "failed")
 		event.RequestInterrupted.Log(x.log, append(l, "error", err.Error())...)
@@ -375,7 +375,7 @@
 		x.metrics.Count(metric.Refusals, "reason", fail.Reason(err))
 		x.recordPromptSize(e, "refused")
 		if s := fail.ShortOf(err); s != "" {
-			x.metrics.Count(metric.Shortages, "short_of", s)
+			x.metrics.Count(metric.RefusalsByShortage, "short_of", s)
 			l = append(l, "short_of", s)
 		}
 		event.RequestRefused.Log(x.log, append(append(l, x.revisionAttributes()...), "error", err.Error())...)
@@ -423,6 +423,6 @@
 	return s.Services[0].Name
 }
 
-func clientPlace(step string) fail.Place {
-	return fail.Place{Peer: "client", Step: step}
+func clientPlace(step string) fail.Origin {
+	return fail.Origin{Peer: "client", Step: step}
 }
--- a/internal/relay/resume.go
+++ b/internal/relay/resume.go
@@ -34,7 +34,7 @@
 // the run cannot continue anywhere else, it does so for evacuatedResumeGrace after the engine's
 // hall was evacuated, and for one run during each back-off that the engine asked for.
 func (e *exchange) resumeAt(ctx context.Context, u *resource.Upstream, r *Resume) (*Answer, error) {
-	v, place := e.relay.view.Upstream(u.Name), fail.Place{Peer: "upstream " + u.Name, Step: "resume"}
+	v, place := e.relay.view.Upstream(u.Name), fail.Origin{Peer: "upstream " + u.Name, Step: "resume"}
 	if v != nil && v.Evacuated() && time.Since(v.EvacuatedAt) > evacuatedResumeGrace {
 		return nil, fail.New(fail.NotRun, place, string(policy.ReasonEvacuated), "data hall %q is evacuated", v.Spec.Hall)
 	}
@@ -93,7 +93,7 @@
 		x.tracker.Finish(m.running, false)
 	}
 	x.metrics.Count(metric.Moves, "result", "moved")
-	x.metrics.Histogram(metric.MoveSeconds).Update(pause.Seconds())
+	x.metrics.Histogram(metric.MovePause).Update(pause.Seconds())
 	event.MoveDone.Log(x.log, "request", s.exchange.request.ID, "from", m.from.Name, "to", u.Name, "pause_ms", pause.Milliseconds(), "events", s.eventsDelivered())
 	x.startMoves()
 }
--- a/internal/relay/rig_test.go
+++ b/internal/relay/rig_test.go
@@ -147,7 +147,7 @@
 	if u := r.firstFree(w, avoid); u != nil {
 		return &placement.Place{GrantedAt: time.Now(), Upstream: u}, nil
 	}
-	return nil, fail.WithRetryAt(fail.New(fail.NotRun, fail.Place{Peer: "upstreams", Step: "choose"}, "no_upstream", "none"), time.Now().Add(time.Second))
+	return nil, fail.WithRetryAt(fail.New(fail.NotRun, fail.Origin{Peer: "upstreams", Step: "choose"}, "no_upstream", "none"), time.Now().Add(time.Second))
 }
 
 func (r *rig) firstFree(w *policy.Work, avoid map[string]bool) *resource.Upstream {
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -29,13 +29,13 @@
 // forwarded.
 func (e *exchange) checkAnswer(u *resource.Upstream, a *Answer) error {
 	x, now := e.relay, time.Now()
-	p := fail.Place{Peer: "upstream " + u.Name, Step: "send"}
+	p := fail.Origin{Peer: "upstream " + u.Name, Step: "send"}
 	if a.Leaving {
 		e.recordLeaving(u)
 	}
 	x.observeLimit(u, a)
 	if a.Backoff > 0 {
-		x.metrics.Count(metric.UpstreamWords, "word", noticeBackoff)
+		x.metrics.Count(metric.UpstreamNotices, "word", noticeBackoff)
 		x.backoffs.RecordBackoff(u, now.Add(a.Backoff))
 	}
 	if a.NotRun {
@@ -84,9 +84,9 @@
 // new requests. While the store is unavailable, the answer may be the only notice.
 func (e *exchange) recordLeaving(u *resource.Upstream) {
 	x := e.relay
-	x.metrics.Count(metric.UpstreamWords, "word", noticeLeaving)
+	x.metrics.Count(metric.UpstreamNotices, "word", noticeLeaving)
 	v := x.view.Upstream(u.Name)
-	event.LeavingAnswered.Log(x.log, "request", e.request.ID, "upstream", u.Name, "known", v == nil || v.IsLeaving())
+	event.LeavingAnswerReceived.Log(x.log, "request", e.request.ID, "upstream", u.Name, "known", v == nil || v.IsLeaving())
 	x.RecordLeaving(u)
 }
 
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -25,7 +25,7 @@
 	exchange   *exchange
 	finished   bool          // the generation ran to completion
 	firstEvent chan struct{} // closed when the first event was forwarded
-	times      meter.Times
+	times      meter.RequestTimes
 
 	mutex         sync.Mutex  // guards the fields below; the locks of moves, lengths and metrics may be taken while it is held
 	closed        bool        // no more moves may start
@@ -266,8 +266,8 @@
 	return s.assignment.upstream
 }
 
-func (s *stream) upstreamPlace(step string) fail.Place {
-	return fail.Place{Peer: "upstream " + s.upstream().Name, Step: step}
+func (s *stream) upstreamPlace(step string) fail.Origin {
+	return fail.Origin{Peer: "upstream " + s.upstream().Name, Step: step}
 }
 
 // writeEvent writes one event to the caller, after the answer's header if it is the first.
--- a/internal/requestkey/requestkey.go
+++ b/internal/requestkey/requestkey.go
@@ -241,6 +241,6 @@
 	return &item{condition: table.Condition{Key: key, Revision: condition}, write: table.Write{Key: key, Value: encode(r)}}
 }
 
-func place() fail.Place {
-	return fail.Place{Peer: "platform", Step: "write request key"}
+func place() fail.Origin {
+	return fail.Origin{Peer: "platform", Step: "write request key"}
 }
--- a/internal/requestkey/restored.go
+++ b/internal/requestkey/restored.go
@@ -71,7 +71,7 @@
 	for _, n := range keys {
 		g.Go(func() error {
 			if c := k.ledger.get(n); c != nil {
-				k.metrics.Count(metric.KeyRewrites, "outcome", string(k.rewriteOne(c)))
+				k.metrics.Count(metric.RequestKeyRewrites, "outcome", string(k.rewriteOne(c)))
 			}
 			return nil
 		})
--- a/internal/requestkey/writer.go
+++ b/internal/requestkey/writer.go
@@ -56,10 +56,10 @@
 	lost := false
 	for len(batch) > 0 {
 		r, err := k.Commit(k.ctx, transaction(batch))
-		k.metrics.Add(metric.KeyCommits, 1)
+		k.metrics.Add(metric.RequestKeyCommits, 1)
 		switch {
 		case err == nil && r.Committed:
-			k.metrics.Add(metric.KeyWrites, len(batch))
+			k.metrics.Add(metric.RequestKeyWrites, len(batch))
 			k.settle(batch, r.Revision)
 			return
 		case err == nil:
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -29,15 +29,15 @@
 
 // Call is one call to a plain service.
 type Call struct {
-	Body      []byte
-	Deadline  time.Time
-	Header    http.Header
-	Key       string // the request key, "" where there is none
-	Method    string
-	Path      string // after /services/NAME, with its query
-	Print     string // hash of what is asked
-	Service   string
-	Workspace string
+	Body        []byte
+	Deadline    time.Time
+	Header      http.Header
+	Key         string // the request key, "" where there is none
+	Method      string
+	Path        string // after /services/NAME, with its query
+	Fingerprint string // hash of what is asked
+	Service     string
+	Workspace   string
 }
 
 // Answer is a service's answer.
@@ -52,9 +52,9 @@
 type Router struct {
 	// Do sends one request to an upstream; a seam for tests.
 	Do func(r *http.Request) (*http.Response, error)
-	// Rests are the times for which upstreams want nothing from this box, shared with others
+	// Backoffs are the times for which upstreams want nothing from this box, shared with others
 	// that send to them.
-	Rests *health.Backoffs
+	Backoffs *health.Backoffs
 
 	keys    *requestkey.Keys
 	metrics *metric.Set
@@ -65,17 +65,17 @@
 }
 
 const (
-	maxAnswerBytes = 8 << 20
-	triesMost      = 3
-	tableRetry     = 5 * time.Second
+	maxAnswerBytes  = 8 << 20
+	maxTries        = 3
+	tableRetryDelay = 5 * time.Second
 )
 
-// passedHeaders are the headers that go on to a service.
-var passedHeaders = []string{"Accept", "Content-Type", "Accept-Language"}
+// forwardedHeaders are the headers that go on to a service.
+var forwardedHeaders = []string{"Accept", "Content-Type", "Accept-Language"}
 
 // NewRouter returns a router over the services in v.
 func NewRouter(v *resource.View, k *requestkey.Keys, m *metric.Set) *Router {
-	return &Router{active: make(map[string]int), keys: k, metrics: m, Rests: health.NewBackoffs(v), retries: policy.NewRetryBudget(), view: v}
+	return &Router{active: make(map[string]int), keys: k, metrics: m, Backoffs: health.NewBackoffs(v), retries: policy.NewRetryBudget(), view: v}
 }
 
 // Call carries c to its answer.
@@ -84,48 +84,48 @@
 	defer cancel()
 	u := r.upstreams(c.Service)
 	if len(u) == 0 {
-		return nil, fail.New(fail.NotFound, r.place(c), "service_unknown", "no upstream serves %q", c.Service)
+		return nil, fail.New(fail.NotFound, r.origin(c), "service_unknown", "no upstream serves %q", c.Service)
 	}
 	r.mutex.Lock()
 	r.retries.RecordRequest()
 	r.mutex.Unlock()
 	if repeatable(c.Method, u[0]) {
-		return r.tryEach(ctx, c, u)
+		return r.callRepeatable(ctx, c, u)
 	}
 	if c.Key == "" {
-		return nil, fail.New(fail.BadInput, r.place(c), "key_missing", "%s on %q may not be repeated and needs an Idempotency-Key", c.Method, c.Service)
+		return nil, fail.New(fail.BadInput, r.origin(c), "key_missing", "%s on %q may not be repeated and needs an Idempotency-Key", c.Method, c.Service)
 	}
-	return r.once(ctx, c, u)
+	return r.callOnce(ctx, c, u)
 }
 
-// answerOther answers from the record of an earlier call with the same key.
-func (r *Router) answerOther(ctx context.Context, c *Call, k *requestkey.Claim) (*Answer, error) {
-	if k.Record.Print != c.Print {
-		return nil, fail.New(fail.Conflict, r.place(c), "key_reused", "the request key belongs to another request")
+// answerFromRecord answers from the record of an earlier call with the same key.
+func (r *Router) answerFromRecord(ctx context.Context, c *Call, k *requestkey.Claim) (*Answer, error) {
+	if k.Record.Print != c.Fingerprint {
+		return nil, fail.New(fail.Conflict, r.origin(c), "key_reused", "the request key belongs to another request")
 	}
 	if k.Record.State != requestkey.StateFinished {
-		return nil, fail.New(fail.Unknown, r.place(c), "outcome_unknown", "an earlier call with this key has no recorded answer")
+		return nil, fail.New(fail.Unknown, r.origin(c), "outcome_unknown", "an earlier call with this key has no recorded answer")
 	}
 	b, err := r.keys.Answer(ctx, &k.Record)
 	if err != nil {
-		return nil, tableRefusal(err)
+		return nil, tableError(err)
 	}
 	return &Answer{Body: []byte(b), ContentType: k.Record.ContentType, Repeated: true, Status: k.Record.Status}, nil
 }
 
-// once runs a call that may not be repeated.
-func (r *Router) once(ctx context.Context, c *Call, u []*resource.Upstream) (*Answer, error) {
+// callOnce runs a call that may not be repeated.
+func (r *Router) callOnce(ctx context.Context, c *Call, u []*resource.Upstream) (*Answer, error) {
 	x := r.pick(u, nil)
 	if x == nil {
-		return nil, r.refusal(c, u)
+		return nil, r.noUpstreamError(c, u)
 	}
-	q := requestkey.Record{Print: c.Print, State: requestkey.StateRunning, Try: rand.Text(), Upstream: x.Name}
+	q := requestkey.Record{Print: c.Fingerprint, State: requestkey.StateRunning, Try: rand.Text(), Upstream: x.Name}
 	k, ours, err := r.keys.Insert(ctx, requestkey.RowKey(c.Workspace, c.Key), q)
 	if err != nil {
-		return nil, tableRefusal(err)
+		return nil, tableError(err)
 	}
 	if !ours {
-		return r.answerOther(ctx, c, k)
+		return r.answerFromRecord(ctx, c, k)
 	}
 	a, err := r.send(ctx, c, x)
 	if errorx.IsOfType(err, fail.NotRun) {
@@ -139,7 +139,7 @@
 // pick returns the upstream with the fewest calls in progress, or nil where none is left: all
 // want rest, or are to be avoided.
 func (r *Router) pick(u []*resource.Upstream, avoid map[string]bool) *resource.Upstream {
-	avoid = r.Rests.Avoid(u, avoid, time.Now())
+	avoid = r.Backoffs.Avoid(u, avoid, time.Now())
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var best *resource.Upstream
@@ -154,13 +154,13 @@
 	return best
 }
 
-func (r *Router) place(c *Call) fail.Place {
-	return fail.Place{Peer: "service " + c.Service, Step: "call"}
+func (r *Router) origin(c *Call) fail.Origin {
+	return fail.Origin{Peer: "service " + c.Service, Step: "call"}
 }
 
 // record writes what became of a call under its key.
 func (r *Router) record(ctx context.Context, k *requestkey.Claim, q requestkey.Record, a *Answer, err error) {
-	ctx, cancel := context.WithTimeout(ctx, tableRetry)
+	ctx, cancel := context.WithTimeout(ctx, tableRetryDelay)
 	defer cancel()
 	q.State = requestkey.StateUnknown
 	if err == nil {
@@ -172,12 +172,12 @@
 	_ = r.keys.Update(ctx, k, q)
 }
 
-// refusal refuses a call for which no upstream is left, none of which was tried.
-func (r *Router) refusal(c *Call, u []*resource.Upstream) error {
-	if err := r.Rests.AllBackingOffError(u, r.place(c), time.Now()); err != nil {
+// noUpstreamError refuses a call for which no upstream is left, none of which was tried.
+func (r *Router) noUpstreamError(c *Call, u []*resource.Upstream) error {
+	if err := r.Backoffs.AllBackingOffError(u, r.origin(c), time.Now()); err != nil {
 		return err
 	}
-	return fail.WithRetryAt(fail.New(fail.NotRun, r.place(c), string(policy.ReasonResting), "the upstreams of %q want rest", c.Service), time.Now())
+	return fail.WithRetryAt(fail.New(fail.NotRun, r.origin(c), string(policy.ReasonResting), "the upstreams of %q want rest", c.Service), time.Now())
 }
 
 func (r *Router) send(ctx context.Context, c *Call, u *resource.Upstream) (*Answer, error) {
@@ -189,13 +189,13 @@
 		defer r.mutex.Unlock()
 		r.active[u.Name]--
 	}()
-	p := fail.Place{Peer: "upstream " + u.Name, Step: "call"}
+	p := fail.Origin{Peer: "upstream " + u.Name, Step: "call"}
 	q, err := http.NewRequestWithContext(ctx, c.Method, u.Spec.Address+c.Path, bytes.NewReader(c.Body))
 	if err != nil {
 		return nil, fail.Wrap(fail.BadInput, p, "bad_upstream_request", err)
 	}
 	q.GetBody = nil // so that the transport never sends it twice
-	for _, h := range passedHeaders {
+	for _, h := range forwardedHeaders {
 		q.Header[h] = c.Header.Values(h)
 	}
 	w, err := r.Do(q)
@@ -211,27 +211,27 @@
 		return nil, fail.Wrap(fail.Unknown, p, "upstream_lost", err)
 	}
 	if rest := upstream.RestOf(w.StatusCode, w.Header); rest > 0 {
-		r.Rests.RecordBackoff(u, time.Now().Add(rest))
+		r.Backoffs.RecordBackoff(u, time.Now().Add(rest))
 	}
 	return &Answer{Body: b, ContentType: w.Header.Get("Content-Type"), Status: w.StatusCode}, nil
 }
 
-func tableRefusal(err error) error {
+func tableError(err error) error {
 	if errorx.IsOfType(err, fail.Conflict) {
 		return err
 	}
-	p := fail.Place{Peer: "platform", Step: "claim request key"}
-	return fail.WithRetryAt(fail.Wrap(fail.NotRun, p, "table_unavailable", err), time.Now().Add(tableRetry))
+	p := fail.Origin{Peer: "platform", Step: "claim request key"}
+	return fail.WithRetryAt(fail.Wrap(fail.NotRun, p, "table_unavailable", err), time.Now().Add(tableRetryDelay))
 }
 
-// tryEach runs a call that may be repeated, at another upstream each time.
-func (r *Router) tryEach(ctx context.Context, c *Call, u []*resource.Upstream) (*Answer, error) {
+// callRepeatable runs a call that may be repeated, at another upstream each time.
+func (r *Router) callRepeatable(ctx context.Context, c *Call, u []*resource.Upstream) (*Answer, error) {
 	var failed error
 	avoid := make(map[string]bool)
 	for try := 1; ; try++ {
 		x := r.pick(u, avoid)
 		if x == nil {
-			return nil, cmp.Or(failed, r.refusal(c, u))
+			return nil, cmp.Or(failed, r.noUpstreamError(c, u))
 		}
 		a, err := r.send(ctx, c, x)
 		if err == nil {
@@ -239,7 +239,7 @@
 		}
 		failed = err
 		avoid[x.Name] = true
-		if try >= triesMost || len(avoid) == len(u) || ctx.Err() != nil || !r.takeRetry() {
+		if try >= maxTries || len(avoid) == len(u) || ctx.Err() != nil || !r.takeRetry() {
 			return nil, err
 		}
 		r.metrics.Count(metric.Retries, "reason", fail.Reason(err))
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -9,17 +9,17 @@
 )
 
 // check returns what is wrong with the values, in order of their lines.
-func (s *Settings) check(source []byte) Faults {
-	var f Faults
+func (s *Settings) check(source []byte) FieldErrors {
+	var f FieldErrors
 	add := func(key, message string) {
-		f = append(f, Fault{Key: key, Line: lineOf(source, key), Message: message})
+		f = append(f, FieldError{Key: key, Line: lineOf(source, key), Message: message})
 	}
 	checkNames(s, add)
 	checkAddresses(s, add)
 	checkChoices(s, add)
 	checkNotNegative(s, add)
 	checkPositive(s, add)
-	slices.SortStableFunc(f, func(a, b Fault) int { return a.Line - b.Line })
+	slices.SortStableFunc(f, func(a, b FieldError) int { return a.Line - b.Line })
 	return f
 }
 
--- a/internal/settings/fault.go
+++ b/internal/settings/fault.go
@@ -8,21 +8,21 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Fault is one thing wrong with the settings.
-type Fault struct {
+// FieldError is one thing wrong with the settings.
+type FieldError struct {
 	Key     string
 	Line    int // from 1; 0 where the key is missing
 	Message string
-	// Origin is the comment on the line, "" for none: a template names there the field
+	// Comment is the comment on the line, "" for none: a template names there the field
 	// that it was filled from.
-	Origin string
+	Comment string
 }
 
-// Faults is every fault of a settings file.
-type Faults []Fault
+// FieldErrors is every fault of a settings file.
+type FieldErrors []FieldError
 
 // Error lists the faults, one a line.
-func (f Faults) Error() string {
+func (f FieldErrors) Error() string {
 	var l []string
 	for _, x := range f {
 		l = append(l, fmt.Sprintf("line %d: %s", x.Line, x))
@@ -30,43 +30,43 @@
 	return strings.Join(l, "\n")
 }
 
-// nameOrigins fills in where faulty lines were filled from.
-func (f Faults) nameOrigins(source []byte) {
+// setComments fills in where faulty lines were filled from.
+func (f FieldErrors) setComments(source []byte) {
 	lines := strings.Split(string(source), "\n")
 	for i := range f {
 		if n := f[i].Line; n > 0 && n <= len(lines) {
 			_, c, _ := strings.Cut(lines[n-1], "#")
-			f[i].Origin = strings.TrimSpace(c)
+			f[i].Comment = strings.TrimSpace(c)
 		}
 	}
 }
 
 // String returns the fault without its line.
-func (f Fault) String() string {
-	if f.Origin == "" {
+func (f FieldError) String() string {
+	if f.Comment == "" {
 		return f.Key + ": " + f.Message
 	}
-	return f.Key + " (" + f.Origin + "): " + f.Message
+	return f.Key + " (" + f.Comment + "): " + f.Message
 }
 
-// decodeFaults returns the faults that the decoder found.
-func decodeFaults(err error) Faults {
+// decodeErrors returns the faults that the decoder found.
+func decodeErrors(err error) FieldErrors {
 	var m *toml.StrictMissingError
 	if errors.As(err, &m) {
-		var f Faults
+		var f FieldErrors
 		for _, e := range m.Errors {
 			l, _ := e.Position()
-			f = append(f, Fault{Key: strings.Join(e.Key(), "."), Line: l, Message: "unknown key"})
+			f = append(f, FieldError{Key: strings.Join(e.Key(), "."), Line: l, Message: "unknown key"})
 		}
 		return f
 	}
 	var d *toml.DecodeError
 	if errors.As(err, &d) {
 		l, _ := d.Position()
-		return Faults{{Key: strings.Join(d.Key(), "."), Line: l, Message: d.Error()}}
+		return FieldErrors{{Key: strings.Join(d.Key(), "."), Line: l, Message: d.Error()}}
 	}
 	if err != nil {
-		return Faults{{Message: err.Error()}}
+		return FieldErrors{{Message: err.Error()}}
 	}
 	return nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -31,16 +31,16 @@
 	LinksQUIC  Links = "quic"  // encrypted, and both ends known
 )
 
-// Budget bounds the tries beyond the first of each request of a route, over all
+// RetryBudget bounds the tries beyond the first of each request of a route, over all
 // boxes.
-type Budget struct {
-	Extra  float64 `toml:"extra"`  // tries in any window, beside the ratio; boxes share them, so that it may be a fraction
-	Ratio  float64 `toml:"ratio"`  // of tries to requests
-	Window Span    `toml:"window"` // that the bound holds for
+type RetryBudget struct {
+	Extra  float64  `toml:"extra"`  // tries in any window, beside the ratio; boxes share them, so that it may be a fraction
+	Ratio  float64  `toml:"ratio"`  // of tries to requests
+	Window Duration `toml:"window"` // that the bound holds for
 }
 
-// Cold bounds what upstreams get that have just started, and bear few requests a second.
-type Cold struct {
+// ColdStart bounds what upstreams get that have just started, and bear few requests a second.
+type ColdStart struct {
 	Overage float64 `toml:"overage"` // times what a cold upstream's service says that it bears, and
 	Slack   float64 `toml:"slack"`   // requests beside, in any second
 }
@@ -67,14 +67,14 @@
 
 // Timeouts bounds how long the box waits; each is made a deadline when a wait begins.
 type Timeouts struct {
-	Drain     Span `toml:"drain"`     // from failing readiness to refusing new requests
-	Grace     Span `toml:"grace"`     // from a stop's being asked for until the box is killed; 0 where nobody does
-	Heartbeat Span `toml:"heartbeat"` // between heartbeats to another box
-	Leave     Span `toml:"leave"`     // for streams to finish after a stop was asked for
-	Platform  Span `toml:"platform"`  // for one call to the platform
-	Report    Span `toml:"report"`    // between reads of an upstream's load report
-	Request   Span `toml:"request"`   // for a request that names no deadline
-	Silence   Span `toml:"silence"`   // from a stream without a token to its resumption
+	Drain     Duration `toml:"drain"`     // from failing readiness to refusing new requests
+	Grace     Duration `toml:"grace"`     // from a stop's being asked for until the box is killed; 0 where nobody does
+	Heartbeat Duration `toml:"heartbeat"` // between heartbeats to another box
+	Leave     Duration `toml:"leave"`     // for streams to finish after a stop was asked for
+	Platform  Duration `toml:"platform"`  // for one call to the platform
+	Report    Duration `toml:"report"`    // between reads of an upstream's load report
+	Request   Duration `toml:"request"`   // for a request that names no deadline
+	Silence   Duration `toml:"silence"`   // from a stream without a token to its resumption
 }
 
 // TLS names the files that authenticate boxes to each other and to callers.
@@ -87,43 +87,43 @@
 
 // Settings is what one process is told at its start.
 type Settings struct {
-	Box             string   `toml:"box"`              // this box's name
-	BoxAddress      string   `toml:"box_address"`      // IP:port for other boxes, UDP or, with plain links, TCP
-	Budget          Budget   `toml:"budget"`           // of tries
-	ClientAddress   string   `toml:"client_address"`   // IP:port for clients
-	Cold            Cold     `toml:"cold"`             // what cold upstreams get
-	Entry           Entry    `toml:"entry"`            // of requests of declared routes
-	FirstStart      bool     `toml:"first_start"`      // the whole system starts for the first time
-	Hall            string   `toml:"hall"`             // the data hall this box stands in
-	Limits          Limits   `toml:"limits"`           // bounds
-	Links           Links    `toml:"links"`            // quic or plain
-	LogLevel        string   `toml:"log_level"`        // debug, info, warn or error
-	OperatorAddress string   `toml:"operator_address"` // IP:port for operators
-	OperatorKeyHash string   `toml:"operator_key_hash"`
-	Peers           []string `toml:"peers"`    // IP:port of boxes to join by where the platform is down
-	Platform        string   `toml:"platform"` // http://IP:port
-	Policy          Policy   `toml:"policy"`   // naive or reserved
-	Timeouts        Timeouts `toml:"timeouts"`
-	TLS             TLS      `toml:"tls"`
+	Box             string      `toml:"box"`              // this box's name
+	BoxAddress      string      `toml:"box_address"`      // IP:port for other boxes, UDP or, with plain links, TCP
+	Budget          RetryBudget `toml:"budget"`           // of tries
+	ClientAddress   string      `toml:"client_address"`   // IP:port for clients
+	Cold            ColdStart   `toml:"cold"`             // what cold upstreams get
+	Entry           Entry       `toml:"entry"`            // of requests of declared routes
+	FirstStart      bool        `toml:"first_start"`      // the whole system starts for the first time
+	Hall            string      `toml:"hall"`             // the data hall this box stands in
+	Limits          Limits      `toml:"limits"`           // bounds
+	Links           Links       `toml:"links"`            // quic or plain
+	LogLevel        string      `toml:"log_level"`        // debug, info, warn or error
+	OperatorAddress string      `toml:"operator_address"` // IP:port for operators
+	OperatorKeyHash string      `toml:"operator_key_hash"`
+	Peers           []string    `toml:"peers"`    // IP:port of boxes to join by where the platform is down
+	Platform        string      `toml:"platform"` // http://IP:port
+	Policy          Policy      `toml:"policy"`   // naive or reserved
+	Timeouts        Timeouts    `toml:"timeouts"`
+	TLS             TLS         `toml:"tls"`
 }
 
 // Default returns the settings that hold where a file names nothing else.
 func Default() Settings {
 	return Settings{
-		Budget:   Budget{Extra: 50, Ratio: 0.2, Window: Span{10 * time.Second}},
-		Cold:     Cold{Overage: 1},
+		Budget:   RetryBudget{Extra: 50, Ratio: 0.2, Window: Duration{10 * time.Second}},
+		Cold:     ColdStart{Overage: 1},
 		Links:    LinksQUIC,
 		Limits:   Limits{BodyBytes: 4 << 20, HeaderBytes: 64 << 10, Queued: 20_000, Streams: 10_000, WeightLoads: 2},
 		LogLevel: "info",
 		Policy:   PolicyReserved,
 		Timeouts: Timeouts{
-			Drain:     Span{5 * time.Second},
-			Heartbeat: Span{time.Second},
-			Leave:     Span{10 * time.Minute},
-			Platform:  Span{2 * time.Second},
-			Report:    Span{time.Second},
-			Request:   Span{5 * time.Minute},
-			Silence:   Span{10 * time.Second},
+			Drain:     Duration{5 * time.Second},
+			Heartbeat: Duration{time.Second},
+			Leave:     Duration{10 * time.Minute},
+			Platform:  Duration{2 * time.Second},
+			Report:    Duration{time.Second},
+			Request:   Duration{5 * time.Minute},
+			Silence:   Duration{10 * time.Second},
 		},
 	}
 }
@@ -146,12 +146,12 @@
 	s := Default()
 	d := toml.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
-	f := decodeFaults(d.Decode(&s))
+	f := decodeErrors(d.Decode(&s))
 	if len(f) == 0 {
 		f = s.check(b)
 	}
 	if len(f) > 0 {
-		f.nameOrigins(b)
+		f.setComments(b)
 		return nil, f
 	}
 	return &s, nil
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-const sound = `box = "a-1"
+const validSettings = `box = "a-1"
 hall = "a"
 box_address = "127.0.0.1:1"
 client_address = "127.0.0.1:2"
@@ -18,7 +18,7 @@
 `
 
 func TestParse(t *testing.T) {
-	s, err := Parse([]byte(sound + "log_level = \"debug\"\n[timeouts]\nreport = \"250ms\"\n"))
+	s, err := Parse([]byte(validSettings + "log_level = \"debug\"\n[timeouts]\nreport = \"250ms\"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,16 +33,16 @@
 // TestEveryFaultIsTold checks that all faults come at once, with line and key.
 func TestEveryFaultIsTold(t *testing.T) {
 	for _, x := range []struct{ name, text, want string }{
-		{"unknown keys", sound + "colour = 1\n[limits]\nqueue = 2\n", "7 colour,9 limits.queue"},
-		{"wrong type", sound + "log_level = 3\n", "7 log_level"},
-		{"bad span", sound + "[timeouts]\nreport = \"soon\"\n", "8 timeouts.report"},
-		{"several", strings.Replace(sound, `"127.0.0.1:1"`, `"here"`, 1) + "log_level = \"loud\"\npolicy = \"best\"\n[limits]\nstreams = 0\n", "3 box_address,7 log_level,8 policy,10 streams"},
+		{"unknown keys", validSettings + "colour = 1\n[limits]\nqueue = 2\n", "7 colour,9 limits.queue"},
+		{"wrong type", validSettings + "log_level = 3\n", "7 log_level"},
+		{"bad span", validSettings + "[timeouts]\nreport = \"soon\"\n", "8 timeouts.report"},
+		{"several", strings.Replace(validSettings, `"127.0.0.1:1"`, `"here"`, 1) + "log_level = \"loud\"\npolicy = \"best\"\n[limits]\nstreams = 0\n", "3 box_address,7 log_level,8 policy,10 streams"},
 		{"missing", "hall = \"a\"\n", "0 box,0 box_address,0 client_address,0 operator_address,0 platform"},
-		{"half of tls", sound + "[tls]\nkey = \"k\"\n", "7 tls"},
+		{"half of tls", validSettings + "[tls]\nkey = \"k\"\n", "7 tls"},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			_, err := Parse([]byte(x.text))
-			var f Faults
+			var f FieldErrors
 			if !errors.As(err, &f) {
 				t.Fatalf("got %v, want faults", err)
 			}
@@ -84,7 +84,7 @@
 
 // FuzzParse reads any settings without a panic.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(sound))
+	f.Add([]byte(validSettings))
 	f.Add([]byte("[timeouts]\nreport = \"-1s\"\n"))
 	f.Add([]byte("a = [1, {b = 2}]"))
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/settings/span.go
+++ b/internal/settings/span.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Span is a length of time written as in "250ms". Seconds may be written as any number:
+// Duration is a length of time written as in "250ms". Seconds may be written as any number:
 // "33.2s", "1e3s".
-type Span struct{ time.Duration }
+type Duration struct{ time.Duration }
 
 // UnmarshalText reads a span such as "1.5s". One that is too long to hold is read as the
 // longest there is.
-func (s *Span) UnmarshalText(b []byte) error {
+func (s *Duration) UnmarshalText(b []byte) error {
 	d, err := time.ParseDuration(string(b))
 	if err != nil {
 		d, err = parseSeconds(string(b))
--- a/internal/sse/splitter.go
+++ b/internal/sse/splitter.go
@@ -16,7 +16,7 @@
 
 // NewSplitter returns a splitter of the events in r.
 func NewSplitter(r io.Reader) *Splitter {
-	return &Splitter{reader: bufio.NewReaderSize(r, firstBufferBytes)}
+	return &Splitter{reader: bufio.NewReaderSize(r, initialBufferBytes)}
 }
 
 // Next returns the next whole event as it came, its last empty line included,
@@ -39,14 +39,14 @@
 			}
 			return nil, nil, err
 		}
-		if s.ends(l) {
+		if s.endsEvent(l) {
 			return s.event, s.id, nil
 		}
 	}
 }
 
-// ends takes in one line and reports whether it ends an event.
-func (s *Splitter) ends(line []byte) bool {
+// endsEvent takes in one line and reports whether it ends an event.
+func (s *Splitter) endsEvent(line []byte) bool {
 	line = bytes.TrimRight(line, "\r\n")
 	if v, ok := bytes.CutPrefix(line, []byte("id:")); ok {
 		s.id = append(s.id[:0], bytes.TrimSpace(v)...)
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -28,7 +28,7 @@
 // MaxLineBytes bounds one line of a stream; a longer one is an error.
 const MaxLineBytes = 1 << 20
 
-const firstBufferBytes = 4 << 10
+const initialBufferBytes = 4 << 10
 
 // ErrTooLarge says that an event passed MaxLineBytes.
 var ErrTooLarge = errors.New("sse: event too large")
@@ -36,7 +36,7 @@
 // NewReader returns a reader of the events in r.
 func NewReader(r io.Reader) *Reader {
 	s := bufio.NewScanner(r)
-	s.Buffer(make([]byte, firstBufferBytes), MaxLineBytes)
+	s.Buffer(make([]byte, initialBufferBytes), MaxLineBytes)
 	return &Reader{scanner: s}
 }
 
@@ -56,7 +56,7 @@
 			continue
 		}
 		seen = true
-		if err := r.field(&e, l); err != nil {
+		if err := r.parseField(&e, l); err != nil {
 			return Event{}, err
 		}
 	}
@@ -66,7 +66,7 @@
 	return Event{}, io.EOF
 }
 
-func (r *Reader) field(e *Event, line []byte) error {
+func (r *Reader) parseField(e *Event, line []byte) error {
 	n, v, _ := bytes.Cut(line, []byte(":"))
 	v = bytes.TrimPrefix(v, []byte(" "))
 	switch string(n) {
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -17,7 +17,7 @@
 	Now      time.Time // by the service's clock; zero where that is not known
 	Revision int64     // up to which Rows is complete
 	Rows     []Row
-	Whole    bool // Rows is all that the table holds; what it does not name is gone
+	Snapshot bool // Rows is all that the table holds; what it does not name is gone
 }
 
 // Condition must hold for a transaction to commit.
@@ -59,20 +59,20 @@
 	PutObject func(ctx context.Context, name string, b []byte) error
 }
 
-// begunKey is the key of a context's value that is called once an answer begins to arrive.
-type begunKey struct{}
+// answerStartedKey is the key of a context's value that is called once an answer begins to arrive.
+type answerStartedKey struct{}
 
-// Begun tells by a call's context that its answer has begun to arrive.
-func Begun(ctx context.Context) {
-	if f, ok := ctx.Value(begunKey{}).(func()); ok {
+// AnswerStarted tells by a call's context that its answer has begun to arrive.
+func AnswerStarted(ctx context.Context) {
+	if f, ok := ctx.Value(answerStartedKey{}).(func()); ok {
 		f()
 	}
 }
 
-// WithBegun returns a context by which calls tell f that their answers have begun to arrive, perhaps
+// WithAnswerStarted returns a context by which calls tell f that their answers have begun to arrive, perhaps
 // more than once.
-func WithBegun(ctx context.Context, f func()) context.Context {
-	return context.WithValue(ctx, begunKey{}, f)
+func WithAnswerStarted(ctx context.Context, f func()) context.Context {
+	return context.WithValue(ctx, answerStartedKey{}, f)
 }
 
 // Transaction is applied whole, or not at all.
--- a/internal/upstream/engine.go
+++ b/internal/upstream/engine.go
@@ -145,7 +145,7 @@
 // or one that leaves out a token, is an error of type fail.Interrupted; the
 // caller then resumes.
 func (s *Stream) Next() (Token, error) {
-	p := fail.Place{Peer: s.peer, Step: "read stream"}
+	p := fail.Origin{Peer: s.peer, Step: "read stream"}
 	for {
 		v, err := s.reader.Next()
 		if err != nil {
@@ -174,7 +174,7 @@
 func (e *Engines) call(ctx context.Context, step, method, address, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, e.timeout)
 	defer cancel()
-	p := fail.Place{Peer: "upstream " + address, Step: step}
+	p := fail.Origin{Peer: "upstream " + address, Step: step}
 	w, err := e.send(ctx, p, method, address+path, in)
 	if err != nil {
 		return err
@@ -190,7 +190,7 @@
 }
 
 func (e *Engines) open(ctx context.Context, step, method, address, path string, in any, id string, from int) (*Stream, error) {
-	p := fail.Place{Peer: "upstream " + address, Step: step}
+	p := fail.Origin{Peer: "upstream " + address, Step: step}
 	w, err := e.send(ctx, p, method, address+path, in) //nolint:bodyclose // Stream.Close closes it.
 	if err != nil {
 		return nil, err
@@ -199,7 +199,7 @@
 }
 
 // send returns an answer of status 200, or a typed error.
-func (e *Engines) send(ctx context.Context, p fail.Place, method, target string, in any) (*http.Response, error) {
+func (e *Engines) send(ctx context.Context, p fail.Origin, method, target string, in any) (*http.Response, error) {
 	b, err := encode(in)
 	if err != nil {
 		return nil, fail.Wrap(fail.BadInput, p, "bad_upstream_request", err)
@@ -241,7 +241,7 @@
 }
 
 // sendError tells a call that never left from one whose answer was lost.
-func sendError(p fail.Place, err error) error {
+func sendError(p fail.Origin, err error) error {
 	if IsDial(err) {
 		return fail.Wrap(fail.NotRun, p, "upstream_unreachable", err)
 	}
@@ -249,7 +249,7 @@
 }
 
 // statusError trusts an engine's own word that it ran nothing: 4xx and 503.
-func statusError(p fail.Place, w *http.Response) error {
+func statusError(p fail.Origin, w *http.Response) error {
 	b, _ := io.ReadAll(io.LimitReader(w.Body, 512))
 	m := fmt.Sprintf("status %d: %s", w.StatusCode, bytes.TrimSpace(b))
 	switch w.StatusCode {
--- a/internal/upstream/service.go
+++ b/internal/upstream/service.go
@@ -13,7 +13,7 @@
 // An error of type fail.NotRun means that nothing was sent; fail.Unknown means
 // that the call may have run. The caller closes the answer's body.
 func (e *Engines) Call(r *http.Request) (*http.Response, error) {
-	p := fail.Place{Peer: "upstream " + r.URL.Host, Step: "call service"}
+	p := fail.Origin{Peer: "upstream " + r.URL.Host, Step: "call service"}
 	w, err := e.http.Do(r)
 	if err != nil {
 		return nil, sendError(p, err)
--- a/keeper.go
+++ b/keeper.go
@@ -132,7 +132,7 @@
 			b.learnQuarantined(r, hall)
 		}
 	}
-	event.KeptRead.Log(b.log, "rows", len(c.Rows), "requests", b.relay.Frequent().Size())
+	event.KeptRequestsRead.Log(b.log, "rows", len(c.Rows), "requests", b.relay.Frequent().Size())
 	b.relay.ClearServed()
 }
 
--- a/leaving.go
+++ b/leaving.go
@@ -28,7 +28,7 @@
 	if !b.view.NoteLeaving(upstream, born) {
 		return false
 	}
-	event.LeavingHeard.Log(b.log, "upstream", upstream, "from", from)
+	event.LeavingNoticeReceived.Log(b.log, "upstream", upstream, "from", from)
 	return true
 }
 
--- a/limits.go
+++ b/limits.go
@@ -169,7 +169,7 @@
 			return nil, ctx.Err()
 		}
 	}
-	return nil, fail.New(fail.Unavailable, fail.Place{Peer: "boxes", Step: "ask for a permit"}, "no_allocator", "no box answered for %s", q.Limit.Upstream)
+	return nil, fail.New(fail.Unavailable, fail.Origin{Peer: "boxes", Step: "ask for a permit"}, "no_allocator", "no box answered for %s", q.Limit.Upstream)
 }
 
 // callPermit asks a box for permits. It returns nil where that does not answer in time, which is then
@@ -186,7 +186,7 @@
 	}
 	refused := call.Err() == nil && fail.Reason(err) == box.ReasonUnreachable
 	if refused && b.members.RecordFailure(name, began, now) {
-		event.PeerLost.Log(b.log, "box", name, "error", err.Error())
+		event.PeerUnreachable.Log(b.log, "box", name, "error", err.Error())
 	}
 	if ctx.Err() == nil || now.Sub(began) >= forwardPeriod { // or its caller has gone
 		b.limits.passOver(name, now)
--- a/listen.go
+++ b/listen.go
@@ -51,7 +51,7 @@
 	}
 	server, dial, err := b.linkSecurity()
 	if err != nil {
-		return nil, fail.Wrap(fail.BadInput, fail.Place{Peer: "boxes", Step: "load certificates"}, "bad_certificate", err)
+		return nil, fail.Wrap(fail.BadInput, fail.Origin{Peer: "boxes", Step: "load certificates"}, "bad_certificate", err)
 	}
 	t, err := box.ListenQUIC(s.BoxAddress, server, dial, b.answer)
 	if err != nil {
@@ -70,7 +70,7 @@
 	for _, a := range []string{n.Address, n.Readiness, n.Metrics} {
 		l, err := net.Listen("tcp", a)
 		if err != nil {
-			return fail.Wrap(fail.Unavailable, fail.Place{Peer: "balancer", Step: "listen"}, "listen", err)
+			return fail.Wrap(fail.Unavailable, fail.Origin{Peer: "balancer", Step: "listen"}, "listen", err)
 		}
 		b.entry = append(b.entry, endpoint{listener: l})
 	}
@@ -80,7 +80,7 @@
 func (b *Box) listenHTTP(address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, fail.Wrap(fail.Unavailable, fail.Place{Peer: "callers", Step: "listen"}, "listen", err)
+		return nil, fail.Wrap(fail.Unavailable, fail.Origin{Peer: "callers", Step: "listen"}, "listen", err)
 	}
 	return certificate.Wrap(l, b.settings.TLS.Clients, b.settings.TLS.Certificate, b.settings.TLS.Key)
 }
--- a/outage_test.go
+++ b/outage_test.go
@@ -19,8 +19,8 @@
 	run := func(key string) (int, error) {
 		c := new(checker)
 		g := h.client(0)
-		g.Taken = c.take
-		_, _, err := g.Run(t.Context(), &client.Ask{Key: key, Model: testModel, Prompt: "length=5"})
+		g.OnToken = c.take
+		_, _, err := g.Run(t.Context(), &client.GenerationRequest{Key: key, Model: testModel, Prompt: "length=5"})
 		return c.next, err
 	}
 	h.platform.SetFaults(fakeplatform.Faults{Down: true})
@@ -52,9 +52,9 @@
 	h.startBox()
 	c := new(checker)
 	g := h.client(2)
-	g.Taken = c.take
+	g.OnToken = c.take
 	for {
-		_, _, err := g.Run(t.Context(), &client.Ask{Model: testModel, Prompt: "length=5"})
+		_, _, err := g.Run(t.Context(), &client.GenerationRequest{Model: testModel, Prompt: "length=5"})
 		if err == nil {
 			break
 		}
--- a/region_test.go
+++ b/region_test.go
@@ -245,7 +245,7 @@
 // run asks boxes for a generation and returns how many tokens came.
 func (r *region) run(key, prompt string, boxes ...string) (int, error) {
 	c := 0
-	g := &client.Generator{HTTP: &http.Client{Transport: r.link}, Key: virtualKey, Taken: func(id, text string) error {
+	g := &client.Generator{HTTP: &http.Client{Transport: r.link}, Key: virtualKey, OnToken: func(id, text string) error {
 		c += len(strings.Fields(text)) // a recorded answer comes in one piece
 		if !strings.HasSuffix(id, fmt.Sprintf("/%d", c-1)) {
 			return fmt.Errorf("got token %s, want index %d", id, c-1)
@@ -255,7 +255,7 @@
 	for _, b := range boxes {
 		g.Boxes = append(g.Boxes, "http://"+b)
 	}
-	_, _, err := g.Run(r.t.Context(), &client.Ask{Key: key, Model: "m", Prompt: prompt})
+	_, _, err := g.Run(r.t.Context(), &client.GenerationRequest{Key: key, Model: "m", Prompt: prompt})
 	return c, err
 }
 
@@ -330,7 +330,7 @@
 const linkDelay = time.Millisecond
 
 func (r *region) call(ctx context.Context, from, to string, q *box.Request) (*box.Call, error) {
-	lost := fail.New(fail.Unavailable, fail.Place{Peer: "box " + to, Step: "call"}, "box_unreachable", "no route")
+	lost := fail.New(fail.Unavailable, fail.Origin{Peer: "box " + to, Step: "call"}, "box_unreachable", "no route")
 	b, err := box.Encoding.Marshal(q)
 	if err != nil {
 		return nil, err
--- a/register.go
+++ b/register.go
@@ -86,7 +86,7 @@
 	for ctx.Err() == nil {
 		if !b.stopping.Load() {
 			if err := b.register(ctx); err != nil && ctx.Err() == nil {
-				event.PlatformDown.Log(b.log, "source", "boxes", "step", fail.Step(err), "error", err.Error())
+				event.PlatformUnreachable.Log(b.log, "source", "boxes", "step", fail.Step(err), "error", err.Error())
 			}
 		}
 		b.removeGone(ctx)
--- a/reload.go
+++ b/reload.go
@@ -17,6 +17,6 @@
 	}
 	b.relay.SetRetryBudget(s.Budget.Ratio, s.Budget.Extra, s.Budget.Window.Duration)
 	rest, old := *s, *b.settings
-	rest.Budget, old.Budget = settings.Budget{}, settings.Budget{}
+	rest.Budget, old.Budget = settings.RetryBudget{}, settings.RetryBudget{}
 	event.Reloaded.Log(b.log, "restart_needed", !reflect.DeepEqual(rest, old))
 }
--- a/rewrite.go
+++ b/rewrite.go
@@ -54,7 +54,7 @@
 	l := b.view.PossiblyLost(resource.SourceResources)
 	for i := range l {
 		if err := b.rewrite(ctx, &l[i]); err != nil && ctx.Err() == nil {
-			event.PlatformDown.Log(b.log, "source", "resources", "step", fail.Step(err), "error", err.Error())
+			event.PlatformUnreachable.Log(b.log, "source", "resources", "step", fail.Step(err), "error", err.Error())
 		}
 	}
 }
--- a/routed_test.go
+++ b/routed_test.go
@@ -252,7 +252,7 @@
 		b.settings.Timeouts.Grace.Duration = 4 * time.Second
 		b.relay.Place = func(ctx context.Context, _ *policy.Work, _ map[string]bool) (*placement.Place, error) {
 			<-ctx.Done()
-			return nil, fail.Wrap(fail.NotRun, fail.Place{Peer: "upstreams", Step: "wait for a place"}, "caller_gone", ctx.Err())
+			return nil, fail.Wrap(fail.NotRun, fail.Origin{Peer: "upstreams", Step: "wait for a place"}, "caller_gone", ctx.Err())
 		}
 		status := make(chan int, 1)
 		go func() {
--- a/streams_test.go
+++ b/streams_test.go
@@ -51,13 +51,13 @@
 	h := newHall(t, 3, 2)
 	c := new(checker)
 	g := h.client(0, 1)
-	g.Taken = func(id, text string) error {
+	g.OnToken = func(id, text string) error {
 		if c.next == 20 {
 			go func() { _ = h.boxes[0].Close() }()
 		}
 		return c.take(id, text)
 	}
-	finish, boxes, err := g.Run(t.Context(), &client.Ask{Model: testModel, Prompt: "length=300"})
+	finish, boxes, err := g.Run(t.Context(), &client.GenerationRequest{Model: testModel, Prompt: "length=300"})
 	if err != nil || finish != "stop" {
 		t.Fatalf("got %q %v, want stop", finish, err)
 	}
@@ -111,8 +111,8 @@
 				if len(l) == 0 {
 					continue
 				}
-				g := &client.Generator{Boxes: l[n%len(l) : n%len(l)+1], HTTP: &http.Client{}, Key: testKey, Taken: c.take}
-				a := &client.Ask{Model: testModel, Prompt: fmt.Sprintf("client %d length=40", n)}
+				g := &client.Generator{Boxes: l[n%len(l) : n%len(l)+1], HTTP: &http.Client{}, Key: testKey, OnToken: c.take}
+				a := &client.GenerationRequest{Model: testModel, Prompt: fmt.Sprintf("client %d length=40", n)}
 				if i%2 == 0 {
 					a.Key = fmt.Sprintf("key-%d-%d", n, i)
 				}
@@ -150,7 +150,7 @@
 	begun := make(chan struct{})
 	var once sync.Once
 	g := h.client(0)
-	g.Taken = func(string, string) error {
+	g.OnToken = func(string, string) error {
 		once.Do(func() { close(begun) })
 		return nil
 	}
@@ -158,7 +158,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() {
-		_, _, err := g.Run(ctx, &client.Ask{Model: testModel, Prompt: "length=3000"})
+		_, _, err := g.Run(ctx, &client.GenerationRequest{Model: testModel, Prompt: "length=3000"})
 		done <- err
 	}()
 	<-begun
