--- a/internal/certificate/certificate.go
+++ b/internal/certificate/certificate.go
@@ -1,5 +1,5 @@
-// Package certificate makes and loads the certificates by which boxes know
-// each other, and by which callers may know a box.
+// Package certificate creates and loads the certificates by which boxes authenticate each other, and
+// optionally to callers.
 package certificate
 
 import (
@@ -18,7 +18,7 @@
 	"time"
 )
 
-// Pair is a certificate and its key, both in PEM.
+// Pair is a certificate and its private key, both in PEM.
 type Pair struct {
 	Certificate []byte
 	Key         []byte
@@ -27,11 +27,11 @@
 const (
 	authorityValidity = 10 * 365 * 24 * time.Hour
 	boxValidity       = 90 * 24 * time.Hour
-	clockSkew         = 5 * time.Minute
+	clockSkew         = 5 * time.Minute // certificates are valid from this long before their creation
 	serialBits        = 127
 )
 
-// NewAuthority returns a new authority that signs the certificates of boxes.
+// NewAuthority returns a new self-signed certificate authority for the certificates of boxes.
 func NewAuthority(now time.Time) (*Pair, error) {
 	t := template("linetiller authority", now, authorityValidity)
 	t.IsCA = true
@@ -40,7 +40,8 @@
 	return sign(t, nil)
 }
 
-// NewBox returns a certificate of a box, signed by the authority a, for its IP numbers.
+// NewBox returns a certificate for a box with the given name and IP addresses, signed by the authority
+// a. It is valid for connections in both directions.
 func NewBox(a *Pair, name string, addresses []net.IP, now time.Time) (*Pair, error) {
 	t := template(name, now, boxValidity)
 	t.IPAddresses = addresses
@@ -50,8 +51,8 @@
 	return sign(t, a)
 }
 
-// Ephemeral returns configurations that encrypt but authenticate nobody; they
-// are for boxes on one machine only.
+// Ephemeral returns TLS configurations that encrypt connections without authenticating either end.
+// They are only for boxes on one machine.
 func Ephemeral(protocol string) (server, client *tls.Config, err error) {
 	a, err := NewAuthority(time.Now())
 	if err != nil {
@@ -73,8 +74,9 @@
 	return server, client, nil
 }
 
-// Load returns configurations for the links between boxes: each end shows its
-// certificate and accepts only those that the authority signed.
+// Load returns TLS configurations for the links between boxes: each end presents its certificate and
+// accepts only certificates signed by the authority. The first three arguments are paths of PEM files,
+// protocol is the ALPN protocol.
 func Load(authority, certificate, key, protocol string) (server, client *tls.Config, err error) {
 	c, err := tls.LoadX509KeyPair(certificate, key)
 	if err != nil {
@@ -86,7 +88,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(b) {
-		return nil, nil, fmt.Errorf("authority %s: no certificate in it", authority)
+		return nil, nil, fmt.Errorf("authority %s: contains no PEM certificate", authority)
 	}
 	server = &tls.Config{
 		Certificates: []tls.Certificate{c}, ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: pool,
@@ -98,7 +100,8 @@
 	return server, client, nil
 }
 
-// Wrap returns l, behind TLS where secure is set.
+// Wrap returns a listener that accepts TLS connections on l if secure is set, and l itself otherwise.
+// It closes l if it returns an error.
 func Wrap(l net.Listener, secure bool, certificate, key string) (net.Listener, error) {
 	if !secure {
 		return l, nil
@@ -110,6 +113,7 @@
 	return tls.NewListener(l, &tls.Config{Certificates: []tls.Certificate{c}, MinVersion: tls.VersionTLS12}), nil
 }
 
+// sign creates a key and a certificate from the template t, signed by a or, if a is nil, by itself.
 func sign(t *x509.Certificate, a *Pair) (*Pair, error) {
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -140,7 +144,7 @@
 	c, _ := pem.Decode(a.Certificate)
 	k, _ := pem.Decode(a.Key)
 	if c == nil || k == nil {
-		return nil, nil, errors.New("the authority's certificate or key is not in PEM")
+		return nil, nil, errors.New("the authority's certificate or key is not PEM-encoded")
 	}
 	x, err := x509.ParseCertificate(c.Bytes)
 	if err != nil {
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,6 +1,6 @@
-// Package client answers the system's callers over HTTP: completions in the
-// form of the OpenAI interface, whole or as server-sent events, and calls to
-// plain services.
+// Package client serves the clients of the system over HTTP: completions in the format of the OpenAI
+// API, as a single response or streamed as server-sent events, and calls to plain services. It also
+// contains Generator, a client of that API.
 package client
 
 import (
@@ -22,13 +22,15 @@
 	"github.com/linetiller/linetiller/internal/service"
 )
 
-// Server answers clients. It is an http.Handler.
+// Server is the http.Handler of the client API.
 type Server struct {
-	// CallService carries a call to a plain service; a seam.
+	// CallService sends a call to a plain service. It must be set before the first request.
 	CallService func(ctx context.Context, c *service.Call) (*service.Answer, error)
-	// Generate carries a generation; a seam.
+	// Generate runs a generation and passes its tokens to sink. It must be set before the first
+	// request.
 	Generate func(ctx context.Context, q *delivery.Request, sink delivery.Sink) error
-	// Ready reports whether the balancer should send requests here; a seam.
+	// Ready reports whether the load balancer should send requests to this box. It must be set
+	// before the first request.
 	Ready func() bool
 
 	bodyBytes int64
@@ -38,23 +40,23 @@
 	view      *resource.View
 }
 
-// Option sets one thing of a Server.
+// Option configures a Server.
 type Option func(*Server)
 
-// The headers by which a caller says more than the OpenAI interface can.
+// Headers of requests and responses beyond those of the OpenAI API.
 const (
-	HeaderDeadline       = "Linetiller-Deadline" // RFC 3339, or a time from now such as 30s
+	HeaderDeadline       = "Linetiller-Deadline" // RFC 3339, or a duration from now such as 30s
 	HeaderIdempotencyKey = "Idempotency-Key"
 	HeaderKind           = "Linetiller-Kind"
 	HeaderLastEventID    = "Last-Event-ID"
 	HeaderPriority       = "Linetiller-Priority"
-	HeaderRepeated       = "Linetiller-Repeated" // on an answer from an earlier request with the same key
-	HeaderShouldRetry    = "X-Should-Retry"      // what client libraries obey
+	HeaderRepeated       = "Linetiller-Repeated" // set on a recorded answer to an earlier request with the same key
+	HeaderShouldRetry    = "X-Should-Retry"      // tells client libraries whether to retry
 )
 
-const maxHeaderValue = 256
+const maxHeaderValue = 256 // characters
 
-// New returns a server over the workspaces and models in v.
+// New returns a server for the workspaces and models in v.
 func New(v *resource.View, m *metric.Set, options ...Option) *Server {
 	s := &Server{bodyBytes: 4 << 20, deadline: 5 * time.Minute, metrics: m, mux: http.NewServeMux(), view: v}
 	for _, o := range options {
@@ -71,17 +73,17 @@
 	return s
 }
 
-// WithBodyBytes bounds the body of a request.
+// WithBodyBytes sets the maximum size of a request body, by default 4 MiB.
 func WithBodyBytes(n int64) Option {
 	return func(s *Server) { s.bodyBytes = n }
 }
 
-// WithDeadline sets how long a request that names no deadline may take.
+// WithDeadline sets how long a request without a HeaderDeadline may take, by default 5 minutes.
 func WithDeadline(d time.Duration) Option {
 	return func(s *Server) { s.deadline = d }
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mux.ServeHTTP(w, r)
 }
@@ -111,6 +113,7 @@
 	_, _ = w.Write(a.Body)
 }
 
+// authorize returns the workspace of the bearer key of a request.
 func (s *Server) authorize(r *http.Request) (*resource.Workspace, error) {
 	k, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || k == "" {
@@ -118,12 +121,12 @@
 	}
 	w := s.view.WorkspaceByKey(k)
 	if w == nil {
-		return nil, fail.New(fail.Unauthorized, origin("authorize"), "key_unknown", "the bearer key opens no workspace")
+		return nil, fail.New(fail.Unauthorized, origin("authorize"), "key_unknown", "the bearer key belongs to no workspace")
 	}
 	return w, nil
 }
 
-// deadlineOf returns the deadline that a request names, or the default one.
+// deadlineOf returns the deadline in the header of a request, or the default one if there is none.
 func (s *Server) deadlineOf(r *http.Request, now time.Time) (time.Time, error) {
 	h := r.Header.Get(HeaderDeadline)
 	if h == "" {
@@ -159,7 +162,8 @@
 	_, _ = io.WriteString(w, "ready\n")
 }
 
-// keyOf returns the request key, which must be short and plain.
+// keyOf returns the request key, or "". A key consists of at most maxHeaderValue printable ASCII
+// characters without spaces.
 func keyOf(r *http.Request) (string, error) {
 	k := r.Header.Get(HeaderIdempotencyKey)
 	if len(k) > maxHeaderValue || strings.ContainsFunc(k, func(c rune) bool { return c <= ' ' || c > '~' }) {
@@ -205,13 +209,14 @@
 	}, nil
 }
 
-// refuse counts an error and writes it in the form of the OpenAI interface.
+// refuse counts an error and writes it in the format of the OpenAI API.
 func (s *Server) refuse(w http.ResponseWriter, err error) {
 	s.metrics.Count(metric.Refusals, "reason", fail.Reason(err))
 	writeError(w, err)
 }
 
-// fingerprint returns a hash of a request, by which a repeat of its key is known.
+// fingerprint returns a hash of a request. A request key may only be used again with the same
+// fingerprint. Each part is preceded by its length, so that the boundaries of the parts count, too.
 func fingerprint(parts ...[]byte) string {
 	h := sha256.New()
 	for _, p := range parts {
--- a/internal/client/completion.go
+++ b/internal/client/completion.go
@@ -15,7 +15,7 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// objectType tells the two kinds of completions apart.
+// objectType is the "object" field of a completion, which distinguishes the two completion APIs.
 type objectType string
 
 const (
@@ -23,7 +23,7 @@
 	objectText objectType = "text_completion"
 )
 
-// completionRequest is the body of both kinds of completions.
+// completionRequest is the request body of both completion APIs.
 type completionRequest struct {
 	MaxCompletionTokens *int            `json:"max_completion_tokens"`
 	MaxTokens           *int            `json:"max_tokens"`
@@ -56,12 +56,12 @@
 }
 
 const (
-	bytesPerToken  = 4   // of a prompt, per token: an estimate for the decisions
-	maxPrefixBytes = 512 // of a prompt that name its prefix
-	minPrefixBytes = 64
+	bytesPerToken  = 4   // for estimating the length of a prompt in tokens, for placement and admission
+	maxPrefixBytes = 512 // of the start of a prompt that are hashed at most
+	minPrefixBytes = 64  // prompts shorter than this have no prefix hash
 )
 
-// postCompletion answers a completion.
+// postCompletion serves a completion request.
 func (s *Server) postCompletion(w http.ResponseWriter, r *http.Request, f objectType) {
 	now := time.Now()
 	q, stream, err := s.readCompletion(w, r, f, now)
@@ -85,7 +85,7 @@
 	}
 }
 
-// promptOf returns the text of a request, and faults in its shape.
+// promptOf returns the prompt of a request, or an error if the field that carries it is malformed.
 func promptOf(c *completionRequest, f objectType) (string, error) {
 	if f == objectChat {
 		return promptOfMessages(c.Messages)
@@ -98,9 +98,10 @@
 	if json.Unmarshal(c.Prompt, &l) == nil && len(l) == 1 {
 		return l[0], nil
 	}
-	return "", badField("prompt", "must be one text")
+	return "", badField("prompt", "must be a string or a list of one string")
 }
 
+// promptOfMessages joins the messages of a chat into one prompt, a line of "role: content" for each.
 func promptOfMessages(l []message) (string, error) {
 	if len(l) == 0 {
 		return "", badField("messages", "must not be empty")
@@ -119,6 +120,7 @@
 	return b.String(), nil
 }
 
+// contentOf returns the text of a message, which is a string or a list of text parts.
 func contentOf(c json.RawMessage) (string, error) {
 	var t string
 	if json.Unmarshal(c, &t) == nil {
@@ -126,7 +128,7 @@
 	}
 	var l []contentPart
 	if json.Unmarshal(c, &l) != nil {
-		return "", badField("messages.content", "must be a text or a list of text parts")
+		return "", badField("messages.content", "must be a string or a list of text parts")
 	}
 	var b strings.Builder
 	for _, p := range l {
@@ -138,7 +140,8 @@
 	return b.String(), nil
 }
 
-// readCompletion reads and checks all that a completion asks for.
+// readCompletion reads and validates a completion request, and reports whether the response is to be
+// streamed.
 func (s *Server) readCompletion(w http.ResponseWriter, r *http.Request, f objectType, now time.Time) (*delivery.Request, bool, error) {
 	x, err := s.authorize(r)
 	if err != nil {
@@ -166,7 +169,7 @@
 	return q, c.Stream, s.fillWork(&q.Work, c, r, x, t, now)
 }
 
-// fillWork describes the request to the decisions.
+// fillWork fills in the description of the request that placement and admission decide on.
 func (s *Server) fillWork(w *policy.Work, c *completionRequest, r *http.Request, x *resource.Workspace, prompt string, now time.Time) error {
 	m, err := s.modelOf(c.Model)
 	if err != nil {
@@ -202,8 +205,8 @@
 	return m, nil
 }
 
-// priorityOf returns the value of the priority asked for, at most the
-// workspace's own.
+// priorityOf returns the value of the requested priority, or of the workspace's own if none is
+// requested. A request cannot exceed the priority of its workspace.
 func (s *Server) priorityOf(requested, own string) (int, error) {
 	limit, err := s.priorityValue(own)
 	if err != nil || requested == "" {
@@ -213,6 +216,7 @@
 	return min(v, limit), err
 }
 
+// priorityValue returns the value of a priority resource, or 0 for an empty name.
 func (s *Server) priorityValue(name string) (int, error) {
 	if name == "" {
 		return 0, nil
@@ -228,6 +232,7 @@
 	return p.Value, nil
 }
 
+// readHeaders fills in the parts of a request that come from its headers.
 func (s *Server) readHeaders(r *http.Request, q *delivery.Request, now time.Time) error {
 	var err error
 	if q.Key, err = keyOf(r); err != nil {
@@ -254,6 +259,8 @@
 	return fail.New(fail.BadInput, origin("read body"), "bad_field", "%s: %s", field, message)
 }
 
+// maxTokensOf returns the requested maximum number of tokens, at most limit. max_completion_tokens
+// takes precedence over max_tokens.
 func maxTokensOf(c *completionRequest, limit int) (int, error) {
 	n := limit
 	for _, v := range []*int{c.MaxTokens, c.MaxCompletionTokens} {
--- a/internal/client/answer.go
+++ b/internal/client/completionwriter.go
@@ -13,12 +13,13 @@
 	"github.com/linetiller/linetiller/internal/sse"
 )
 
-// completionWriter writes one completion, whole or token by token.
+// completionWriter writes the response to one completion request, either as a single JSON object or
+// as a stream of server-sent events, one per token.
 type completionWriter struct {
 	buffer       []byte
 	chunk        []byte
-	chunkEnd     []byte // of every chunk, after the text
-	chunkStart   []byte // of every chunk, before the text
+	chunkEnd     []byte // JSON that follows the text in every chunk
+	chunkStart   []byte // JSON that precedes the text in every chunk
 	eventID      []byte
 	control      *http.ResponseController
 	created      int64
@@ -61,10 +62,11 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// writeTimeout bounds how long a client may take to read one token.
+// writeTimeout is how long one write to the client may take. It bounds how long a client that stops
+// reading can block its generation.
 const writeTimeout = 30 * time.Second
 
-// collect keeps a token for a whole answer.
+// collect buffers a token for a response that is not streamed.
 func (a *completionWriter) collect(t *delivery.Token) error {
 	a.id, a.finish = t.Generation, t.Finish
 	a.text.Write(t.Text)
@@ -72,8 +74,8 @@
 	return nil
 }
 
-// fail ends the answer with an error: as a status where nothing was sent yet,
-// as a last event otherwise. The delivery has counted it.
+// fail ends the response with an error: with an error status if nothing has been sent yet, with an
+// error event otherwise. The error is not counted here, since the delivery has already done so.
 func (a *completionWriter) fail(err error) {
 	if !a.started {
 		writeError(a.writer, err)
@@ -84,7 +86,7 @@
 	_ = a.write(sse.Append(nil, sse.Event{Data: b}))
 }
 
-// send writes one token as an event.
+// send writes one token as a server-sent event.
 func (a *completionWriter) send(t *delivery.Token) error {
 	if !a.started {
 		a.id = t.Generation
@@ -100,7 +102,7 @@
 	return a.write(a.buffer)
 }
 
-// writeWhole writes the collected answer.
+// writeWhole writes the collected tokens as a single JSON object.
 func (a *completionWriter) writeWhole() {
 	t := a.text.String()
 	c := choice{FinishReason: &a.finish}
@@ -115,8 +117,9 @@
 	})
 }
 
-// fillChunk makes the data of one token's event. All but the text is the same
-// for every token of an answer, save the first of a chat and the last.
+// fillChunk encodes the data of a token's event. Except for the first token of a chat and the last
+// token, chunks of one response differ only in their text. A text that needs no escaping is inserted
+// between two parts that were encoded in advance.
 func (a *completionWriter) fillChunk(t *delivery.Token) {
 	if t.Finish != "" || (a.object == objectChat && t.Index == 0) || !isPlain(t.Text) {
 		a.chunk = a.marshalChunk(t, string(t.Text))
@@ -127,7 +130,7 @@
 	a.chunk = append(a.chunk, a.chunkEnd...)
 }
 
-// marshalChunk returns the data of an event that carries the given text.
+// marshalChunk returns the data of an event with the given text, encoded by encoding/json.
 func (a *completionWriter) marshalChunk(t *delivery.Token, text string) []byte {
 	o := string(a.object)
 	x := choice{}
@@ -145,11 +148,12 @@
 	}
 	b, err := json.Marshal(&completion{Choices: []choice{x}, Created: a.created, ID: a.id, Model: a.model, Object: o})
 	if err != nil {
-		panic("client: a chunk can always be encoded: " + err.Error())
+		panic("client: encoding a chunk: " + err.Error())
 	}
 	return b
 }
 
+// start sends the response header and prepares the parts that all chunks share.
 func (a *completionWriter) start() {
 	a.started = true
 	const mark = "\x01"
@@ -169,7 +173,7 @@
 	return a.control.Flush()
 }
 
-// isPlain reports whether a text stands in JSON as it is.
+// isPlain reports whether a non-empty text can be put into a JSON string without escaping.
 func isPlain(text []byte) bool {
 	for _, c := range text {
 		if c < ' ' || c == '"' || c == '\\' {
--- a/internal/client/answer_test.go
+++ b/internal/client/completionwriter_test.go
@@ -10,7 +10,7 @@
 	"github.com/linetiller/linetiller/internal/delivery"
 )
 
-// sinkWriter is a response that keeps what is written, or nothing.
+// sinkWriter is a response writer that records the body if keep is set and discards it otherwise.
 type sinkWriter struct {
 	header http.Header
 	keep   bool
@@ -33,8 +33,8 @@
 	return &completionWriter{control: http.NewResponseController(w), created: 1, object: f, model: "m", writer: w}
 }
 
-// TestChunksAgainstMarshal compares the chunks that are put together from parts
-// with those that are encoded whole.
+// TestChunksAgainstMarshal checks that chunks assembled from pre-encoded parts equal those encoded by
+// encoding/json, also for texts that need escaping.
 func TestChunksAgainstMarshal(t *testing.T) {
 	for _, f := range []objectType{objectChat, objectText} {
 		for _, text := range []string{" a", "", "\"\\\n\t\x00\x7f", "ü € 😀", "\xff broken", "</script>&<"} {
@@ -57,6 +57,7 @@
 	}
 }
 
+// TestSendAllocatesNothing guards against allocations for each streamed token.
 func TestSendAllocatesNothing(t *testing.T) {
 	a := newCompletionWriter(objectText, &sinkWriter{header: make(http.Header)})
 	v := &delivery.Token{Generation: "g", Text: []byte(" token"), Upstream: "u"}
@@ -67,7 +68,7 @@
 		}
 	})
 	if want := 0.1; got > want {
-		t.Errorf("allocations for each token: got %v, want at most %v", got, want)
+		t.Errorf("allocations per token: got %v, want at most %v", got, want)
 	}
 }
 
--- a/internal/client/error.go
+++ b/internal/client/error.go
@@ -11,8 +11,8 @@
 	"github.com/linetiller/linetiller/internal/fail"
 )
 
-// apiError is an error in the form of the OpenAI interface. Type tells what the
-// caller may conclude, Code is the reason that the refusal is counted under.
+// apiError is an error in the format of the OpenAI API. Type tells the caller whether the request ran
+// and may be retried; Code is the reason label of metric.Refusals.
 type apiError struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
@@ -24,11 +24,11 @@
 	Error apiError `json:"error"`
 }
 
-// errorStatus tells how a type of error is shown to callers.
+// errorStatus is how an error type is reported to callers.
 type errorStatus struct {
 	apiType string
 	status  int
-	retry   bool // a client library may ask again by itself
+	retry   bool // whether client libraries may retry on their own
 }
 
 var (
@@ -48,6 +48,7 @@
 	}
 )
 
+// apiErrorOf returns err in the format of the API, and the status to report it with.
 func apiErrorOf(err error) (apiError, errorStatus) {
 	m := statusUnknown
 	for _, x := range errorStatuses {
--- a/internal/client/fuzz_test.go
+++ b/internal/client/fuzz_test.go
@@ -13,8 +13,8 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// FuzzCompletion sends any body and headers: each is answered once, with a
-// status and in JSON, without a panic.
+// FuzzCompletion checks that requests with arbitrary paths, bodies and headers cause no panic, and
+// that errors are JSON with a code and a type.
 func FuzzCompletion(f *testing.F) {
 	f.Add("/v1/completions", `{"model":"m","prompt":"x"}`, "30s", "")
 	f.Add("/v1/chat/completions", `{"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"x"}]}],"stream":true}`, "", "u/g/1")
--- a/internal/client/generator.go
+++ b/internal/client/generator.go
@@ -13,22 +13,22 @@
 	"github.com/linetiller/linetiller/internal/sse"
 )
 
-// Generator asks boxes for a generation, as a client of the system does, and
-// goes on at the next box where one is lost.
+// Generator is a client of the completion API. It runs generations at one of several boxes and, when
+// a box becomes unavailable, resumes at the next one.
 type Generator struct {
-	// Boxes are the client addresses, as URLs, in the order in which they are tried.
+	// Boxes are the base URLs of the boxes' client addresses, in the order in which they are tried.
 	Boxes []string
-	// HTTP makes the requests.
+	// HTTP sends the requests.
 	HTTP *http.Client
 	// Key is the workspace's bearer key.
 	Key string
-	// OnToken is called with each token, in order and once; a seam.
+	// OnToken is called once with each token, in order. An error from it ends the generation.
 	OnToken func(id, text string) error
 }
 
-// GenerationRequest is a generation that a Generator asks for.
+// GenerationRequest describes a generation for Generator.Run.
 type GenerationRequest struct {
-	Deadline  string // in the form of HeaderDeadline, or ""
+	Deadline  string // in the format of HeaderDeadline, or ""
 	Key       string // the request key, or ""
 	Kind      string
 	MaxTokens int
@@ -37,7 +37,7 @@
 	Prompt    string
 }
 
-// streamEvent is one event of an answer, as a client reads it.
+// streamEvent is the data of one event of a streamed completion.
 type streamEvent struct {
 	Choices []choice  `json:"choices"`
 	Error   *apiError `json:"error"`
@@ -50,10 +50,14 @@
 	Stream    bool   `json:"stream"`
 }
 
+// maxErrorBytes bounds how much of an error response is read.
 const maxErrorBytes = 64 << 10
 
-// Run asks for a and hands its tokens out until its end. It returns why the
-// generation ended, and at how many boxes it was asked for.
+// Run runs the generation q and passes its tokens to OnToken. It returns the finish reason and the
+// number of boxes tried.
+//
+// It goes on to the next box only after a fail.Unavailable error, and only if there is an event ID to
+// resume from or a request key, either of which prevents a second run, or if the box sent no response.
 func (g *Generator) Run(ctx context.Context, q *GenerationRequest) (finish string, tried int, err error) {
 	lastEventID := ""
 	for tried < len(g.Boxes) {
@@ -67,7 +71,7 @@
 	return finish, tried, err
 }
 
-// runAt asks one box, from the token after last on.
+// runAt runs the generation at one box, from the token after *lastEventID, which it keeps up to date.
 func (g *Generator) runAt(ctx context.Context, address string, q *GenerationRequest, lastEventID *string) (string, error) {
 	p := fail.Origin{Peer: "box " + address, Step: "generate"}
 	w, err := g.send(ctx, address, q, *lastEventID)
@@ -86,13 +90,13 @@
 		}
 		var v streamEvent
 		if json.Unmarshal(e.Data, &v) != nil {
-			return "", fail.New(fail.Unavailable, p, "stream_garbled", "an event is not JSON")
+			return "", fail.New(fail.Unavailable, p, "stream_garbled", "event is not valid JSON")
 		}
 		if v.Error != nil {
 			return "", typedError(p, v.Error)
 		}
 		if len(v.Choices) != 1 {
-			return "", fail.New(fail.Unavailable, p, "stream_garbled", "an event without a choice")
+			return "", fail.New(fail.Unavailable, p, "stream_garbled", "event does not have exactly one choice")
 		}
 		c := &v.Choices[0]
 		if c.FinishReason != nil {
@@ -128,6 +132,7 @@
 	return g.HTTP.Do(r)
 }
 
+// responseError returns the error in a response whose status is not 200.
 func responseError(p fail.Origin, w *http.Response) error {
 	var v errorBody
 	if json.NewDecoder(io.LimitReader(w.Body, maxErrorBytes)).Decode(&v) != nil {
@@ -136,7 +141,8 @@
 	return typedError(p, &v.Error)
 }
 
-// typedError returns the error that a box told, in its type.
+// typedError converts an error in the format of the API to the type of package fail that it names,
+// or to fail.Unknown.
 func typedError(p fail.Origin, e *apiError) error {
 	for _, m := range errorStatuses {
 		if m.apiType == e.Type {
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,7 +1,7 @@
-// Package event numbers the log events of linetiller.
+// Package event defines the log events of linetiller.
 //
-// Each event has a number, a name and a level. The catalogue in
-// docs/EVENTS.md is checked against All by a test.
+// Each event has a number, a name and a level. A test checks the catalogue in docs/EVENTS.md against
+// All.
 package event
 
 import (
@@ -9,15 +9,15 @@
 	"log/slog"
 )
 
-// Event is one kind of log line.
+// Event is a kind of log line.
 type Event struct {
 	Level  slog.Level
 	Name   string
 	Number int
 }
 
-// The events, grouped by hundreds: 1xx the box, 2xx requests, 3xx upstreams,
-// 4xx the platform, 5xx other boxes, 6xx operators.
+// Events. Their numbers are grouped by hundreds: 1xx the box, 2xx requests, 3xx upstreams, 4xx the
+// platform, 5xx other boxes, 6xx operators.
 var (
 	BoxStarted                = Event{slog.LevelInfo, "box started", 101}
 	BoxLeaving                = Event{slog.LevelInfo, "box leaving", 102}
@@ -78,7 +78,7 @@
 	ResourceRewritten         = Event{slog.LevelInfo, "resource written again", 604}
 )
 
-// All lists every event in order of its number.
+// All lists every event in the order of the numbers.
 var All = []Event{
 	BoxStarted, BoxLeaving, BoxStopped, BoxStopIncomplete, ClockJumped, Reloaded, ReloadFailed, LinesOmitted,
 	RequestFinished, RequestRefused, RequestInterrupted, RequestRetried, StreamResumed, CallerDisconnected, RequestPlaced,
@@ -90,7 +90,7 @@
 	RevisionApplied, ResourceWritten, ResourceRefused, ResourceRewritten,
 }
 
-// Log writes e to l with the given attributes.
+// Log logs e to l with the given attributes, in the key-value form of slog.
 func (e Event) Log(l *slog.Logger, attributes ...any) {
 	l.Log(context.Background(), e.Level, e.Name, append([]any{"event", e.Number}, attributes...)...)
 }
--- a/internal/fail/fail.go
+++ b/internal/fail/fail.go
@@ -1,7 +1,7 @@
 // Package fail defines the typed errors of linetiller.
 //
-// Every error carries the step and the peer at which it arose, and a reason
-// that names the counter it is counted under.
+// Every error carries the peer and the step at which it occurred, and a reason, which is the label
+// that refusals and retries are counted by.
 package fail
 
 import (
@@ -13,23 +13,23 @@
 // Namespace holds every error type of linetiller.
 var Namespace = errorx.NewNamespace("linetiller")
 
-// The types of errors, by what a caller may conclude from them.
+// Error types. They tell callers whether the work ran and whether it may be retried.
 var (
-	// BadInput says that the request itself is wrong and must not be retried as it is.
+	// BadInput means that the request is invalid and must not be retried unchanged.
 	BadInput = Namespace.NewType("bad_input")
-	// Conflict says that a write raced another one or was based on an old version.
+	// Conflict means that a write raced with another one or was based on an outdated version.
 	Conflict = Namespace.NewType("conflict")
-	// Interrupted says that work started and did not reach its end.
+	// Interrupted means that the work started but did not complete.
 	Interrupted = Namespace.NewType("interrupted")
-	// NotFound says that the thing named does not exist.
+	// NotFound means that a named resource does not exist.
 	NotFound = Namespace.NewType("not_found")
-	// NotRun says that the work did not run and never will under this request.
+	// NotRun means that the work did not run, and that this request will not cause it to run later.
 	NotRun = Namespace.NewType("not_run")
-	// Unauthorized says that the caller's key is missing or wrong.
+	// Unauthorized means that the caller's key is missing or unknown.
 	Unauthorized = Namespace.NewType("unauthorized")
-	// Unavailable says that a peer could not be reached or refused for now.
+	// Unavailable means that a peer could not be reached or temporarily refuses requests.
 	Unavailable = Namespace.NewType("unavailable")
-	// Unknown says that it cannot be told whether the work ran.
+	// Unknown means that it is not known whether the work ran.
 	Unknown = Namespace.NewType("unknown")
 )
 
@@ -41,23 +41,23 @@
 	propertyStep       = errorx.RegisterPrintableProperty("step")
 )
 
-// Origin names where an error arose.
+// Origin names the operation in which an error occurred.
 type Origin struct {
-	Peer string // the other side, such as "platform" or "upstream tiller-1"
-	Step string // what was being done, such as "reserve"
+	Peer string // the remote side, such as "platform" or "upstream tiller-1"
+	Step string // the operation, such as "reserve"
 }
 
-// New returns an error of type t that arose at p for the given reason.
+// New returns an error of type t that occurred at p, with a reason and a formatted message.
 func New(t *errorx.Type, p Origin, reason, format string, arguments ...any) error {
 	return decorate(t.New(format, arguments...), p, reason)
 }
 
-// Peer returns the peer at which e arose, or "".
+// Peer returns the peer at which e occurred, or "".
 func Peer(e error) string {
 	return stringProperty(e, propertyPeer)
 }
 
-// Reason returns the reason of e, or "internal" where it carries none.
+// Reason returns the reason of e, or "internal" if it has none.
 func Reason(e error) string {
 	if r := stringProperty(e, propertyReason); r != "" {
 		return r
@@ -65,7 +65,7 @@
 	return "internal"
 }
 
-// RetryAt returns the time at which a caller may come back, or the zero time.
+// RetryAt returns the time from which a caller may retry, or the zero time.
 func RetryAt(e error) time.Time {
 	x := errorx.Cast(e)
 	if x == nil {
@@ -76,17 +76,18 @@
 	return t
 }
 
-// ShortOf returns what was lacking where e arose, or "".
+// ShortOf returns the resource whose shortage caused e, or "".
 func ShortOf(e error) string {
 	return stringProperty(e, propertyShortOf)
 }
 
-// Step returns the step at which e arose, or "".
+// Step returns the step at which e occurred, or "".
 func Step(e error) string {
 	return stringProperty(e, propertyStep)
 }
 
-// WithRetryAt returns e with the time at which the caller may come back.
+// WithRetryAt returns e with the time from which the caller may retry. An error that is not of this
+// package becomes Unavailable.
 func WithRetryAt(e error, t time.Time) error {
 	x := errorx.Cast(e)
 	if x == nil {
@@ -95,7 +96,8 @@
 	return x.WithProperty(propertyRetryAfter, t)
 }
 
-// WithShortOf returns e with what was lacking.
+// WithShortOf returns e with the resource whose shortage caused it. An error that is not of this
+// package becomes Unavailable.
 func WithShortOf(e error, what string) error {
 	x := errorx.Cast(e)
 	if x == nil {
@@ -104,7 +106,7 @@
 	return x.WithProperty(propertyShortOf, what)
 }
 
-// Wrap returns e as an error of type t that arose at p for the given reason.
+// Wrap returns an error of type t that wraps e and occurred at p, with a reason.
 func Wrap(t *errorx.Type, p Origin, reason string, e error) error {
 	return decorate(t.Wrap(e, "%s at %s", p.Step, p.Peer), p, reason)
 }
--- a/internal/idle/idle.go
+++ b/internal/idle/idle.go
@@ -1,5 +1,5 @@
-// Package idle closes connections that rest for too long, where the time that they
-// may rest can change while they are open.
+// Package idle closes idle connections of an HTTP server. Unlike http.Server.IdleTimeout, the timeout
+// can change while the server runs.
 package idle
 
 import (
@@ -9,26 +9,27 @@
 	"time"
 )
 
-// Closer closes idle connections of a server. It is safe for concurrent use; its lock
-// is a leaf.
+// Closer closes idle connections of a server. It is safe for concurrent use. No other lock is taken
+// while its mutex is held.
 type Closer struct {
-	timeout func() time.Duration // that a connection may rest; 0 is for ever
+	timeout func() time.Duration // after which an idle connection is closed; never if 0
 
 	mutex sync.Mutex
 	idle  map[net.Conn]*idlePeriod
 }
 
-// idlePeriod is the time in which a connection has no request. The lock of Closer guards it.
+// idlePeriod is one period in which a connection is idle. It is guarded by the mutex of Closer.
 type idlePeriod struct {
-	timer *time.Timer // ends it
+	timer *time.Timer // closes the connection
 }
 
-// NewCloser returns a closer of connections that rest for as long as after says.
+// NewCloser returns a Closer that calls timeout at each state change of a connection, for how long the
+// connection may be idle.
 func NewCloser(timeout func() time.Duration) *Closer {
 	return &Closer{timeout: timeout, idle: make(map[net.Conn]*idlePeriod)}
 }
 
-// Track takes in a connection's new state; it is to be a server's ConnState.
+// Track records a new state of a connection. It is meant to be the ConnState of a server.
 func (c *Closer) Track(n net.Conn, s http.ConnState) {
 	d := c.timeout()
 	c.mutex.Lock()
@@ -45,8 +46,8 @@
 	c.idle[n] = r
 }
 
-// close closes a connection at the end of r, unless a request has come since: one whose
-// first byte was read is answered.
+// close closes a connection if it is still in the idle period r. A request whose first byte was read
+// in the meantime has ended that period, and is answered.
 func (c *Closer) close(n net.Conn, r *idlePeriod) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -54,5 +55,5 @@
 		return
 	}
 	delete(c.idle, n)
-	_ = n.Close() // the server tells of it by StateClosed
+	_ = n.Close() // the server then reports StateClosed
 }
--- a/internal/idle/idle_test.go
+++ b/internal/idle/idle_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// closeRecorder is a connection that notes when it was closed.
+// closeRecorder is a connection that records when it was closed.
 type closeRecorder struct {
 	net.Conn
 	at time.Time
@@ -20,8 +20,8 @@
 	return nil
 }
 
-// TestRestingConnectionsAreClosed has connections rest, work, and rest again, while the
-// time that they may rest changes.
+// TestRestingConnectionsAreClosed checks when connections are closed that are idle, become active and
+// idle again, while the timeout changes.
 func TestRestingConnectionsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
@@ -36,12 +36,12 @@
 		synctest.Wait()
 		c.Track(&active, http.StateActive)
 		time.Sleep(20 * time.Second)
-		synctest.Wait() // until what timers started has ended
+		synctest.Wait() // for goroutines started by timers
 		if got, want := unused.at.Sub(start), 10*time.Second; got != want {
-			t.Errorf("a resting connection: closed after %v, want %v", got, want)
+			t.Errorf("an idle connection: closed after %v, want %v", got, want)
 		}
 		if !active.at.IsZero() {
-			t.Errorf("one with a request: closed after %v, want not at all", active.at.Sub(start))
+			t.Errorf("an active connection: closed after %v, want not at all", active.at.Sub(start))
 		}
 		timeout = 2 * time.Second
 		c.Track(&active, http.StateIdle)
@@ -50,19 +50,19 @@
 		time.Sleep(time.Hour)
 		synctest.Wait()
 		if got, want := active.at.Sub(start), 31*time.Second; got != want {
-			t.Errorf("after its request: closed after %v, want %v", got, want)
+			t.Errorf("a connection idle after a request: closed after %v, want %v", got, want)
 		}
 		if !unlimited.at.IsZero() {
-			t.Errorf("one that may rest for ever: closed after %v", unlimited.at.Sub(start))
+			t.Errorf("a connection without an idle timeout: closed after %v", unlimited.at.Sub(start))
 		}
 		if got := len(c.idle); got != 0 {
-			t.Errorf("connections kept: got %d, want none", got)
+			t.Errorf("connections tracked: got %d, want none", got)
 		}
 	})
 }
 
-// TestServerClosesIdleConnections checks the states that the server of the standard
-// library tells: a connection is answered, then closed once it has rested.
+// TestServerClosesIdleConnections checks Closer with the connection states of a real http.Server: a
+// connection gets its answer, and is closed once it has been idle.
 func TestServerClosesIdleConnections(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/logging/handler.go
+++ b/internal/logging/handler.go
@@ -1,7 +1,6 @@
-// Package logging writes structured logs in bounded volume, and never makes its
-// callers wait: each kind of event has a budget of lines a second, and lines that the
-// reader of the output does not take in time are left out. What was left out is
-// counted and told.
+// Package logging writes structured logs in bounded volume and without blocking. Each event has a
+// budget of lines per second, and lines are dropped while the output is blocked and the buffer is
+// full. Omitted lines are counted, and reported by event.LinesOmitted.
 package logging
 
 import (
@@ -14,36 +13,38 @@
 	"github.com/linetiller/linetiller/internal/event"
 )
 
-// Handler is a slog.Handler in JSON with budgets. It is safe for concurrent use.
+// Handler is a slog.Handler that writes JSON and limits the lines per second of each event. It is
+// safe for concurrent use.
 type Handler struct {
 	inner  slog.Handler
 	shared *shared
 }
 
-// shared is what a handler and those made from it by With have in common.
+// shared is the state that a handler shares with those derived from it by WithAttrs and WithGroup.
 type shared struct {
-	budget  int // lines a second of each kind of event
+	budget  int // lines per second of each event
 	mutex   sync.Mutex
 	now     func() time.Time
-	omitted map[int64]int // by event, in this second
-	second  int64
-	used    map[int64]int // by event, in this second
+	omitted map[int64]int // by event number: lines omitted in the current second
+	second  int64         // the current one, in Unix time
+	used    map[int64]int // by event number: lines written in the current second
 	writer  *Writer
 }
 
-// Option sets one thing of a Handler.
+// Option configures a Handler.
 type Option func(*shared)
 
 const (
-	// defaultBudget is how many lines a second one kind of event has: some 20 times
-	// what a box of the users' sites writes in steady state.
+	// defaultBudget is the budget of each event in lines per second: some 20 times what a box at
+	// the users' sites writes in steady state.
 	defaultBudget = 200
-	// warningFactor is how much more those of failures have: they are left out last.
+	// warningFactor multiplies the budget at level Warn and above, so that failures are omitted
+	// last.
 	warningFactor = 5
 	eventKey      = "event"
 )
 
-// New returns a handler that writes to output, and the writer to close in the end.
+// New returns a handler that writes to output, and its writer, which is to be closed at exit.
 func New(output io.Writer, level slog.Level, options ...Option) (*Handler, *Writer) {
 	w := NewWriter(output)
 	s := &shared{budget: defaultBudget, now: time.Now, omitted: make(map[int64]int), used: make(map[int64]int), writer: w}
@@ -53,22 +54,23 @@
 	return &Handler{inner: slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level}), shared: s}, w
 }
 
-// WithBudget sets how many lines a second one kind of event has.
+// WithBudget sets the budget of each event, in lines per second.
 func WithBudget(n int) Option {
 	return func(s *shared) { s.budget = n }
 }
 
-// WithNow sets the clock, for tests.
+// WithNow sets the clock for tests.
 func WithNow(now func() time.Time) Option {
 	return func(s *shared) { s.now = now }
 }
 
-// Enabled reports whether lines of a level are written.
+// Enabled implements slog.Handler.
 func (h *Handler) Enabled(ctx context.Context, l slog.Level) bool {
 	return h.inner.Enabled(ctx, l)
 }
 
-// Handle writes a line, unless its kind of event has had its budget.
+// Handle writes a record unless the budget of its event is used up. Before it, it reports the lines
+// omitted in an earlier second.
 func (h *Handler) Handle(ctx context.Context, r slog.Record) error {
 	e := eventOf(&r)
 	take, omitted := h.shared.allow(e, r.Level)
@@ -85,18 +87,19 @@
 	return h.inner.Handle(ctx, r)
 }
 
-// WithAttrs returns a handler whose lines carry the attributes.
+// WithAttrs implements slog.Handler.
 func (h *Handler) WithAttrs(a []slog.Attr) slog.Handler {
 	return &Handler{inner: h.inner.WithAttrs(a), shared: h.shared}
 }
 
-// WithGroup returns a handler whose lines carry their attributes in a group.
+// WithGroup implements slog.Handler.
 func (h *Handler) WithGroup(name string) slog.Handler {
 	return &Handler{inner: h.inner.WithGroup(name), shared: h.shared}
 }
 
-// allow takes one line of an event's budget and reports whether there was one. With
-// the first line of a second it returns what was left out in the one before.
+// allow reports whether the budget of event e has room for a line at level l, and counts the line. On
+// the first call in a second it also returns the lines omitted before, by event number; those that
+// the writer dropped are under 0.
 func (s *shared) allow(e int64, l slog.Level) (ok bool, omitted map[int64]int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -120,7 +123,7 @@
 	return true, omitted
 }
 
-// eventOf returns the number of a line's event, or 0.
+// eventOf returns the event number of a record, or 0.
 func eventOf(r *slog.Record) int64 {
 	n := int64(0)
 	r.Attrs(func(a slog.Attr) bool {
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -12,7 +12,7 @@
 	"github.com/linetiller/linetiller/internal/event"
 )
 
-// lines returns the decoded lines of a log.
+// lines decodes the lines of a log.
 func lines(t *testing.T, b *bytes.Buffer) []map[string]any {
 	t.Helper()
 	var l []map[string]any
@@ -26,8 +26,8 @@
 	return l
 }
 
-// TestBudgetOfAKindOfEvent writes many lines of one kind in a second: the first are
-// written, the others counted, those of another kind and of failures still written.
+// TestBudgetOfAKindOfEvent checks that lines beyond the budget of an event are omitted and reported in
+// the next second, that other events are not affected, and that warnings have a larger budget.
 func TestBudgetOfAKindOfEvent(t *testing.T) {
 	var b bytes.Buffer
 	now := time.Unix(100, 0)
@@ -56,11 +56,11 @@
 		}
 	}
 	if got, want := omitted, 7.0; got != want {
-		t.Errorf("left out: got %v, want %v", got, want)
+		t.Errorf("omitted: got %v, want %v", got, want)
 	}
 }
 
-// blockedOutput is an output that takes nothing until it is let go.
+// blockedOutput is an output whose writes block until release is closed.
 type blockedOutput struct{ release chan struct{} }
 
 func (s *blockedOutput) Write(b []byte) (int, error) {
@@ -68,8 +68,8 @@
 	return len(b), nil
 }
 
-// TestStuckOutputHoldsNobodyUp writes far more than is kept to an output that
-// stands still: every call returns, and what was dropped is told in the end.
+// TestStuckOutputHoldsNobodyUp guards against a blocked output that blocks the writers of log lines:
+// more lines than the buffer holds are written, and those without room are dropped and counted.
 func TestStuckOutputHoldsNobodyUp(t *testing.T) {
 	s := &blockedOutput{release: make(chan struct{})}
 	w := NewWriter(s)
@@ -80,7 +80,7 @@
 		}
 	}
 	if got := w.takeDropped(); got < more-1 || got > more {
-		t.Errorf("dropped: got %d, want %d or one less, which the output holds", got, more)
+		t.Errorf("dropped: got %d, want %d, or one less if the output has taken a line", got, more)
 	}
 	close(s.release)
 	_ = w.Close()
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// Writer passes lines on to an output that may stand still. Writes never wait;
-// lines for which there is no room are dropped and counted.
+// Writer buffers lines for an output that may block. Write never blocks: lines for which the buffer
+// has no room are dropped and counted.
 type Writer struct {
 	closed    chan struct{}
 	closeOnce sync.Once
-	done      chan struct{} // closed when all that waited is written
+	done      chan struct{} // closed once the buffered lines are written
 	dropped   atomic.Int64
 	lines     chan []byte
 	output    io.Writer
 }
 
 const (
-	// closeTimeout bounds the wait for an output that stands still at the end.
+	// closeTimeout bounds how long Close waits for an output that is blocked.
 	closeTimeout = time.Second
-	// maxBufferedLines is how many lines wait for the output: two seconds of a busy box.
+	// maxBufferedLines is the size of the buffer, two seconds of lines of a busy box.
 	maxBufferedLines = 2048
 )
 
-// NewWriter returns a writer to output.
+// NewWriter returns a writer to output. It must be closed.
 func NewWriter(output io.Writer) *Writer {
 	w := &Writer{closed: make(chan struct{}), done: make(chan struct{}), lines: make(chan []byte, maxBufferedLines), output: output}
 	go w.run()
 	return w
 }
 
-// Close writes what waits, and gives up on an output that takes nothing.
+// Close writes the buffered lines, but waits at most closeTimeout for the output.
 func (w *Writer) Close() error {
 	w.closeOnce.Do(func() { close(w.closed) })
 	select {
@@ -42,7 +42,8 @@
 	return nil
 }
 
-// Write takes in one line. After Close it may be dropped.
+// Write buffers one line, or drops it if the buffer is full. Its error is always nil. Lines written
+// after Close may be lost.
 func (w *Writer) Write(b []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), b...):
@@ -65,7 +66,7 @@
 	}
 }
 
-// drain writes what waits.
+// drain writes the buffered lines.
 func (w *Writer) drain() {
 	for {
 		select {
@@ -83,7 +84,7 @@
 	}
 }
 
-// takeDropped returns how many lines were dropped since it was last asked.
+// takeDropped returns the number of lines dropped since its last call.
 func (w *Writer) takeDropped() int {
 	return int(w.dropped.Swap(0))
 }
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -1,5 +1,5 @@
-// Package meter measures what the users weigh: the wait for the first token, the
-// time between tokens, and the stall time beyond the target between tokens.
+// Package meter measures the latency of token streams: the time to the first token, the time between
+// tokens, and the stall time, which is the time beyond the target between tokens.
 package meter
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/linetiller/linetiller/internal/metric"
 )
 
-// Meter takes in the tokens of all requests of a box. It is safe for concurrent use.
+// Meter records the token latencies of all requests of a box. It is safe for concurrent use.
 type Meter struct {
 	between *metrics.Histogram
 	first   *metrics.Histogram
@@ -18,17 +18,17 @@
 	tokens  *metrics.Counter
 }
 
-// RequestTimes is what a Meter keeps of one request.
+// RequestTimes is the state that a Meter keeps for one request. Its zero value is ready for use.
 type RequestTimes struct {
-	last  time.Time // of the last token
-	stall time.Duration
+	last  time.Time     // of the last token
+	stall time.Duration // so far
 }
 
-// stallThreshold is the time between tokens beyond which a request stalls, from the
-// users' aim of 40 ms between tokens.
+// stallThreshold is the time between tokens beyond which a request counts as stalled: the users aim
+// for 40 ms between tokens.
 const stallThreshold = 40 * time.Millisecond
 
-// New returns a meter that writes to s.
+// New returns a meter that records to the metrics in s.
 func New(s *metric.Set) *Meter {
 	return &Meter{
 		between: s.Histogram(metric.TimeBetweenTokens), first: s.Histogram(metric.TimeToFirstToken),
@@ -36,15 +36,16 @@
 	}
 }
 
-// End takes in that a request has had its last token.
+// End records the stall time of a request after its last token. A request without tokens is not
+// recorded.
 func (m *Meter) End(t *RequestTimes) {
 	if !t.last.IsZero() {
 		m.stall.Update(t.stall.Seconds())
 	}
 }
 
-// Tokens takes in that some tokens came together at now, of a request that
-// arrived at a time.
+// Tokens records that n tokens were delivered together at now, for a request that arrived at arrived.
+// The time since the previous tokens is divided evenly among the n.
 func (m *Meter) Tokens(n int, now, arrived time.Time, t *RequestTimes) {
 	m.tokens.Add(n)
 	if t.last.IsZero() {
--- a/internal/periodic/periodic.go
+++ b/internal/periodic/periodic.go
@@ -1,4 +1,4 @@
-// Package periodic runs a function again and again.
+// Package periodic calls a function at a fixed interval.
 package periodic
 
 import (
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Run calls f after each time every, until ctx ends.
+// Run calls f after every interval until ctx is done. Calls do not overlap; if one takes longer than
+// interval, ticks are dropped.
 func Run(ctx context.Context, interval time.Duration, f func(ctx context.Context)) {
 	t := time.NewTicker(interval)
 	defer t.Stop()
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,5 +1,5 @@
-// Package service routes calls to plain services. A call that may not be
-// repeated runs at most once, under its request key.
+// Package service routes calls to the upstreams of plain services. A call that must not be repeated
+// needs a request key, under which it runs at most once.
 package service
 
 import (
@@ -7,7 +7,7 @@
 	"cmp"
 	"context"
 	"crypto/rand"
-	"errors"
+	"fmt"
 	"io"
 	"net/http"
 	"net/url"
@@ -32,10 +32,10 @@
 	Body        []byte
 	Deadline    time.Time
 	Header      http.Header
-	Key         string // the request key, "" where there is none
+	Key         string // the request key, or ""
 	Method      string
-	Path        string // after /services/NAME, with its query
-	Fingerprint string // hash of what is asked
+	Path        string // what follows /services/NAME, with the query
+	Fingerprint string // hash of the request; a key may only be used again with the same one
 	Service     string
 	Workspace   string
 }
@@ -44,16 +44,16 @@
 type Answer struct {
 	Body        []byte
 	ContentType string
-	Repeated    bool // it is the recorded answer to an earlier call with the same key
+	Repeated    bool // whether it is the recorded answer to an earlier call with the same key
 	Status      int
 }
 
 // Router sends calls to the upstreams of a service. It is safe for concurrent use.
 type Router struct {
-	// Do sends one request to an upstream; a seam for tests.
+	// Do sends one request to an upstream. It must be set before the first call.
 	Do func(r *http.Request) (*http.Response, error)
-	// Backoffs are the times for which upstreams want nothing from this box, shared with others
-	// that send to them.
+	// Backoffs records until when upstreams asked this box to send no requests. It may be shared
+	// with other senders.
 	Backoffs *health.Backoffs
 
 	keys    *requestkey.Keys
@@ -65,20 +65,22 @@
 }
 
 const (
-	maxAnswerBytes  = 8 << 20
-	maxTries        = 3
+	maxAnswerBytes = 8 << 20
+	maxTries       = 3
+	// tableRetryDelay is when callers may retry while request keys cannot be claimed. It also
+	// bounds how long the outcome of a call is being recorded.
 	tableRetryDelay = 5 * time.Second
 )
 
-// forwardedHeaders are the headers that go on to a service.
+// forwardedHeaders are the request headers that are passed on to a service.
 var forwardedHeaders = []string{"Accept", "Content-Type", "Accept-Language"}
 
-// NewRouter returns a router over the services in v.
+// NewRouter returns a router for the services in v.
 func NewRouter(v *resource.View, k *requestkey.Keys, m *metric.Set) *Router {
 	return &Router{active: make(map[string]int), keys: k, metrics: m, Backoffs: health.NewBackoffs(v), retries: policy.NewRetryBudget(), view: v}
 }
 
-// Call carries c to its answer.
+// Call sends c to an upstream of its service and returns the answer, within the deadline of c.
 func (r *Router) Call(ctx context.Context, c *Call) (*Answer, error) {
 	ctx, cancel := context.WithDeadline(ctx, c.Deadline)
 	defer cancel()
@@ -98,7 +100,8 @@
 	return r.callOnce(ctx, c, u)
 }
 
-// answerFromRecord answers from the record of an earlier call with the same key.
+// answerFromRecord returns the recorded answer to an earlier call with the same key, or an error if
+// the earlier call was a different one or has no recorded answer.
 func (r *Router) answerFromRecord(ctx context.Context, c *Call, k *requestkey.Claim) (*Answer, error) {
 	if k.Record.Print != c.Fingerprint {
 		return nil, fail.New(fail.Conflict, r.origin(c), "key_reused", "the request key belongs to another request")
@@ -113,7 +116,8 @@
 	return &Answer{Body: []byte(b), ContentType: k.Record.ContentType, Repeated: true, Status: k.Record.Status}, nil
 }
 
-// callOnce runs a call that may not be repeated.
+// callOnce runs a call that must not be repeated: it claims the request key, sends the call once and
+// records the outcome. The key is released only if the call certainly did not run.
 func (r *Router) callOnce(ctx context.Context, c *Call, u []*resource.Upstream) (*Answer, error) {
 	x := r.pick(u, nil)
 	if x == nil {
@@ -136,8 +140,44 @@
 	return a, err
 }
 
-// pick returns the upstream with the fewest calls in progress, or nil where none is left: all
-// want rest, or are to be avoided.
+// callRepeatable runs a call that may be repeated, with a different upstream for each try. Retries are
+// limited by maxTries and by the retry budget.
+func (r *Router) callRepeatable(ctx context.Context, c *Call, u []*resource.Upstream) (*Answer, error) {
+	var failed error
+	avoid := make(map[string]bool)
+	for try := 1; ; try++ {
+		x := r.pick(u, avoid)
+		if x == nil {
+			return nil, cmp.Or(failed, r.noUpstreamError(c, u))
+		}
+		a, err := r.send(ctx, c, x)
+		if err == nil {
+			return a, nil
+		}
+		failed = err
+		avoid[x.Name] = true
+		if try >= maxTries || len(avoid) == len(u) || ctx.Err() != nil || !r.takeRetry() {
+			return nil, err
+		}
+		r.metrics.Count(metric.Retries, "reason", fail.Reason(err))
+	}
+}
+
+// noUpstreamError returns the error for a call that was sent nowhere because no upstream was left to
+// choose.
+func (r *Router) noUpstreamError(c *Call, u []*resource.Upstream) error {
+	if err := r.Backoffs.AllBackingOffError(u, r.origin(c), time.Now()); err != nil {
+		return err
+	}
+	return fail.WithRetryAt(fail.New(fail.NotRun, r.origin(c), string(policy.ReasonResting), "all upstreams of %q are backing off", c.Service), time.Now())
+}
+
+func (r *Router) origin(c *Call) fail.Origin {
+	return fail.Origin{Peer: "service " + c.Service, Step: "call"}
+}
+
+// pick returns the upstream with the fewest calls in progress that is neither backing off nor in
+// avoid, or nil if there is none.
 func (r *Router) pick(u []*resource.Upstream, avoid map[string]bool) *resource.Upstream {
 	avoid = r.Backoffs.Avoid(u, avoid, time.Now())
 	r.mutex.Lock()
@@ -154,11 +194,8 @@
 	return best
 }
 
-func (r *Router) origin(c *Call) fail.Origin {
-	return fail.Origin{Peer: "service " + c.Service, Step: "call"}
-}
-
-// record writes what became of a call under its key.
+// record stores the outcome of a call under its request key: the answer, or that the outcome is
+// unknown. If the answer cannot be stored, the record of the running call stays.
 func (r *Router) record(ctx context.Context, k *requestkey.Claim, q requestkey.Record, a *Answer, err error) {
 	ctx, cancel := context.WithTimeout(ctx, tableRetryDelay)
 	defer cancel()
@@ -172,14 +209,8 @@
 	_ = r.keys.Update(ctx, k, q)
 }
 
-// noUpstreamError refuses a call for which no upstream is left, none of which was tried.
-func (r *Router) noUpstreamError(c *Call, u []*resource.Upstream) error {
-	if err := r.Backoffs.AllBackingOffError(u, r.origin(c), time.Now()); err != nil {
-		return err
-	}
-	return fail.WithRetryAt(fail.New(fail.NotRun, r.origin(c), string(policy.ReasonResting), "the upstreams of %q want rest", c.Service), time.Now())
-}
-
+// send sends a call to one upstream and reads the answer. An answer larger than maxAnswerBytes is an
+// error.
 func (r *Router) send(ctx context.Context, c *Call, u *resource.Upstream) (*Answer, error) {
 	r.mutex.Lock()
 	r.active[u.Name]++
@@ -194,7 +225,7 @@
 	if err != nil {
 		return nil, fail.Wrap(fail.BadInput, p, "bad_upstream_request", err)
 	}
-	q.GetBody = nil // so that the transport never sends it twice
+	q.GetBody = nil // keeps the transport from resending the request on its own
 	for _, h := range forwardedHeaders {
 		q.Header[h] = c.Header.Values(h)
 	}
@@ -205,7 +236,7 @@
 	defer func() { _ = w.Body.Close() }()
 	b, err := io.ReadAll(io.LimitReader(w.Body, maxAnswerBytes+1))
 	if err == nil && len(b) > maxAnswerBytes {
-		err = errors.New("the answer is too large")
+		err = fmt.Errorf("answer larger than %d bytes", maxAnswerBytes)
 	}
 	if err != nil {
 		return nil, fail.Wrap(fail.Unknown, p, "upstream_lost", err)
@@ -216,6 +247,8 @@
 	return &Answer{Body: b, ContentType: w.Header.Get("Content-Type"), Status: w.StatusCode}, nil
 }
 
+// tableError returns the error for a request key that could not be claimed. The call has not been
+// sent.
 func tableError(err error) error {
 	if errorx.IsOfType(err, fail.Conflict) {
 		return err
@@ -224,28 +257,6 @@
 	return fail.WithRetryAt(fail.Wrap(fail.NotRun, p, "table_unavailable", err), time.Now().Add(tableRetryDelay))
 }
 
-// callRepeatable runs a call that may be repeated, at another upstream each time.
-func (r *Router) callRepeatable(ctx context.Context, c *Call, u []*resource.Upstream) (*Answer, error) {
-	var failed error
-	avoid := make(map[string]bool)
-	for try := 1; ; try++ {
-		x := r.pick(u, avoid)
-		if x == nil {
-			return nil, cmp.Or(failed, r.noUpstreamError(c, u))
-		}
-		a, err := r.send(ctx, c, x)
-		if err == nil {
-			return a, nil
-		}
-		failed = err
-		avoid[x.Name] = true
-		if try >= maxTries || len(avoid) == len(u) || ctx.Err() != nil || !r.takeRetry() {
-			return nil, err
-		}
-		r.metrics.Count(metric.Retries, "reason", fail.Reason(err))
-	}
-}
-
 func (r *Router) takeRetry() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -259,7 +270,7 @@
 	})
 }
 
-// PathOf returns the path that a service sees, of a request to /services/NAME/….
+// PathOf returns the path and query that the service receives for a request to /services/NAME/….
 func PathOf(u *url.URL, name string) string {
 	p := strings.TrimPrefix(u.EscapedPath(), "/services/"+name)
 	if u.RawQuery != "" {
@@ -268,6 +279,8 @@
 	return p
 }
 
+// repeatable reports whether calls with a method may be repeated: GET, HEAD, and what the upstream
+// declares.
 func repeatable(method string, u *resource.Upstream) bool {
 	return method == http.MethodGet || method == http.MethodHead || slices.Contains(u.Spec.Repeatable, method)
 }
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -16,7 +16,7 @@
 	"github.com/linetiller/linetiller/internal/upstream"
 )
 
-// withRouter runs f with a router before two upstreams of a service, in virtual time.
+// withRouter runs f in virtual time with a router for a service with two upstreams.
 func withRouter(t *testing.T, f func(t *testing.T, r *Router, l *link.Link, upstreams []*fakeservice.Service)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -38,12 +38,14 @@
 	})
 }
 
+// get calls the service with a deadline in one second.
 func (r *Router) get(ctx context.Context) (*Answer, error) {
 	return r.Call(ctx, &Call{Deadline: time.Now().Add(time.Second), Header: make(http.Header), Method: http.MethodGet, Path: "/x", Service: "desk"})
 }
 
-// TestServiceThatAsksForRestGetsNone has an upstream turn a call away and ask for rest: it
-// gets no more until that is over, and where both rest calls are refused at once.
+// TestServiceThatAsksForRestGetsNone checks that an upstream that rejects a call and requests back-off
+// gets no further calls until the back-off ends, and that calls are refused at once with a retry time
+// while both upstreams back off.
 func TestServiceThatAsksForRestGetsNone(t *testing.T) {
 	withRouter(t, func(t *testing.T, r *Router, _ *link.Link, upstreams []*fakeservice.Service) {
 		upstreams[0].Rest(3 * time.Second)
@@ -52,24 +54,24 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 		if got, want := upstreams[0].TurnedAway(), 1; got != want {
-			t.Errorf("calls turned away: got %d, want %d", got, want)
+			t.Errorf("rejected calls: got %d, want %d", got, want)
 		}
 		upstreams[1].Rest(3 * time.Second)
 		_, _ = r.get(t.Context())
 		_, err := r.get(t.Context())
 		if got, most := time.Until(fail.RetryAt(err)), time.Second; fail.Reason(err) != "resting" || got <= 0 || got > most {
-			t.Errorf("with both at rest: got %v, come back in %s; want resting, within %s", err, got, most)
+			t.Errorf("both backing off: got %v, retry in %s; want reason resting, retry within %s", err, got, most)
 		}
 		upstreams[0].Rest(0)
 		time.Sleep(2 * time.Second)
 		if a, err := r.get(t.Context()); err != nil || a.Status != http.StatusOK {
-			t.Errorf("after the rest: got %+v, %v; want 200", a, err)
+			t.Errorf("after the back-off: got %+v, %v; want 200", a, err)
 		}
 	})
 }
 
-// TestServiceAtRestWhileTheOtherFails checks that a call is told why it failed where one
-// upstream rests and the other one cannot be reached.
+// TestServiceAtRestWhileTheOtherFails checks that a call fails with a reason when one upstream backs
+// off and the other cannot be reached.
 func TestServiceAtRestWhileTheOtherFails(t *testing.T) {
 	withRouter(t, func(t *testing.T, r *Router, l *link.Link, upstreams []*fakeservice.Service) {
 		upstreams[0].Rest(3 * time.Second)
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// check returns what is wrong with the values, in order of their lines.
+// check returns the invalid values, in the order of their lines.
 func (s *Settings) check(source []byte) FieldErrors {
 	var f FieldErrors
 	add := func(key, message string) {
@@ -68,6 +68,8 @@
 	checkTLS(s, add)
 }
 
+// checkTLS checks that either all three files are given or none, and that TLS for clients is not
+// enabled without them.
 func checkTLS(s *Settings, add func(key, message string)) {
 	if given := s.TLS.Authority != "" || s.TLS.Certificate != "" || s.TLS.Key != ""; given || s.TLS.Clients {
 		if s.TLS.Authority == "" || s.TLS.Certificate == "" || s.TLS.Key == "" {
@@ -110,7 +112,7 @@
 	}
 }
 
-// checkNotNegative checks what may be 0.
+// checkNotNegative checks the numbers that may be 0.
 func checkNotNegative(s *Settings, add func(key, message string)) {
 	for _, x := range []struct {
 		key   string
--- a/internal/settings/span.go
+++ b/internal/settings/duration.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// Duration is a length of time written as in "250ms". Seconds may be written as any number:
-// "33.2s", "1e3s".
+// Duration is a duration in the format of time.ParseDuration, such as "250ms". A number of seconds
+// may also have an exponent, such as "1e3s".
 type Duration struct{ time.Duration }
 
-// UnmarshalText reads a span such as "1.5s". One that is too long to hold is read as the
-// longest there is.
+// UnmarshalText parses a duration such as "1.5s". A number of seconds that overflows a time.Duration
+// is read as the longest one.
 func (s *Duration) UnmarshalText(b []byte) error {
 	d, err := time.ParseDuration(string(b))
 	if err != nil {
@@ -26,12 +26,13 @@
 	return nil
 }
 
-// parseSeconds reads a number of seconds, which may have an exponent.
+// parseSeconds parses a number of seconds, which may have an exponent. Values out of range are
+// clamped.
 func parseSeconds(text string) (time.Duration, error) {
 	n, ok := strings.CutSuffix(text, "s")
 	x, err := strconv.ParseFloat(n, 64)
 	if !ok || err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-		return 0, fmt.Errorf("%q is no length of time such as \"250ms\" or \"33.2s\"", text)
+		return 0, fmt.Errorf("%q is not a duration such as \"250ms\" or \"33.2s\"", text)
 	}
 	if x >= math.MaxInt64/float64(time.Second) {
 		return math.MaxInt64, nil
--- a/internal/settings/fault.go
+++ b/internal/settings/fielderror.go
@@ -8,20 +8,20 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// FieldError is one thing wrong with the settings.
+// FieldError describes one invalid or missing setting.
 type FieldError struct {
 	Key     string
-	Line    int // from 1; 0 where the key is missing
+	Line    int // starting at 1; 0 if the key is missing
 	Message string
-	// Comment is the comment on the line, "" for none: a template names there the field
-	// that it was filled from.
+	// Comment is the TOML comment on the line, or "". Settings that were rendered from a template
+	// name in it the field that the value was taken from.
 	Comment string
 }
 
-// FieldErrors is every fault of a settings file.
+// FieldErrors lists every FieldError of a settings file. It implements error.
 type FieldErrors []FieldError
 
-// Error lists the faults, one a line.
+// Error returns the errors, one per line.
 func (f FieldErrors) Error() string {
 	var l []string
 	for _, x := range f {
@@ -30,7 +30,7 @@
 	return strings.Join(l, "\n")
 }
 
-// setComments fills in where faulty lines were filled from.
+// setComments sets Comment from the lines of the settings file.
 func (f FieldErrors) setComments(source []byte) {
 	lines := strings.Split(string(source), "\n")
 	for i := range f {
@@ -41,7 +41,7 @@
 	}
 }
 
-// String returns the fault without its line.
+// String returns the error without its line number.
 func (f FieldError) String() string {
 	if f.Comment == "" {
 		return f.Key + ": " + f.Message
@@ -49,7 +49,7 @@
 	return f.Key + " (" + f.Comment + "): " + f.Message
 }
 
-// decodeErrors returns the faults that the decoder found.
+// decodeErrors converts an error of the TOML decoder.
 func decodeErrors(err error) FieldErrors {
 	var m *toml.StrictMissingError
 	if errors.As(err, &m) {
@@ -71,7 +71,8 @@
 	return nil
 }
 
-// lineOf returns the line on which the last part of key is set, or 0.
+// lineOf returns the number of the first line that sets key or is the header of table key, or 0. It
+// does not consider in which table a line is.
 func lineOf(source []byte, key string) int {
 	for i, l := range strings.Split(string(source), "\n") {
 		n, _, ok := strings.Cut(l, "=")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,7 @@
-// Package settings reads the TOML settings of one box.
+// Package settings reads the TOML settings file of a box.
 //
-// Unknown keys are refused, and every fault is told at once with its line.
+// Unknown keys are errors. All unknown keys are reported at once; if there are none, so are all invalid
+// values. Each error names its line.
 package settings
 
 import (
@@ -13,101 +14,101 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Policy names the policy by which upstreams are chosen and filled.
+// Policy names the policy by which upstreams are chosen for requests.
 type Policy string
 
-// The policies.
+// Policies.
 const (
 	PolicyNaive    Policy = "naive"
 	PolicyReserved Policy = "reserved"
 )
 
-// Links names how boxes speak to each other.
+// Links names the transport of the connections between boxes.
 type Links string
 
-// The ways in which boxes speak to each other.
+// Transports of the connections between boxes.
 const (
-	LinksPlain Links = "plain" // HTTP over TCP, for networks that only boxes can reach
-	LinksQUIC  Links = "quic"  // encrypted, and both ends known
+	LinksPlain Links = "plain" // HTTP over TCP without encryption, for networks that only boxes can reach
+	LinksQUIC  Links = "quic"  // QUIC, encrypted and with both ends authenticated
 )
 
-// RetryBudget bounds the tries beyond the first of each request of a route, over all
-// boxes.
+// RetryBudget limits the retries of requests to routes, across all boxes.
 type RetryBudget struct {
-	Extra  float64  `toml:"extra"`  // tries in any window, beside the ratio; boxes share them, so that it may be a fraction
-	Ratio  float64  `toml:"ratio"`  // of tries to requests
-	Window Duration `toml:"window"` // that the bound holds for
+	Extra  float64  `toml:"extra"`  // retries per window that are allowed in addition to the ratio; divided among the boxes, so it may be a fraction
+	Ratio  float64  `toml:"ratio"`  // of retries to requests
+	Window Duration `toml:"window"` // over which retries and requests are counted
 }
 
-// ColdStart bounds what upstreams get that have just started, and bear few requests a second.
+// ColdStart limits the requests sent to upstreams that have just started and can serve only few
+// requests per second at first.
 type ColdStart struct {
-	Overage float64 `toml:"overage"` // times what a cold upstream's service says that it bears, and
-	Slack   float64 `toml:"slack"`   // requests beside, in any second
+	Overage float64 `toml:"overage"` // factor on the rate that the service declares for cold upstreams
+	Slack   float64 `toml:"slack"`   // requests per second in addition
 }
 
-// Entry is where requests of declared routes come in, from the platform's
-// balancer. Without it a box takes none.
+// Entry is where a box accepts requests to declared routes from the platform's load balancer. A box
+// without it accepts none.
 type Entry struct {
-	Address   string `toml:"address"`   // IP:port for the balancer's connections
+	Address   string `toml:"address"`   // IP:port for the load balancer's connections
 	Metrics   string `toml:"metrics"`   // IP:port for metrics
-	Readiness string `toml:"readiness"` // IP:port for the balancer's questions
+	Readiness string `toml:"readiness"` // IP:port for the load balancer's readiness checks
 }
 
-// Limits bounds what one caller or peer can make the box hold.
+// Limits bounds the resources that callers and peers can use on the box.
 type Limits struct {
 	BodyBytes   int64 `toml:"body_bytes"`   // of one request
 	HeaderBytes int   `toml:"header_bytes"` // of one request
-	// MemoryMB is what the process may use, in MiB: the collector runs more often as it
-	// comes near it. 0 sets no limit.
+	// MemoryMB is a soft limit on the memory of the process, in MiB: the garbage collector runs
+	// more often as usage approaches it. 0 means no limit.
 	MemoryMB    float64 `toml:"memory_mb"`
-	Queued      int     `toml:"queued"`       // requests waiting, all workspaces
-	Streams     int     `toml:"streams"`      // requests held at once
-	WeightLoads int     `toml:"weight_loads"` // loads from the weight store at once, of all boxes together
+	Queued      int     `toml:"queued"`       // waiting requests of all workspaces
+	Streams     int     `toml:"streams"`      // concurrent requests
+	WeightLoads int     `toml:"weight_loads"` // concurrent loads from the weight store, by all boxes together
 }
 
-// Timeouts bounds how long the box waits; each is made a deadline when a wait begins.
+// Timeouts bounds how long the box waits. Each is turned into a deadline when the wait begins.
 type Timeouts struct {
-	Drain     Duration `toml:"drain"`     // from failing readiness to refusing new requests
-	Grace     Duration `toml:"grace"`     // from a stop's being asked for until the box is killed; 0 where nobody does
+	Drain     Duration `toml:"drain"`     // from reporting not ready to refusing new requests
+	Grace     Duration `toml:"grace"`     // from a stop request until the process is killed; 0 if nothing kills it
 	Heartbeat Duration `toml:"heartbeat"` // between heartbeats to another box
-	Leave     Duration `toml:"leave"`     // for streams to finish after a stop was asked for
+	Leave     Duration `toml:"leave"`     // for streams to finish after a stop request
 	Platform  Duration `toml:"platform"`  // for one call to the platform
 	Report    Duration `toml:"report"`    // between reads of an upstream's load report
-	Request   Duration `toml:"request"`   // for a request that names no deadline
-	Silence   Duration `toml:"silence"`   // from a stream without a token to its resumption
+	Request   Duration `toml:"request"`   // for a request without a deadline of its own
+	Silence   Duration `toml:"silence"`   // without a token until a stream is resumed
 }
 
-// TLS names the files that authenticate boxes to each other and to callers.
+// TLS names the files by which boxes authenticate to each other and to callers.
 type TLS struct {
-	Authority   string `toml:"authority"`   // PEM: who signs the boxes' certificates
+	Authority   string `toml:"authority"`   // PEM: certificate of the authority that signs the boxes' certificates
 	Certificate string `toml:"certificate"` // PEM: this box's certificate
-	Clients     bool   `toml:"clients"`     // serve clients and operators over TLS, too
-	Key         string `toml:"key"`         // PEM: this box's key
+	Clients     bool   `toml:"clients"`     // whether clients and operators are served over TLS, too
+	Key         string `toml:"key"`         // PEM: this box's private key
 }
 
-// Settings is what one process is told at its start.
+// Settings is the content of a settings file.
 type Settings struct {
-	Box             string      `toml:"box"`              // this box's name
-	BoxAddress      string      `toml:"box_address"`      // IP:port for other boxes, UDP or, with plain links, TCP
-	Budget          RetryBudget `toml:"budget"`           // of tries
-	ClientAddress   string      `toml:"client_address"`   // IP:port for clients
-	Cold            ColdStart   `toml:"cold"`             // what cold upstreams get
-	Entry           Entry       `toml:"entry"`            // of requests of declared routes
-	FirstStart      bool        `toml:"first_start"`      // the whole system starts for the first time
-	Hall            string      `toml:"hall"`             // the data hall this box stands in
-	Limits          Limits      `toml:"limits"`           // bounds
-	Links           Links       `toml:"links"`            // quic or plain
-	LogLevel        string      `toml:"log_level"`        // debug, info, warn or error
-	OperatorAddress string      `toml:"operator_address"` // IP:port for operators
-	OperatorKeyHash string      `toml:"operator_key_hash"`
-	Peers           []string    `toml:"peers"`    // IP:port of boxes to join by where the platform is down
-	Platform        string      `toml:"platform"` // http://IP:port
-	Policy          Policy      `toml:"policy"`   // naive or reserved
+	Box             string      `toml:"box"`               // this box's name
+	BoxAddress      string      `toml:"box_address"`       // IP:port for other boxes, UDP or, with plain links, TCP
+	Budget          RetryBudget `toml:"budget"`            // of retries
+	ClientAddress   string      `toml:"client_address"`    // IP:port for clients
+	Cold            ColdStart   `toml:"cold"`              // limits for cold upstreams
+	Entry           Entry       `toml:"entry"`             // for requests to declared routes
+	FirstStart      bool        `toml:"first_start"`       // whether the whole system starts for the first time
+	Hall            string      `toml:"hall"`              // this box's data hall
+	Limits          Limits      `toml:"limits"`            // on what callers and peers can use
+	Links           Links       `toml:"links"`             // quic or plain
+	LogLevel        string      `toml:"log_level"`         // debug, info, warn or error
+	OperatorAddress string      `toml:"operator_address"`  // IP:port for operators
+	OperatorKeyHash string      `toml:"operator_key_hash"` // SHA-256 in hex
+	Peers           []string    `toml:"peers"`             // IP:port of boxes to join through while the platform is unreachable
+	Platform        string      `toml:"platform"`          // http://IP:port
+	Policy          Policy      `toml:"policy"`            // naive or reserved
 	Timeouts        Timeouts    `toml:"timeouts"`
 	TLS             TLS         `toml:"tls"`
 }
 
-// Default returns the settings that hold where a file names nothing else.
+// Default returns the defaults, which apply to settings that a file does not set.
 func Default() Settings {
 	return Settings{
 		Budget:   RetryBudget{Extra: 50, Ratio: 0.2, Window: Duration{10 * time.Second}},
@@ -128,7 +129,7 @@
 	}
 }
 
-// Load reads the settings in the file at path.
+// Load reads the settings file at path.
 func Load(path string) (*Settings, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -141,7 +142,7 @@
 	return s, nil
 }
 
-// Parse reads settings from TOML.
+// Parse reads settings from TOML. Its error is of type FieldErrors.
 func Parse(b []byte) (*Settings, error) {
 	s := Default()
 	d := toml.NewDecoder(bytes.NewReader(b))
@@ -157,7 +158,7 @@
 	return &s, nil
 }
 
-// Level returns the log level; it is checked when the settings are read.
+// Level returns LogLevel as a slog.Level. Parse has checked that it is valid.
 func (s *Settings) Level() slog.Level {
 	var l slog.Level
 	_ = l.UnmarshalText([]byte(s.LogLevel))
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,6 +9,7 @@
 	"time"
 )
 
+// validSettings sets all that is required.
 const validSettings = `box = "a-1"
 hall = "a"
 box_address = "127.0.0.1:1"
@@ -30,12 +31,12 @@
 	}
 }
 
-// TestEveryFaultIsTold checks that all faults come at once, with line and key.
+// TestEveryFaultIsTold checks that all errors are reported at once, each with its line and key.
 func TestEveryFaultIsTold(t *testing.T) {
 	for _, x := range []struct{ name, text, want string }{
 		{"unknown keys", validSettings + "colour = 1\n[limits]\nqueue = 2\n", "7 colour,9 limits.queue"},
 		{"wrong type", validSettings + "log_level = 3\n", "7 log_level"},
-		{"bad span", validSettings + "[timeouts]\nreport = \"soon\"\n", "8 timeouts.report"},
+		{"bad duration", validSettings + "[timeouts]\nreport = \"soon\"\n", "8 timeouts.report"},
 		{"several", strings.Replace(validSettings, `"127.0.0.1:1"`, `"here"`, 1) + "log_level = \"loud\"\npolicy = \"best\"\n[limits]\nstreams = 0\n", "3 box_address,7 log_level,8 policy,10 streams"},
 		{"missing", "hall = \"a\"\n", "0 box,0 box_address,0 client_address,0 operator_address,0 platform"},
 		{"half of tls", validSettings + "[tls]\nkey = \"k\"\n", "7 tls"},
@@ -44,7 +45,7 @@
 			_, err := Parse([]byte(x.text))
 			var f FieldErrors
 			if !errors.As(err, &f) {
-				t.Fatalf("got %v, want faults", err)
+				t.Fatalf("got %v, want FieldErrors", err)
 			}
 			var got []string
 			for _, v := range f {
@@ -57,8 +58,8 @@
 	}
 }
 
-// TestExampleIsSoundAndWhole checks the annotated example of the docs: it is
-// sound, and it names every setting with its default.
+// TestExampleIsSoundAndWhole checks that the annotated example in the documentation is valid, and
+// that it names the settings with their defaults.
 func TestExampleIsSoundAndWhole(t *testing.T) {
 	b, err := os.ReadFile("../../docs/settings.example.toml")
 	if err != nil {
@@ -82,7 +83,7 @@
 	}
 }
 
-// FuzzParse reads any settings without a panic.
+// FuzzParse checks that arbitrary settings cause no panic, and give either settings or an error.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(validSettings))
 	f.Add([]byte("[timeouts]\nreport = \"-1s\"\n"))
--- a/internal/sse/splitter.go
+++ b/internal/sse/splitter.go
@@ -7,7 +7,7 @@
 	"io"
 )
 
-// Splitter cuts a stream into its events without changing them.
+// Splitter splits a stream into its events and returns them unchanged.
 type Splitter struct {
 	event  []byte
 	id     []byte
@@ -19,9 +19,10 @@
 	return &Splitter{reader: bufio.NewReaderSize(r, initialBufferBytes)}
 }
 
-// Next returns the next whole event as it came, its last empty line included,
-// and its id. Both are valid until the next call. An event that the stream's end
-// cut off is dropped; the error is then io.ErrUnexpectedEOF in place of io.EOF.
+// Next returns the next event as received, including the empty line that ends it, and its ID. Both
+// are valid until the next call. An event that is cut off by the end of the stream is dropped, and
+// the error is then io.ErrUnexpectedEOF instead of io.EOF. An event of more than MaxLineBytes gives
+// ErrTooLarge.
 func (s *Splitter) Next() (event, id []byte, err error) {
 	s.event, s.id = s.event[:0], s.id[:0]
 	for {
@@ -45,7 +46,7 @@
 	}
 }
 
-// endsEvent takes in one line and reports whether it ends an event.
+// endsEvent processes one line and reports whether it ends an event.
 func (s *Splitter) endsEvent(line []byte) bool {
 	line = bytes.TrimRight(line, "\r\n")
 	if v, ok := bytes.CutPrefix(line, []byte("id:")); ok {
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -1,5 +1,5 @@
-// Package sse reads and writes server-sent events, the framing of streams
-// towards clients and upstreams.
+// Package sse reads and writes server-sent events, the framing of streams to clients and from
+// upstreams.
 package sse
 
 import (
@@ -9,8 +9,8 @@
 	"io"
 )
 
-// Event is one server-sent event. Of an event that was read, the parts are
-// valid until the next call of Next.
+// Event is one server-sent event. The fields of an event returned by Reader.Next are valid until the
+// next call of Next.
 type Event struct {
 	Data []byte
 	ID   []byte
@@ -25,12 +25,13 @@
 	scanner *bufio.Scanner
 }
 
-// MaxLineBytes bounds one line of a stream; a longer one is an error.
+// MaxLineBytes is the maximum size of a line of a stream. It also bounds the data of an event in
+// Reader, and a whole event in Splitter.
 const MaxLineBytes = 1 << 20
 
 const initialBufferBytes = 4 << 10
 
-// ErrTooLarge says that an event passed MaxLineBytes.
+// ErrTooLarge means that an event is larger than MaxLineBytes.
 var ErrTooLarge = errors.New("sse: event too large")
 
 // NewReader returns a reader of the events in r.
@@ -40,8 +41,9 @@
 	return &Reader{scanner: s}
 }
 
-// Next returns the next event, or io.EOF at the end of the stream. An event
-// that the stream's end cut off is dropped.
+// Next returns the next event, or io.EOF at the end of the stream. An event that is cut off by the end
+// of the stream is dropped. A line that is too long gives bufio.ErrTooLong, and data that is too long
+// gives ErrTooLarge.
 func (r *Reader) Next() (Event, error) {
 	var e Event
 	r.data = r.data[:0]
@@ -66,6 +68,7 @@
 	return Event{}, io.EOF
 }
 
+// parseField adds one line to e. Unknown fields and comments are ignored.
 func (r *Reader) parseField(e *Event, line []byte) error {
 	n, v, _ := bytes.Cut(line, []byte(":"))
 	v = bytes.TrimPrefix(v, []byte(" "))
@@ -88,8 +91,7 @@
 	return nil
 }
 
-// Append adds e to b in the form of the wire and returns the result. Data must
-// hold no line break.
+// Append appends the encoding of e to b and returns the result. Data must not contain line breaks.
 func Append(b []byte, e Event) []byte {
 	if len(e.ID) > 0 {
 		b = append(append(append(b, "id: "...), e.ID...), '\n')
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -16,13 +16,15 @@
 		t.Errorf("got %q %v, want %q", got, err, want)
 	}
 	if got, err = r.Next(); err != nil || string(got.Data) != "second" || len(got.ID) != 0 {
-		t.Errorf("got %q %v, want the second event without an id", got, err)
+		t.Errorf("got %q %v, want the second event without an ID", got, err)
 	}
 	if _, err = r.Next(); !errors.Is(err, io.EOF) {
-		t.Errorf("got %v, want the end", err)
+		t.Errorf("got %v, want io.EOF", err)
 	}
 }
 
+// TestReaderPassesOverAndBounds checks that the reader ignores comments and cut off events, joins data
+// lines, and refuses lines and events over the limit.
 func TestReaderPassesOverAndBounds(t *testing.T) {
 	r := NewReader(strings.NewReader(": comment\n\ndata: a\ndata: b\r\n\ndata: cut off"))
 	if _, err := r.Next(); err != nil {
@@ -33,17 +35,18 @@
 		t.Errorf("got %q %v, want two lines", e.Data, err)
 	}
 	if _, err = r.Next(); !errors.Is(err, io.EOF) {
-		t.Errorf("an event cut off: got %v, want the end", err)
+		t.Errorf("an event that is cut off: got %v, want io.EOF", err)
 	}
 	if _, err = NewReader(strings.NewReader("data: " + strings.Repeat("x", MaxLineBytes+1))).Next(); err == nil {
-		t.Error("a line over the bound: got no error")
+		t.Error("a line over the limit: got no error")
 	}
 	if _, err = NewReader(strings.NewReader(strings.Repeat("data: "+strings.Repeat("x", MaxLineBytes/2)+"\n", 3))).Next(); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("an event over the bound: got %v, want %v", err, ErrTooLarge)
+		t.Errorf("an event over the limit: got %v, want %v", err, ErrTooLarge)
 	}
 }
 
-// FuzzReader reads any stream to its end, within bounds and without a panic.
+// FuzzReader checks that arbitrary streams cause no panic, and yield no more events or data than the
+// stream has bytes.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("id: 1\nevent: x\ndata: {}\n\n"))
 	f.Add([]byte(":\n\n\r\ndata\n\ndata:"))
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -1,9 +1,8 @@
-// Package table defines what the product keeps in the platform's service: rows
-// that are read and written in transactions, and objects.
+// Package table defines the data model of the platform's storage service: rows, which are read and
+// written in transactions, and objects. Package platform implements the calls to the service.
 //
-// A key is TABLE/REST: what stands before the first slash names the table in
-// which the row is kept. All writes of one transaction go to tables of one
-// client; package platform speaks to the service itself.
+// A key is TABLE/REST: the part before the first slash is the table that the row is kept in. All
+// writes of one transaction must go to tables of the same client.
 package table
 
 import (
@@ -12,76 +11,78 @@
 	"time"
 )
 
-// Changes is what changed in one table after a revision, or all that it holds.
+// Changes lists the rows of a table that changed after a revision, or all of its rows.
 type Changes struct {
-	Now      time.Time // by the service's clock; zero where that is not known
-	Revision int64     // up to which Rows is complete
+	Now      time.Time // by the service's clock; zero if unknown
+	Revision int64     // Rows contains all changes up to this one
 	Rows     []Row
-	Snapshot bool // Rows is all that the table holds; what it does not name is gone
+	Snapshot bool // whether Rows are all rows of the table; others no longer exist
 }
 
-// Condition must hold for a transaction to commit.
+// Condition is a row revision that must be current for a transaction to commit.
 type Condition struct {
 	Key      string `json:"key"`
-	Revision int64  `json:"revision"` // of the row; 0 means that the row must not exist
+	Revision int64  `json:"revision"` // of the row; 0 if the row must not exist
 }
 
-// Result tells what became of a transaction.
+// Result is the outcome of a transaction.
 type Result struct {
 	Committed bool  `json:"committed"`
-	Revision  int64 `json:"revision"`          // the table's, after it
-	Current   []Row `json:"current,omitempty"` // rows named by conditions, where it did not commit
+	Revision  int64 `json:"revision"`          // of the table, after the transaction
+	Current   []Row `json:"current,omitempty"` // if not committed: the rows named by its conditions
 }
 
-// Row is one row of the table.
+// Row is one row of a table.
 type Row struct {
-	Deleted  bool            `json:"deleted,omitempty"` // only in changes
+	Deleted  bool            `json:"deleted,omitempty"` // only in Changes
 	Key      string          `json:"key"`
-	Revision int64           `json:"revision"` // of the transaction that wrote it
+	Revision int64           `json:"revision"` // of the transaction that last wrote it
 	Value    json.RawMessage `json:"value,omitempty"`
 }
 
-// Store are the calls to the platform's service. Its fields are seams.
+// Store contains the calls to the platform's storage service as functions, so that tests can replace
+// each of them.
 type Store struct {
-	// Changes waits up to wait for changes of a table after a revision; 0 reads
-	// the whole table.
+	// Changes returns the changes of a table after a revision, and waits up to wait for some. After
+	// revision 0 it returns the whole table.
 	Changes func(ctx context.Context, name string, after int64, wait time.Duration) (*Changes, error)
 	// Close closes idle connections.
 	Close func() error
-	// Commit applies a transaction. A fail.Unknown error means that it may have
-	// been applied, or may be applied later if its conditions still hold.
+	// Commit applies a transaction. A fail.Unknown error means that it may have been applied, or
+	// may still be applied later if its conditions hold then.
 	Commit func(ctx context.Context, t *Transaction) (*Result, error)
-	// Get returns a row, or nil where none exists.
+	// Get returns a row, or nil if there is none.
 	Get func(ctx context.Context, key string) (*Row, error)
-	// Object returns an object, or nil where none exists.
+	// Object returns an object, or nil if there is none.
 	Object func(ctx context.Context, name string) ([]byte, error)
 	// PutObject writes an object.
 	PutObject func(ctx context.Context, name string, b []byte) error
 }
 
-// answerStartedKey is the key of a context's value that is called once an answer begins to arrive.
+// answerStartedKey is the context key of the function set by WithAnswerStarted.
 type answerStartedKey struct{}
 
-// AnswerStarted tells by a call's context that its answer has begun to arrive.
+// AnswerStarted calls the function that WithAnswerStarted has put into ctx, if any. It is called by
+// implementations of Store when the answer to a call begins to arrive.
 func AnswerStarted(ctx context.Context) {
 	if f, ok := ctx.Value(answerStartedKey{}).(func()); ok {
 		f()
 	}
 }
 
-// WithAnswerStarted returns a context by which calls tell f that their answers have begun to arrive, perhaps
-// more than once.
+// WithAnswerStarted returns a context for calls of a Store that call f when their answer begins to
+// arrive. f may be called more than once.
 func WithAnswerStarted(ctx context.Context, f func()) context.Context {
 	return context.WithValue(ctx, answerStartedKey{}, f)
 }
 
-// Transaction is applied whole, or not at all.
+// Transaction is a set of writes that is applied atomically if all conditions hold.
 type Transaction struct {
 	Conditions []Condition `json:"conditions,omitempty"`
 	Writes     []Write     `json:"writes"`
 }
 
-// Write sets or removes a row.
+// Write sets or deletes a row.
 type Write struct {
 	Delete bool            `json:"delete,omitempty"`
 	Key    string          `json:"key"`
