--- a/assemble.go
+++ b/assemble.go
@@ -46,7 +46,7 @@
 		platform.WithStoreRestored(func(era int64) { b.follower.NoteEra(era) }),
 		platform.WithStoreCalled(func(step, outcome string) { b.metrics.CountTwo(metric.PlatformCalls, "step", step, "outcome", outcome) }))
 	b.store = store.Table()
-	b.engines = upstream.NewEngines(engineCallPeriod, upstream.WithTransport(b.engineTransport))
+	b.engines = upstream.NewClient(engineCallPeriod, upstream.WithTransport(b.engineTransport))
 	b.routed = platform.NewEngines(platform.WithEnginesTransport(b.routedTransport))
 	b.keys = requestkey.New(b.store, b.metrics)
 	b.assembleFollower(store)
@@ -69,8 +69,8 @@
 	b.tracker.Send = b.sendUpdate
 
 	b.deliverer = delivery.New(b.engines, b.keys, b.tracker, b.view, b.metrics, b.log,
-		delivery.WithLimit(s.Limits.Streams), delivery.WithRests(b.rests), delivery.WithSilence(s.Timeouts.Silence.Duration))
-	b.deliverer.Fresh = b.fresh
+		delivery.WithMaxInProgress(s.Limits.Streams), delivery.WithBackoffs(b.rests), delivery.WithStallTimeout(s.Timeouts.Silence.Duration))
+	b.deliverer.RefreshViews = b.fresh
 	b.deliverer.Place = b.reserved.Place
 	if s.Policy == settings.PolicyNaive {
 		b.naive = placement.NewNaive(b.view, s.Timeouts.Report.Duration, seed)
@@ -108,7 +108,7 @@
 	b.follower = configuration.NewFollower(b.view, b.members, b.log)
 	b.follower.Ask = b.links.CallOnce
 	b.follower.Reconnect = func() { _ = s.Close() }
-	b.follower.Restored = b.keys.Restored
+	b.follower.Restored = b.keys.StoreRestored
 	b.follower.TellAway = b.announceAway
 	b.follower.Spread = rand.Float64
 	b.follower.Add(resource.SourceBoxes, configuration.BoxReader(s.Changes))
--- a/internal/client/completion.go
+++ b/internal/client/completion.go
@@ -162,7 +162,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	q := &delivery.Request{MaxQueued: x.Spec.MaxQueued, Print: fingerprint([]byte(f), b), Prompt: t}
+	q := &delivery.Request{MaxQueued: x.Spec.MaxQueued, Fingerprint: fingerprint([]byte(f), b), Prompt: t}
 	if err := s.readHeaders(r, q, now); err != nil {
 		return nil, false, err
 	}
@@ -248,7 +248,7 @@
 	if h == "" {
 		return nil
 	}
-	q.Resume, err = delivery.ParseEventID(h)
+	q.ResumeAfter, err = delivery.ParseEventID(h)
 	if err != nil {
 		return fail.Wrap(fail.BadInput, origin("read headers"), "bad_event_id", err)
 	}
--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -29,12 +29,12 @@
 
 // Request is one generation that a client asks for.
 type Request struct {
-	Key       string // the request key, "" where it may be repeated
-	MaxQueued int    // requests of its workspace that may wait at this box; 0 is no bound of its own
-	Print     string // hash of what is asked, which a repeat of the key must match
-	Prompt    string
-	Resume    *EventID // the last token that the client has
-	Work      policy.Work
+	Key         string // the request key, "" where it may be repeated
+	MaxQueued   int    // requests of its workspace that may wait at this box; 0 is no bound of its own
+	Fingerprint string // hash of what is asked, which a repeat of the key must match
+	Prompt      string
+	ResumeAfter *EventID // the last token that the client has
+	Work        policy.Work
 }
 
 // EventID names a token that was delivered.
@@ -59,65 +59,65 @@
 // Deliverer carries requests. It is safe for concurrent use; Close waits for
 // those in progress.
 type Deliverer struct {
-	// Fresh makes sure that the box's views are not those of before a pause; a seam.
-	Fresh func(ctx context.Context)
+	// RefreshViews makes sure that the box's views are not those of before a pause; a seam.
+	RefreshViews func(ctx context.Context)
 	// Place finds an upstream; a seam, set to a placement's method.
 	Place func(ctx context.Context, w *policy.Work, avoid map[string]bool) (*placement.Place, error)
 
-	cancel  context.CancelFunc
-	ctx     context.Context // ends with Abort, or when Close stops waiting for outcomes to be recorded
-	engines *upstream.Engines
-	keys    *requestkey.Keys
-	log     *slog.Logger
-	metrics *metric.Set
-	mutex   sync.Mutex     // guards retries, held, closing, holds and waits
-	holds   map[string]int // by workspace: requests in progress
-	waits   map[string]int // by workspace: requests that wait for a place
-	closing bool
-	held    int
-	limit   int
-	meter   *meter.Meter
-	rests   *health.Backoffs
-	retries *policy.RetryBudget
-	silence time.Duration
-	tracker *placement.Tracker
-	view    *resource.View
-	records sync.WaitGroup // outcomes being recorded
-	workers sync.WaitGroup // requests in progress
+	cancel                context.CancelFunc
+	ctx                   context.Context // ends with Abort, or when Close stops waiting for outcomes to be recorded
+	engines               *upstream.Client
+	keys                  *requestkey.Keys
+	log                   *slog.Logger
+	metrics               *metric.Set
+	mutex                 sync.Mutex     // guards retries, held, closing, holds and waits
+	inProgressByWorkspace map[string]int // by workspace: requests in progress
+	queuedByWorkspace     map[string]int // by workspace: requests that wait for a place
+	closing               bool
+	inProgress            int
+	maxInProgress         int
+	meter                 *meter.Meter
+	backoffs              *health.Backoffs
+	retries               *policy.RetryBudget
+	stallTimeout          time.Duration
+	tracker               *placement.Tracker
+	view                  *resource.View
+	recorders             sync.WaitGroup // outcomes being recorded
+	requests              sync.WaitGroup // requests in progress
 }
 
 const (
-	cancelPeriod  = 2 * time.Second
-	closePeriod   = 5 * time.Second  // for outcomes to be recorded when the box stops
-	lingerPeriod  = 10 * time.Second // for a client to come back, before its generation is cancelled
-	placesMost    = 4                // upstreams tried for one request
-	recordPeriod  = 10 * time.Minute // for the outcome to be recorded while the platform is out
-	recordRetry   = 5 * time.Second
-	resumePeriod  = 3 * time.Second // of failing resumptions after which a generation is lost
-	resumptionGap = 50 * time.Millisecond
-	// workspaceShare is how much of the requests that a box may hold one workspace
+	cancelTimeout        = 2 * time.Second
+	recordGracePeriod    = 5 * time.Second  // for outcomes to be recorded when the box stops
+	reconnectGracePeriod = 10 * time.Second // for a client to come back, before its generation is cancelled
+	maxAttempts          = 4                // upstreams tried for one request
+	recordTimeout        = 10 * time.Minute // for the outcome to be recorded while the platform is out
+	recordRetryInterval  = 5 * time.Second
+	resumeTimeout        = 3 * time.Second // of failing resumptions after which a generation is lost
+	resumeRetryInterval  = 50 * time.Millisecond
+	// maxWorkspaceShare is how much of the requests that a box may hold one workspace
 	// may have, so that none can shut the others out.
-	workspaceShare = 0.75
-	startPeriod    = 3 * time.Second // from the claim of a key to the arrival of its start
+	maxWorkspaceShare = 0.75
+	startGracePeriod  = 3 * time.Second // from the claim of a key to the arrival of its start
 )
 
 // Option sets one thing of a Deliverer.
 type Option func(*Deliverer)
 
 // New returns a deliverer.
-func New(e *upstream.Engines, k *requestkey.Keys, t *placement.Tracker, v *resource.View, m *metric.Set, l *slog.Logger, options ...Option) *Deliverer {
+func New(c *upstream.Client, k *requestkey.Keys, t *placement.Tracker, v *resource.View, m *metric.Set, l *slog.Logger, options ...Option) *Deliverer {
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &Deliverer{
-		holds: make(map[string]int), waits: make(map[string]int),
-		Fresh:  func(context.Context) {},
-		cancel: cancel, ctx: ctx,
-		engines: e, keys: k, limit: 10_000, log: l, meter: meter.New(m), metrics: m,
-		rests: health.NewBackoffs(v), retries: policy.NewRetryBudget(), silence: 10 * time.Second, tracker: t, view: v,
+		inProgressByWorkspace: make(map[string]int), queuedByWorkspace: make(map[string]int),
+		RefreshViews: func(context.Context) {},
+		cancel:       cancel, ctx: ctx,
+		engines: c, keys: k, maxInProgress: 10_000, log: l, meter: meter.New(m), metrics: m,
+		backoffs: health.NewBackoffs(v), retries: policy.NewRetryBudget(), stallTimeout: 10 * time.Second, tracker: t, view: v,
 	}
 	for _, o := range options {
 		o(d)
 	}
-	m.Gauge(metric.Streams, func() float64 { return float64(d.Held()) })
+	m.Gauge(metric.Streams, func() float64 { return float64(d.InProgress()) })
 	return d
 }
 
@@ -134,20 +134,20 @@
 	return &EventID{Generation: p[1], Index: i, Upstream: p[0]}, nil
 }
 
-// WithLimit bounds the requests held at once.
-func WithLimit(n int) Option {
-	return func(d *Deliverer) { d.limit = n }
+// WithMaxInProgress bounds the requests held at once.
+func WithMaxInProgress(n int) Option {
+	return func(d *Deliverer) { d.maxInProgress = n }
 }
 
-// WithRests shares the times for which upstreams want nothing from this box with others that
+// WithBackoffs shares the times for which upstreams want nothing from this box with others that
 // send to them.
-func WithRests(r *health.Backoffs) Option {
-	return func(d *Deliverer) { d.rests = r }
+func WithBackoffs(r *health.Backoffs) Option {
+	return func(d *Deliverer) { d.backoffs = r }
 }
 
-// WithSilence sets after how long without a token a stream is opened anew.
-func WithSilence(s time.Duration) Option {
-	return func(d *Deliverer) { d.silence = s }
+// WithStallTimeout sets after how long without a token a stream is opened anew.
+func WithStallTimeout(s time.Duration) Option {
+	return func(d *Deliverer) { d.stallTimeout = s }
 }
 
 // Abort ends the requests in progress and waits for them; outcomes that are not
@@ -157,8 +157,8 @@
 	d.closing = true
 	d.mutex.Unlock()
 	d.cancel()
-	d.workers.Wait()
-	d.records.Wait()
+	d.requests.Wait()
+	d.recorders.Wait()
 	return nil
 }
 
@@ -168,10 +168,10 @@
 	d.mutex.Lock()
 	d.closing = true
 	d.mutex.Unlock()
-	d.workers.Wait()
-	t := time.AfterFunc(closePeriod, d.cancel)
+	d.requests.Wait()
+	t := time.AfterFunc(recordGracePeriod, d.cancel)
 	defer t.Stop()
-	d.records.Wait()
+	d.recorders.Wait()
 	d.cancel()
 	return nil
 }
@@ -179,22 +179,22 @@
 // Generate carries q to its end. Its error tells what the client may conclude:
 // fail.NotRun, fail.Interrupted, fail.Unknown and the others as they say.
 func (d *Deliverer) Generate(ctx context.Context, q *Request, sink Sink) error {
-	if err := d.enter(q.Work.Workspace); err != nil {
-		return d.account(err)
+	if err := d.admit(q.Work.Workspace); err != nil {
+		return d.recordEnd(err)
 	}
-	defer d.leave(q.Work.Workspace)
+	defer d.release(q.Work.Workspace)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(d.ctx, cancel)()
-	s := &session{client: ctx, deliverer: d, request: q, sink: sink}
-	return d.account(s.run())
+	s := &session{clientContext: ctx, deliverer: d, request: q, sink: sink}
+	return d.recordEnd(s.run())
 }
 
-// Held returns how many requests are in progress.
-func (d *Deliverer) Held() int {
+// InProgress returns how many requests are in progress.
+func (d *Deliverer) InProgress() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.held
+	return d.inProgress
 }
 
 // Append adds to b the form that goes to clients as a server-sent event's id.
@@ -209,8 +209,8 @@
 	return string(e.Append(nil))
 }
 
-// account counts and logs how a request ended.
-func (d *Deliverer) account(err error) error {
+// recordEnd counts and logs how a request ended.
+func (d *Deliverer) recordEnd(err error) error {
 	r := fail.Reason(err)
 	switch {
 	case err == nil:
@@ -227,12 +227,12 @@
 	return err
 }
 
-// background records an outcome, again and again while the platform is out.
-func (d *Deliverer) background(record func(ctx context.Context) error) {
-	until := time.Now().Add(recordPeriod)
-	d.records.Go(func() {
+// recordInBackground records an outcome, again and again while the platform is out.
+func (d *Deliverer) recordInBackground(record func(ctx context.Context) error) {
+	until := time.Now().Add(recordTimeout)
+	d.recorders.Go(func() {
 		for first := true; time.Now().Before(until); first = false {
-			ctx, cancel := context.WithTimeout(d.ctx, recordRetry)
+			ctx, cancel := context.WithTimeout(d.ctx, recordRetryInterval)
 			err := record(ctx)
 			cancel()
 			if err == nil || errorx.IsOfType(err, fail.Conflict) {
@@ -244,61 +244,61 @@
 			select {
 			case <-d.ctx.Done():
 				return
-			case <-time.After(recordRetry):
+			case <-time.After(recordRetryInterval):
 			}
 		}
 	})
 }
 
-func (d *Deliverer) enter(workspace string) error {
+func (d *Deliverer) admit(workspace string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	p := fail.Origin{Peer: "client", Step: "accept"}
 	if d.closing {
 		return fail.WithRetryAt(fail.New(fail.NotRun, p, "box_leaving", "this box is leaving"), time.Now())
 	}
-	if d.held >= d.limit {
+	if d.inProgress >= d.maxInProgress {
 		return fail.WithRetryAt(fail.New(fail.NotRun, p, "too_many_streams", "this box holds its limit of requests"), time.Now().Add(time.Second))
 	}
-	if most := int(workspaceShare * float64(d.limit)); d.holds[workspace] >= max(1, most) {
+	if most := int(maxWorkspaceShare * float64(d.maxInProgress)); d.inProgressByWorkspace[workspace] >= max(1, most) {
 		return fail.WithRetryAt(fail.New(fail.NotRun, p, "workspace_streams", "the workspace holds its share of this box's requests"), time.Now().Add(time.Second))
 	}
-	d.holds[workspace]++
-	d.held++
+	d.inProgressByWorkspace[workspace]++
+	d.inProgress++
 	d.retries.RecordRequest()
-	d.workers.Add(1)
+	d.requests.Add(1)
 	return nil
 }
 
-func (d *Deliverer) leave(workspace string) {
+func (d *Deliverer) release(workspace string) {
 	d.mutex.Lock()
-	d.held--
-	release(d.holds, workspace)
+	d.inProgress--
+	decrement(d.inProgressByWorkspace, workspace)
 	d.mutex.Unlock()
-	d.workers.Done()
+	d.requests.Done()
 }
 
-// place finds a place for a request, unless too many of its workspace wait for one.
-func (d *Deliverer) place(ctx context.Context, q *Request, avoid map[string]bool) (*placement.Place, error) {
+// findPlace finds a place for a request, unless too many of its workspace wait for one.
+func (d *Deliverer) findPlace(ctx context.Context, q *Request, avoid map[string]bool) (*placement.Place, error) {
 	w := q.Work.Workspace
 	d.mutex.Lock()
-	if q.MaxQueued > 0 && d.waits[w] >= q.MaxQueued {
+	if q.MaxQueued > 0 && d.queuedByWorkspace[w] >= q.MaxQueued {
 		d.mutex.Unlock()
 		p := fail.Origin{Peer: "client", Step: "wait for a place"}
 		return nil, fail.WithRetryAt(fail.New(fail.NotRun, p, "workspace_queue_full", "%d requests of the workspace wait here", q.MaxQueued), time.Now().Add(time.Second))
 	}
-	d.waits[w]++
+	d.queuedByWorkspace[w]++
 	d.mutex.Unlock()
 	defer func() {
 		d.mutex.Lock()
 		defer d.mutex.Unlock()
-		release(d.waits, w)
+		decrement(d.queuedByWorkspace, w)
 	}()
 	l, now := d.view.UpstreamsOfModel(q.Work.Model), time.Now()
-	if err := d.rests.AllBackingOffError(l, fail.Origin{Peer: "upstreams", Step: "choose"}, now); err != nil {
+	if err := d.backoffs.AllBackingOffError(l, fail.Origin{Peer: "upstreams", Step: "choose"}, now); err != nil {
 		return nil, err
 	}
-	return d.Place(ctx, &q.Work, d.rests.Avoid(l, avoid, now))
+	return d.Place(ctx, &q.Work, d.backoffs.Avoid(l, avoid, now))
 }
 
 func (d *Deliverer) takeRetry() bool {
@@ -307,8 +307,8 @@
 	return d.retries.Take()
 }
 
-// release takes one from a workspace's count, which goes with the last.
-func release(counts map[string]int, workspace string) {
+// decrement takes one from a workspace's count, which goes with the last.
+func decrement(counts map[string]int, workspace string) {
 	counts[workspace]--
 	if counts[workspace] <= 0 {
 		delete(counts, workspace)
--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -43,7 +43,7 @@
 				if err := r.run(t.Context(), "a", r.request("length=6", "")); err != nil {
 					t.Error(err)
 				}
-				r.checkWhole(x.tokens)
+				r.checkTokens(x.tokens)
 				if got, want := r.started(), x.starts; got != want {
 					t.Errorf("generations started: got %d, want %d", got, want)
 				}
@@ -60,7 +60,7 @@
 		r.engines["engine-1"].SetFaults(engine.Faults{CutAfter: 3})
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		time.AfterFunc(60*time.Millisecond, func() { r.startEngine("engine-1") })
+		time.AfterFunc(60*time.Millisecond, func() { r.restartEngine("engine-1") })
 		err := r.run(ctx, "a", r.request("length=6", ""))
 		if !errorx.IsOfType(err, fail.Interrupted) {
 			t.Errorf("got %v, want an interrupted outcome", err)
@@ -79,9 +79,9 @@
 		t.Run("key="+key, func(t *testing.T) {
 			withRig(t, func(t *testing.T, r *rig) {
 				r.engines["engine-1"].SetFaults(engine.Faults{LoseStarts: 1})
-				time.AfterFunc(time.Millisecond, func() { r.startEngine("engine-1") })
+				time.AfterFunc(time.Millisecond, func() { r.restartEngine("engine-1") })
 				q := r.request("length=6", key)
-				r.deliverer.Fresh = func(context.Context) { time.Sleep(500 * time.Microsecond) }
+				r.deliverer.RefreshViews = func(context.Context) { time.Sleep(500 * time.Microsecond) }
 				r.link.Cut("engine-1", true)
 				time.AfterFunc(20*time.Millisecond, func() { r.link.Cut("engine-1", false) })
 				err := r.run(t.Context(), "a", q)
@@ -89,7 +89,7 @@
 					if err != nil {
 						t.Error(err)
 					}
-					r.checkWhole(6)
+					r.checkTokens(6)
 					return
 				}
 				if !errorx.IsOfType(err, fail.Interrupted) && !errorx.IsOfType(err, fail.Unknown) {
@@ -119,7 +119,7 @@
 		{"platform down", "k", func(r *rig) { r.platform.SetFaults(fakeplatform.Faults{Down: true}) }},
 		{"platform cut", "k", func(r *rig) { r.link.Cut("platform", true) }},
 		{"box leaving", "", func(r *rig) { _ = r.deliverer.Close() }},
-		{"too many streams", "", func(r *rig) { r.deliverer.limit = 0 }},
+		{"too many streams", "", func(r *rig) { r.deliverer.maxInProgress = 0 }},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			withRig(t, func(t *testing.T, r *rig) {
@@ -149,7 +149,7 @@
 		reason  string
 		prepare func(r *rig, q *Request)
 	}{
-		{"workspace_streams", func(r *rig, _ *Request) { r.deliverer.limit = 4 }},
+		{"workspace_streams", func(r *rig, _ *Request) { r.deliverer.maxInProgress = 4 }},
 		{"workspace_queue_full", func(r *rig, q *Request) {
 			q.MaxQueued = 3
 			r.deliverer.Place = func(ctx context.Context, w *policy.Work, avoid map[string]bool) (*placement.Place, error) {
@@ -160,7 +160,7 @@
 	} {
 		t.Run(x.reason, func(t *testing.T) {
 			withRig(t, func(t *testing.T, r *rig) {
-				ask := func(workspace string) chan error {
+				generate := func(workspace string) chan error {
 					q := r.request("length=50", "")
 					q.Work.Workspace = workspace
 					x.prepare(r, q)
@@ -171,9 +171,9 @@
 				}
 				var large []chan error
 				for range 4 {
-					large = append(large, ask("large"))
+					large = append(large, generate("large"))
 				}
-				small := ask("small")
+				small := generate("small")
 				for i, c := range append(large, small) {
 					want := ""
 					if i == 3 {
@@ -218,25 +218,25 @@
 		time.Sleep(200 * time.Millisecond)
 		synctest.Wait()
 		var last *EventID
-		for _, l := range strings.Split(r.seen(), "\n") {
+		for _, l := range strings.Split(r.transcript(), "\n") {
 			var e EventID
 			var text string
 			if c, _ := fmt.Sscanf(l, "client a token %d %s of %s at %s", &e.Index, &text, &e.Generation, &e.Upstream); c == 4 {
 				last = &e
 			}
 		}
-		back := r.request("length=20", "")
-		back.Resume = last
-		if err := r.run(t.Context(), "a", back); err != nil {
+		resumed := r.request("length=20", "")
+		resumed.ResumeAfter = last
+		if err := r.run(t.Context(), "a", resumed); err != nil {
 			t.Error(err)
 		}
-		r.checkWhole(20)
+		r.checkTokens(20)
 		if err := <-first; !errorx.IsOfType(err, fail.Interrupted) {
 			t.Errorf("the first connection: got %v, want interrupted", err)
 		}
-		stranger := r.request("length=20", "")
-		stranger.Resume, stranger.Work.Workspace = last, "another"
-		if err := r.run(t.Context(), "s", stranger); !errorx.IsOfType(err, fail.NotFound) {
+		other := r.request("length=20", "")
+		other.ResumeAfter, other.Work.Workspace = last, "another"
+		if err := r.run(t.Context(), "s", other); !errorx.IsOfType(err, fail.NotFound) {
 			t.Errorf("another workspace: got %v, want not found", err)
 		}
 	})
@@ -259,7 +259,7 @@
 // place and the send keeps the request away.
 func TestLeavingUpstreamGetsNothingNew(t *testing.T) {
 	withRig(t, func(t *testing.T, r *rig) {
-		r.deliverer.Fresh = func(context.Context) {
+		r.deliverer.RefreshViews = func(context.Context) {
 			spec := `{"address":"http://engine-1","hall":"a","kvTokens":60000,"maxBatch":100,"models":["m"],"type":"engine","leaving":true}`
 			r.view.Apply([]resource.Change{{Revision: 3, Resource: &resource.Resource{
 				Kind: resource.KindUpstream, Metadata: resource.Metadata{Name: "engine-1"}, Spec: []byte(spec),
@@ -271,7 +271,7 @@
 		if got, want := r.engines["engine-1"].Started(), 0; got != want {
 			t.Errorf("generations at the leaving engine: got %d, want %d", got, want)
 		}
-		r.checkWhole(6)
+		r.checkTokens(6)
 	})
 }
 
@@ -327,7 +327,7 @@
 		{stageSent, fail.NotRun, 3, fail.Interrupted},
 		{stageSent, fail.Unavailable, 3, fail.Interrupted},
 	} {
-		got := x.stage.truthful(fail.New(x.kind, p, "r", "m"), x.delivered)
+		got := x.stage.correctError(fail.New(x.kind, p, "r", "m"), x.delivered)
 		if !errorx.IsOfType(got, x.want) {
 			t.Errorf("%q %s after %d tokens: got %v, want %s", x.stage, x.kind, x.delivered, got, x.want)
 		}
@@ -335,7 +335,7 @@
 			t.Errorf("reason: got %q, want r", fail.Reason(got))
 		}
 	}
-	if err := stageSent.truthful(errors.New("x"), 0); err == nil {
+	if err := stageSent.correctError(errors.New("x"), 0); err == nil {
 		t.Error("an error was lost")
 	}
 }
--- a/internal/delivery/follower.go
+++ b/internal/delivery/follower.go
@@ -14,9 +14,9 @@
 	"github.com/linetiller/linetiller/internal/upstream"
 )
 
-// follower relays the tokens of one generation, opening its stream anew after
+// forwarder relays the tokens of one generation, opening its stream anew after
 // a cut, a mismatch or a silence, at the token that is next.
-type follower struct {
+type forwarder struct {
 	generation string
 	running    *placement.Generation
 	session    *session
@@ -27,53 +27,53 @@
 	token Token
 }
 
-// idleMost bounds how often in a row a stream is opened anew without a token.
-const idleMost = 100
+// maxIdleReopens bounds how often in a row a stream is opened anew without a token.
+const maxIdleReopens = 100
 
-// follow relays until the generation's end. An error of type fail.Interrupted
+// run relays until the generation's end. An error of type fail.Interrupted
 // means that the generation is lost.
-func (f *follower) follow() error {
-	ctx, cancel := context.WithCancel(context.WithoutCancel(f.session.client))
+func (f *forwarder) run() error {
+	ctx, cancel := context.WithCancel(context.WithoutCancel(f.session.clientContext))
 	defer cancel()
 	defer context.AfterFunc(f.session.deliverer.ctx, cancel)()
 	f.ctx = ctx
 	for idle := 0; ; idle++ {
 		before := f.session.delivered
-		err := f.relay()
-		if err == nil || f.session.gone && f.session.request.Key == "" {
-			return f.finish(err)
+		err := f.forwardStream()
+		if err == nil || f.session.clientGone && f.session.request.Key == "" {
+			return f.endError(err)
 		}
 		if f.session.delivered > before {
 			idle = 0
 		}
-		if idle > idleMost {
-			return fail.Wrap(fail.Interrupted, f.place("resume"), "no_progress", err)
+		if idle > maxIdleReopens {
+			return fail.Wrap(fail.Interrupted, f.upstreamPlace("resume"), "no_progress", err)
 		}
-		if err := f.reopen(time.Now().Add(resumePeriod), err); err != nil {
+		if err := f.reopen(time.Now().Add(resumeTimeout), err); err != nil {
 			return err
 		}
 	}
 }
 
-// finish returns errGone where the relay ended because the client has gone.
-func (f *follower) finish(err error) error {
+// endError returns errClientGone where the relay ended because the client has gone.
+func (f *forwarder) endError(err error) error {
 	if err != nil {
-		return errGone
+		return errClientGone
 	}
 	return nil
 }
 
-// relay passes tokens on until the stream ends or fails.
-func (f *follower) relay() error {
+// forwardStream passes tokens on until the stream ends or fails.
+func (f *forwarder) forwardStream() error {
 	if f.stream == nil {
-		return fail.New(fail.Interrupted, f.place("open"), "start_lost", "the answer to the start was lost")
+		return fail.New(fail.Interrupted, f.upstreamPlace("open"), "start_lost", "the answer to the start was lost")
 	}
 	x := f.stream
 	defer func() { _ = x.Close() }()
-	silence := time.AfterFunc(f.session.deliverer.silence, func() { _ = x.Close() })
-	defer silence.Stop()
+	stall := time.AfterFunc(f.session.deliverer.stallTimeout, func() { _ = x.Close() })
+	defer stall.Stop()
 	defer context.AfterFunc(f.ctx, func() { _ = x.Close() })()
-	defer context.AfterFunc(f.session.client, func() {
+	defer context.AfterFunc(f.session.clientContext, func() {
 		if f.session.request.Key == "" {
 			_ = x.Close()
 		}
@@ -81,11 +81,11 @@
 	for {
 		v, err := x.Next()
 		if err != nil {
-			f.session.gone = f.session.gone || f.session.client.Err() != nil
+			f.session.clientGone = f.session.clientGone || f.session.clientContext.Err() != nil
 			return err
 		}
-		silence.Reset(f.session.deliverer.silence)
-		if err := f.pass(&v); err != nil {
+		stall.Reset(f.session.deliverer.stallTimeout)
+		if err := f.forwardToken(&v); err != nil {
 			return err
 		}
 		if v.Finish != "" {
@@ -94,11 +94,11 @@
 	}
 }
 
-// pass takes one frame to the client.
-func (f *follower) pass(v *upstream.Token) error {
+// forwardToken takes one frame to the client.
+func (f *forwarder) forwardToken(v *upstream.Token) error {
 	s := f.session
 	if v.Finish == upstream.FinishCancelled {
-		return fail.New(fail.Interrupted, f.place("relay"), "cancelled", "the upstream cancelled the generation")
+		return fail.New(fail.Interrupted, f.upstreamPlace("relay"), "cancelled", "the upstream cancelled the generation")
 	}
 	f.token = Token{Finish: v.Finish, Generation: f.generation, Index: v.Index, Text: v.Text, Upstream: f.upstream.Name}
 	if v.Finish == "" {
@@ -110,13 +110,13 @@
 		s.text.Write(v.Text)
 		s.claim.Record.Finish = v.Finish
 	}
-	if s.gone {
+	if s.clientGone {
 		return nil
 	}
 	if err := s.sink(&f.token); err != nil {
-		s.gone = true
+		s.clientGone = true
 		if s.request.Key == "" {
-			return errGone
+			return errClientGone
 		}
 	}
 	return nil
@@ -124,7 +124,7 @@
 
 // reopen opens the stream at the next token, and gives the generation up for
 // lost when the upstream does not know it or does not answer until lostAt.
-func (f *follower) reopen(lostAt time.Time, cause error) error {
+func (f *forwarder) reopen(lostAt time.Time, cause error) error {
 	d := f.session.deliverer
 	if fail.Reason(cause) == "cancelled" {
 		return cause
@@ -141,16 +141,16 @@
 			return nil
 		}
 		if errorx.IsOfType(err, fail.NotFound) || time.Now().After(lostAt) {
-			return fail.Wrap(fail.Interrupted, f.place("resume"), "generation_lost", err)
+			return fail.Wrap(fail.Interrupted, f.upstreamPlace("resume"), "generation_lost", err)
 		}
 		select {
-		case <-time.After(resumptionGap):
+		case <-time.After(resumeRetryInterval):
 		case <-f.ctx.Done():
 			return f.ctx.Err()
 		}
 	}
 }
 
-func (f *follower) place(step string) fail.Origin {
+func (f *forwarder) upstreamPlace(step string) fail.Origin {
 	return fail.Origin{Peer: "upstream " + f.upstream.Name, Step: step}
 }
--- a/internal/delivery/key_test.go
+++ b/internal/delivery/key_test.go
@@ -86,12 +86,12 @@
 		time.Sleep(time.Minute)
 		r.platform.SetFaults(fakeplatform.Faults{})
 		time.Sleep(time.Minute)
-		r.startEngine("engine-1") // the engine has forgotten it: only the record is left
+		r.restartEngine("engine-1") // the engine has forgotten it: only the record is left
 		if err := r.run(t.Context(), "c", r.request("length=6", "k")); err != nil {
 			t.Error(err)
 		}
-		if !strings.Contains(r.seen(), "client c end stop at 6") {
-			t.Errorf("session: got\n%s\nwant the recorded answer for c", r.seen())
+		if !strings.Contains(r.transcript(), "client c end stop at 6") {
+			t.Errorf("session: got\n%s\nwant the recorded answer for c", r.transcript())
 		}
 	})
 }
@@ -102,7 +102,7 @@
 	withRig(t, func(t *testing.T, r *rig) {
 		q := r.request("length=6", "k")
 		_, ours, err := r.deliverer.keys.Insert(t.Context(), requestkey.RowKey("w", "k"), requestkey.Record{
-			Generation: newID(), Print: q.Print, State: requestkey.StateRunning, Try: newID(), Upstream: "engine-1",
+			Generation: newID(), Fingerprint: q.Fingerprint, State: requestkey.StateRunning, AttemptID: newID(), Upstream: "engine-1",
 		})
 		if err != nil || !ours {
 			t.Fatal(ours, err)
--- a/internal/delivery/relay_test.go
+++ b/internal/delivery/relay_test.go
@@ -18,10 +18,10 @@
 	"github.com/linetiller/linetiller/internal/upstream"
 )
 
-// recorded is a transport that answers every start with the same stream.
-type recorded struct{ stream []byte }
+// recordedTransport is a transport that answers every start with the same stream.
+type recordedTransport struct{ stream []byte }
 
-func (r *recorded) RoundTrip(q *http.Request) (*http.Response, error) {
+func (r *recordedTransport) RoundTrip(q *http.Request) (*http.Response, error) {
 	var s upstream.Start
 	if err := json.NewDecoder(q.Body).Decode(&s); err != nil {
 		return nil, err
@@ -45,7 +45,7 @@
 		Spec: []byte(`{"address":"http://u","hall":"a","kvTokens":60000,"maxBatch":100,"models":["m"],"type":"engine"}`),
 	}}}, 1)
 	m := metric.NewSet()
-	e := upstream.NewEngines(time.Second, upstream.WithTransport(&recorded{b}))
+	e := upstream.NewClient(time.Second, upstream.WithTransport(&recordedTransport{b}))
 	d := New(e, nil, placement.NewTracker(func(*policy.Load) {}), v, m, slog.New(slog.DiscardHandler))
 	d.Place = func(context.Context, *policy.Work, map[string]bool) (*placement.Place, error) {
 		return &placement.Place{GrantedAt: time.Now(), Upstream: v.Upstream("u")}, nil
--- a/internal/delivery/rig_test.go
+++ b/internal/delivery/rig_test.go
@@ -43,7 +43,7 @@
 	metrics   *metric.Set
 	mutex     sync.Mutex // guards session
 	platform  *fakeplatform.Platform
-	session   strings.Builder // what the client saw
+	lines     strings.Builder // what the client saw
 	t         *testing.T
 	tracker   *placement.Tracker
 	view      *resource.View
@@ -57,7 +57,7 @@
 		r.link.Join("platform", r.platform)
 		var changes []resource.Change
 		for i, n := range []string{"engine-1", "engine-2"} {
-			r.startEngine(n)
+			r.restartEngine(n)
 			spec := fmt.Sprintf(`{"address":"http://%s","hall":"a","kvTokens":60000,"maxBatch":100,"models":["m"],"type":"engine"}`, n)
 			changes = append(changes, resource.Change{Revision: int64(i + 1), Resource: &resource.Resource{
 				Kind: resource.KindUpstream, Metadata: resource.Metadata{Name: n}, Spec: []byte(spec),
@@ -65,7 +65,7 @@
 		}
 		r.view.Apply(changes, 2)
 		k := requestkey.New(platform.NewStore("http://platform", platform.WithStoreTransport(r.link)).Table(), r.metrics)
-		e := upstream.NewEngines(2*time.Second, upstream.WithTransport(r.link))
+		e := upstream.NewClient(2*time.Second, upstream.WithTransport(r.link))
 		r.tracker = placement.NewTracker(func(*policy.Load) {})
 		r.deliverer = New(e, k, r.tracker, r.view, r.metrics, slog.New(slog.DiscardHandler))
 		r.deliverer.Place = r.place
@@ -94,7 +94,7 @@
 }
 
 func (r *rig) request(prompt, key string) *Request {
-	return &Request{Key: key, Print: prompt, Prompt: prompt, Work: policy.Work{
+	return &Request{Key: key, Fingerprint: prompt, Prompt: prompt, Work: policy.Work{
 		Arrived: time.Now(), Deadline: time.Now().Add(time.Minute), ID: newID(), MaxTokens: 100, Model: "m", Prompt: 10, Workspace: "w",
 	}}
 }
@@ -103,14 +103,14 @@
 func (r *rig) note(format string, arguments ...any) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	fmt.Fprintf(&r.session, format+"\n", arguments...)
+	fmt.Fprintf(&r.lines, format+"\n", arguments...)
 }
 
-// seen returns the session so far.
-func (r *rig) seen() string {
+// transcript returns the session so far.
+func (r *rig) transcript() string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.session.String()
+	return r.lines.String()
 }
 
 // run runs a request and notes what its client sees.
@@ -130,7 +130,7 @@
 	return err
 }
 
-func (r *rig) startEngine(n string) {
+func (r *rig) restartEngine(n string) {
 	old := r.engines[n]
 	r.engines[n] = engine.NewServer(engine.DefaultSettings(), 0)
 	r.link.Join(n, r.engines[n])
@@ -153,17 +153,17 @@
 // upstreams and the platform, with its file.
 func (r *rig) golden(name string) {
 	r.t.Helper()
-	names := make(map[string]string)
-	clean := func(s string) string {
+	ids := make(map[string]string)
+	numberIDs := func(s string) string {
 		return idPattern.ReplaceAllStringFunc(s, func(id string) string {
-			if names[id] == "" {
-				names[id] = fmt.Sprintf("G%d", len(names)+1)
+			if ids[id] == "" {
+				ids[id] = fmt.Sprintf("G%d", len(ids)+1)
 			}
-			return names[id]
+			return ids[id]
 		})
 	}
-	text := regexp.MustCompile(`( t\d+)\.[0-9a-f]{4}`).ReplaceAllString(r.seen(), "$1")
-	got := clean(text) + "--\n" + clean(strings.Join(r.link.Calls(), "\n")) + "\n"
+	text := regexp.MustCompile(`( t\d+)\.[0-9a-f]{4}`).ReplaceAllString(r.transcript(), "$1")
+	got := numberIDs(text) + "--\n" + numberIDs(strings.Join(r.link.Calls(), "\n")) + "\n"
 	path := filepath.Join("testdata", name+".golden")
 	if *update {
 		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
@@ -179,22 +179,22 @@
 	}
 }
 
-// checkWhole checks that client a saw tokens 0 to n-1, each once and in
+// checkTokens checks that client a saw tokens 0 to n-1, each once and in
 // order, of one generation, with the text that this generation has.
-func (r *rig) checkWhole(n int) {
+func (r *rig) checkTokens(n int) {
 	r.t.Helper()
 	generation := ""
 	next := 0
-	for _, l := range strings.Split(r.seen(), "\n") {
+	for _, l := range strings.Split(r.transcript(), "\n") {
 		var index int
-		var text, of, at string
-		if c, _ := fmt.Sscanf(l, "client a token %d %s of %s at %s", &index, &text, &of, &at); c != 4 {
+		var text, id, upstreamName string
+		if c, _ := fmt.Sscanf(l, "client a token %d %s of %s at %s", &index, &text, &id, &upstreamName); c != 4 {
 			continue
 		}
 		if generation == "" {
-			generation = of
+			generation = id
 		}
-		if of != generation || index != next || " "+text != engine.Token(of, index) {
+		if id != generation || index != next || " "+text != engine.Token(id, index) {
 			r.t.Fatalf("token: got %q, want token %d of %s", l, next, generation)
 		}
 		next++
--- a/internal/delivery/session.go
+++ b/internal/delivery/session.go
@@ -21,42 +21,42 @@
 
 // session is one request on its way. It is used by one goroutine.
 type session struct {
-	client    context.Context // ends when the client has gone
-	deliverer *Deliverer
-	request   *Request
-	sink      Sink
+	clientContext context.Context // ends when the client has gone
+	deliverer     *Deliverer
+	request       *Request
+	sink          Sink
 
-	avoid     map[string]bool
-	claim     *requestkey.Claim
-	delivered int  // tokens that have reached the client or were recorded
-	gone      bool // the client has gone
-	stage     stage
-	text      strings.Builder // of a request with a key, to be recorded
-	times     meter.RequestTimes
+	avoid      map[string]bool
+	claim      *requestkey.Claim
+	delivered  int  // tokens that have reached the client or were recorded
+	clientGone bool // the client has gone
+	stage      stage
+	text       strings.Builder // of a request with a key, to be recorded
+	times      meter.RequestTimes
 }
 
-// errGone says that the client has gone and nothing needs the generation.
-var errGone = errors.New("the client has gone")
+// errClientGone says that the client has gone and nothing needs the generation.
+var errClientGone = errors.New("the client has gone")
 
 func (s *session) run() error {
 	defer func() { s.deliverer.meter.End(&s.times) }()
-	if s.request.Resume != nil {
-		return s.resume(s.request.Resume.Upstream, s.request.Resume.Generation, s.request.Resume.Index+1)
+	if s.request.ResumeAfter != nil {
+		return s.resume(s.request.ResumeAfter.Upstream, s.request.ResumeAfter.Generation, s.request.ResumeAfter.Index+1)
 	}
 	if s.request.Key != "" {
-		done, err := s.repeat()
+		done, err := s.answerIfRepeated()
 		if done || err != nil {
 			return err
 		}
 	}
 	s.avoid = make(map[string]bool)
-	for try := 1; ; try++ {
-		again, err := s.attempt()
-		if !again {
-			return s.end(err)
+	for attempts := 1; ; attempts++ {
+		retry, err := s.attempt()
+		if !retry {
+			return s.finish(err)
 		}
-		if try >= placesMost || !s.deliverer.takeRetry() {
-			return s.end(err)
+		if attempts >= maxAttempts || !s.deliverer.takeRetry() {
+			return s.finish(err)
 		}
 		s.deliverer.metrics.Count(metric.Retries, "reason", fail.Reason(err))
 		event.RequestRetried.Log(s.deliverer.log, "reason", fail.Reason(err), "peer", fail.Peer(err))
@@ -65,47 +65,47 @@
 
 // attempt runs the request at one upstream. It reports whether the request may
 // be tried at another one.
-func (s *session) attempt() (again bool, err error) {
-	p, err := s.deliverer.place(s.client, s.request, s.avoid)
+func (s *session) attempt() (retry bool, err error) {
+	p, err := s.deliverer.findPlace(s.clientContext, s.request, s.avoid)
 	if err != nil {
 		return false, err
 	}
 	r := s.deliverer.tracker.Start(&s.request.Work, p.Upstream.Name)
 	ended := false
 	defer func() { s.deliverer.tracker.Finish(r, ended) }()
-	p, err = s.check(p)
+	p, err = s.recheckPlace(p)
 	if err != nil {
 		return true, err
 	}
 	id := newID()
-	if err := s.take(p.Upstream.Name, id); err != nil {
+	if err := s.claimKey(p.Upstream.Name, id); err != nil {
 		return false, err
 	}
 	s.avoid[p.Upstream.Name] = true
-	f := &follower{generation: id, running: r, session: s, upstream: p.Upstream}
+	f := &forwarder{generation: id, running: r, session: s, upstream: p.Upstream}
 	err = s.start(f)
 	if err == nil {
-		err = f.follow()
+		err = f.run()
 	}
 	ended = err == nil
-	if errors.Is(err, errGone) {
-		s.abandon(f)
+	if errors.Is(err, errClientGone) {
+		s.cancelUnread(f)
 		return false, fail.New(fail.Interrupted, fail.Origin{Peer: "client", Step: "deliver"}, "caller_gone", "the client has gone")
 	}
-	return err != nil && s.mayRepeat(err), err
+	return err != nil && s.mayRetry(err), err
 }
 
-// abandon cancels a generation that nobody reads any more, once the client has
+// cancelUnread cancels a generation that nobody reads any more, once the client has
 // had the time to come back through another box. A box that stops leaves it
 // running: its client may be on the way to another box.
-func (s *session) abandon(f *follower) {
+func (s *session) cancelUnread(f *forwarder) {
 	d := s.deliverer
 	select {
-	case <-time.After(lingerPeriod):
+	case <-time.After(reconnectGracePeriod):
 	case <-d.ctx.Done():
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), cancelPeriod)
+	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
 	p, err := d.engines.Position(ctx, f.upstream.Spec.Address, f.generation)
 	if err == nil && p.Readers > 0 {
@@ -114,17 +114,17 @@
 	_ = d.engines.Cancel(ctx, f.upstream.Spec.Address, f.generation)
 }
 
-// check makes sure, just before the send, that the place may still be used: the
+// recheckPlace makes sure, just before the send, that the place may still be used: the
 // box may have been paused since it was given.
-func (s *session) check(p *placement.Place) (*placement.Place, error) {
-	s.deliverer.Fresh(s.client)
+func (s *session) recheckPlace(p *placement.Place) (*placement.Place, error) {
+	s.deliverer.RefreshViews(s.clientContext)
 	u := s.deliverer.view.Upstream(p.Upstream.Name)
 	place := fail.Origin{Peer: "upstream " + p.Upstream.Name, Step: "check before the send"}
 	if u == nil || !u.AcceptsWork(time.Now()) {
 		s.avoid[p.Upstream.Name] = true
 		return nil, fail.WithRetryAt(fail.New(fail.NotRun, place, "leaving", "the upstream is leaving"), time.Now())
 	}
-	if t := s.deliverer.rests.Until(u.Name, time.Now()); !t.IsZero() {
+	if t := s.deliverer.backoffs.Until(u.Name, time.Now()); !t.IsZero() {
 		s.avoid[u.Name] = true
 		return nil, fail.WithRetryAt(fail.New(fail.NotRun, place, string(policy.ReasonResting), "the upstream wants rest"), t)
 	}
@@ -134,18 +134,18 @@
 	return &placement.Place{GrantedAt: p.GrantedAt, Upstream: u}, nil
 }
 
-// end settles the request's key and returns the request's final error.
-func (s *session) end(err error) error {
+// finish settles the request's key and returns the request's final error.
+func (s *session) finish(err error) error {
 	if errors.Is(err, errAnswered) {
 		return nil
 	}
 	if s.claim == nil {
-		return s.outcome(err)
+		return s.clientError(err)
 	}
 	c, stage, finish := s.claim, s.stage, s.claim.Record.Finish
 	if err != nil && stage == stageNotRun {
-		s.deliverer.background(func(ctx context.Context) error { return s.deliverer.keys.Release(ctx, c) })
-		return s.outcome(err)
+		s.deliverer.recordInBackground(func(ctx context.Context) error { return s.deliverer.keys.Release(ctx, c) })
+		return s.clientError(err)
 	}
 	r := c.Record
 	r.Finish, r.Tokens = finish, s.delivered
@@ -157,38 +157,38 @@
 		r.State = requestkey.StateUnknown
 	}
 	text := s.text.String()
-	s.deliverer.background(func(ctx context.Context) error {
-		if err := s.deliverer.keys.Store(ctx, c.Key, &r, text); err != nil {
+	s.deliverer.recordInBackground(func(ctx context.Context) error {
+		if err := s.deliverer.keys.StoreAnswer(ctx, c.Key, &r, text); err != nil {
 			return err
 		}
 		return s.deliverer.keys.Update(ctx, c, r)
 	})
-	return s.outcome(err)
+	return s.clientError(err)
 }
 
-// mayRepeat reports whether the request may be run at another upstream after err.
-func (s *session) mayRepeat(err error) bool {
-	if s.delivered > 0 || s.gone {
+// mayRetry reports whether the request may be run at another upstream after err.
+func (s *session) mayRetry(err error) bool {
+	if s.delivered > 0 || s.clientGone {
 		return false
 	}
 	return errorx.IsOfType(err, fail.NotRun) || s.request.Key == ""
 }
 
-// outcome makes sure that what the client is told is true of the stage reached.
-func (s *session) outcome(err error) error {
+// clientError makes sure that what the client is told is true of the stage reached.
+func (s *session) clientError(err error) error {
 	if err == nil {
 		return nil
 	}
-	return s.stage.truthful(err, s.delivered)
+	return s.stage.correctError(err, s.delivered)
 }
 
-// repeat answers a request whose key was used before. It reports whether it did.
-func (s *session) repeat() (bool, error) {
+// answerIfRepeated answers a request whose key was used before. It reports whether it did.
+func (s *session) answerIfRepeated() (bool, error) {
 	d := s.deliverer
 	k := requestkey.RowKey(s.request.Work.Workspace, s.request.Key)
-	c, err := d.keys.Look(s.client, k)
+	c, err := d.keys.Lookup(s.clientContext, k)
 	if err != nil {
-		return false, tableRefusal(err)
+		return false, tableError(err)
 	}
 	if c == nil {
 		return false, nil
@@ -199,14 +199,14 @@
 func (s *session) answerRepeat(c *requestkey.Claim) error {
 	p := fail.Origin{Peer: "platform", Step: "look up request key"}
 	r := &c.Record
-	if r.Print != s.request.Print {
+	if r.Fingerprint != s.request.Fingerprint {
 		return fail.New(fail.Conflict, p, "key_reused", "the request key belongs to another request")
 	}
 	switch r.State {
 	case requestkey.StateFinished:
 		return s.replay(r)
 	case requestkey.StateRunning:
-		err := s.resumeStarting(r.Upstream, r.Generation)
+		err := s.resumeWhenStarted(r.Upstream, r.Generation)
 		if errorx.IsOfType(err, fail.NotFound) {
 			return fail.Wrap(fail.Unknown, p, "outcome_unknown", err)
 		}
@@ -220,9 +220,9 @@
 
 // replay sends a recorded answer as one piece.
 func (s *session) replay(r *requestkey.Record) error {
-	text, err := s.deliverer.keys.Answer(s.client, r)
+	text, err := s.deliverer.keys.Answer(s.clientContext, r)
 	if err != nil {
-		return tableRefusal(err)
+		return tableError(err)
 	}
 	t := &Token{Generation: r.Generation, Index: max(0, r.Tokens-1), Text: []byte(text), Upstream: r.Upstream}
 	if err := s.sink(t); err != nil {
@@ -241,7 +241,7 @@
 	if u == nil {
 		return fail.New(fail.NotFound, p, "generation_unknown", "upstream %q is not known", name)
 	}
-	x, err := d.engines.Position(s.client, u.Spec.Address, generation)
+	x, err := d.engines.Position(s.clientContext, u.Spec.Address, generation)
 	if err != nil {
 		return resumeError(p, err)
 	}
@@ -254,45 +254,45 @@
 	ended := false
 	defer func() { d.tracker.Finish(r, ended) }()
 	s.delivered = from
-	f := &follower{generation: generation, running: r, session: s, upstream: u}
+	f := &forwarder{generation: generation, running: r, session: s, upstream: u}
 	d.metrics.Count(metric.Resumptions, "reason", "client_returned")
-	err = f.follow()
+	err = f.run()
 	ended = err == nil
-	if errors.Is(err, errGone) {
-		s.abandon(f)
+	if errors.Is(err, errClientGone) {
+		s.cancelUnread(f)
 		return nil
 	}
-	return s.outcome(err)
+	return s.clientError(err)
 }
 
-// resumeStarting delivers a generation whose row was written but whose start may
+// resumeWhenStarted delivers a generation whose row was written but whose start may
 // still be on its way to the upstream.
-func (s *session) resumeStarting(name, generation string) error {
-	until := time.Now().Add(startPeriod)
+func (s *session) resumeWhenStarted(name, generation string) error {
+	until := time.Now().Add(startGracePeriod)
 	for {
 		err := s.resume(name, generation, 0)
 		if !errorx.IsOfType(err, fail.NotFound) || time.Now().After(until) {
 			return err
 		}
 		select {
-		case <-time.After(resumptionGap):
-		case <-s.client.Done():
+		case <-time.After(resumeRetryInterval):
+		case <-s.clientContext.Done():
 			return err
 		}
 	}
 }
 
 // start sends the request. From here on it is no longer certain that nothing ran.
-func (s *session) start(f *follower) error {
+func (s *session) start(f *forwarder) error {
 	q := s.request
 	s.stage = stageSent
-	x, err := s.deliverer.engines.Start(context.WithoutCancel(s.client), f.upstream.Spec.Address, &upstream.Start{
+	x, err := s.deliverer.engines.Start(context.WithoutCancel(s.clientContext), f.upstream.Spec.Address, &upstream.Start{
 		ID: f.generation, MaxTokens: q.Work.MaxTokens, Model: q.Work.Model, Prefix: q.Work.Prefix,
 		Priority: q.Work.Priority, Prompt: q.Prompt, Workspace: q.Work.Workspace,
 	})
 	if errorx.IsOfType(err, fail.NotRun) {
 		s.stage = stageNotRun
-		s.noteRefusal(f.upstream, err)
+		s.recordRefusal(f.upstream, err)
 		event.UpstreamFailed.Log(s.deliverer.log, "upstream", f.upstream.Name, "reason", fail.Reason(err))
 		return err
 	}
@@ -301,46 +301,46 @@
 		event.UpstreamFailed.Log(s.deliverer.log, "upstream", f.upstream.Name, "reason", fail.Reason(err))
 		return nil
 	}
-	s.deliverer.rests.RecordSuccess(f.upstream.Name)
+	s.deliverer.backoffs.RecordSuccess(f.upstream.Name)
 	f.stream = x
 	return nil
 }
 
-// noteRefusal takes in that an upstream ran nothing: it may want rest, or turn all away. Where it
+// recordRefusal takes in that an upstream ran nothing: it may want rest, or turn all away. Where it
 // found fault with the request, or could not be reached, it did neither.
-func (s *session) noteRefusal(u *resource.Upstream, err error) {
+func (s *session) recordRefusal(u *resource.Upstream, err error) {
 	if t := fail.RetryAt(err); !t.IsZero() {
-		s.deliverer.rests.RecordBackoff(u, t)
+		s.deliverer.backoffs.RecordBackoff(u, t)
 	} else if fail.Reason(err) == upstream.ReasonLeaving {
-		s.deliverer.rests.RecordRefusal(u.Name, time.Now())
+		s.deliverer.backoffs.RecordRefusal(u.Name, time.Now())
 	}
 }
 
-// take claims the request key for this attempt, or moves the claim on to it.
-func (s *session) take(name, generation string) error {
+// claimKey claims the request key for this attempt, or moves the claim on to it.
+func (s *session) claimKey(name, generation string) error {
 	if s.request.Key == "" {
 		return nil
 	}
 	d := s.deliverer
-	ctx, cancel := context.WithDeadline(s.client, s.request.Work.Deadline)
+	ctx, cancel := context.WithDeadline(s.clientContext, s.request.Work.Deadline)
 	defer cancel()
-	r := requestkey.Record{Generation: generation, Print: s.request.Print, State: requestkey.StateRunning, Try: newID(), Upstream: name}
+	r := requestkey.Record{Generation: generation, Fingerprint: s.request.Fingerprint, State: requestkey.StateRunning, AttemptID: newID(), Upstream: name}
 	if s.claim != nil {
-		return tableRefusal(d.keys.Update(ctx, s.claim, r))
+		return tableError(d.keys.Update(ctx, s.claim, r))
 	}
 	c, ours, err := d.keys.Insert(ctx, requestkey.RowKey(s.request.Work.Workspace, s.request.Key), r)
 	if err != nil {
-		return tableRefusal(err)
+		return tableError(err)
 	}
 	if !ours {
-		return s.answerOther(c)
+		return s.answerFromHolder(c)
 	}
 	s.claim = c
 	return nil
 }
 
-// answerOther answers a request whose key another attempt took a moment ago.
-func (s *session) answerOther(c *requestkey.Claim) error {
+// answerFromHolder answers a request whose key another attempt took a moment ago.
+func (s *session) answerFromHolder(c *requestkey.Claim) error {
 	err := s.answerRepeat(c)
 	if err == nil {
 		return errAnswered
@@ -358,13 +358,13 @@
 	return fail.WithRetryAt(fail.Wrap(fail.Unavailable, p, "resume_failed", err), time.Now().Add(time.Second))
 }
 
-// tableRefusal refuses a request that needs the table while it cannot be had.
-func tableRefusal(err error) error {
+// tableError refuses a request that needs the table while it cannot be had.
+func tableError(err error) error {
 	if err == nil || errorx.IsOfType(err, fail.Conflict) {
 		return err
 	}
 	p := fail.Origin{Peer: "platform", Step: "claim request key"}
-	return fail.WithRetryAt(fail.Wrap(fail.NotRun, p, "table_unavailable", err), time.Now().Add(tableRetryPeriod))
+	return fail.WithRetryAt(fail.Wrap(fail.NotRun, p, "table_unavailable", err), time.Now().Add(tableRetryAfter))
 }
 
-const tableRetryPeriod = 5 * time.Second
+const tableRetryAfter = 5 * time.Second
--- a/internal/delivery/stage.go
+++ b/internal/delivery/stage.go
@@ -16,9 +16,9 @@
 	stageSent   stage = "sent"
 )
 
-// truthful returns err in the type that is true of the stage: an error that
+// correctError returns err in the type that is true of the stage: an error that
 // says that nothing ran is changed once something may have run.
-func (s stage) truthful(err error, delivered int) error {
+func (s stage) correctError(err error, delivered int) error {
 	p := fail.Origin{Peer: fail.Peer(err), Step: fail.Step(err)}
 	if s == stageNotRun {
 		if errorx.IsOfType(err, fail.Unknown) || errorx.IsOfType(err, fail.Unavailable) {
--- a/internal/order/reconciler_test.go
+++ b/internal/order/reconciler_test.go
@@ -44,7 +44,7 @@
 			r.link.Join(n, e)
 			r.apply(int64(i+2), resource.KindUpstream, n, `{"address":"http://`+n+`","hall":"a","kvTokens":1,"maxBatch":1,"models":["m"],"type":"engine","checksFence":true}`)
 		}
-		engines := upstream.NewEngines(2*time.Second, upstream.WithTransport(r.link))
+		engines := upstream.NewClient(2*time.Second, upstream.WithTransport(r.link))
 		store := platform.NewStore("http://platform", platform.WithStoreTransport(r.link))
 		for _, n := range []string{"box-1", "box-2"} {
 			k := lease.NewManager(n)
--- a/internal/requestkey/ledger.go
+++ b/internal/requestkey/ledger.go
@@ -7,39 +7,39 @@
 	"github.com/linetiller/linetiller/internal/revision"
 )
 
-// ledger holds the claims that this box wrote lately: a store that comes back from a copy may
+// recentClaims holds the claims that this box wrote lately: a store that comes back from a copy may
 // have lost their rows.
-type ledger struct {
-	claims  map[string]*ledgered // by the row's key
-	mutex   sync.Mutex           // guards all fields
+type recentClaims struct {
+	claims  map[string]*recentClaim // by the row's key
+	mutex   sync.Mutex              // guards all fields
 	sweptAt time.Time
 }
 
-// ledgered is a claim with the time of its last write.
-type ledgered struct {
+// recentClaim is a claim with the time of its last write.
+type recentClaim struct {
 	Claim
-	at time.Time
+	writtenAt time.Time
 }
 
 const (
-	// ledgerLife is how long a claim is kept whose request has ended: copies are some
+	// recentClaimTTL is how long a claim is kept whose request has ended: copies are some
 	// seconds old, and at most as old as the store's history, 20 s.
-	ledgerLife = time.Minute
-	// ledgerMost bounds the claims that are kept; each holds up to bodyMost of an answer.
-	ledgerMost = 2048
-	// sweepEvery is the time between two looks for claims that need not be kept.
-	sweepEvery = 10 * time.Second
+	recentClaimTTL = time.Minute
+	// maxRecentClaims bounds the claims that are kept; each holds up to maxInlineBytes of an answer.
+	maxRecentClaims = 2048
+	// sweepInterval is the time between two looks for claims that need not be kept.
+	sweepInterval = 10 * time.Second
 )
 
-// drop forgets a claim.
-func (l *ledger) drop(key string) {
+// remove forgets a claim.
+func (l *recentClaims) remove(key string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	delete(l.claims, key)
 }
 
 // get returns a claim as it was written last, or nil.
-func (l *ledger) get(key string) *Claim {
+func (l *recentClaims) get(key string) *Claim {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	x := l.claims[key]
@@ -50,9 +50,9 @@
 	return &c
 }
 
-// move takes in the revision under which a claim was written again, unless it has been
+// setRevision takes in the revision under which a claim was written again, unless it has been
 // written otherwise since.
-func (l *ledger) move(c *Claim, to int64) {
+func (l *recentClaims) setRevision(c *Claim, to int64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if x := l.claims[c.Key]; x != nil && x.Revision == c.Revision {
@@ -60,8 +60,8 @@
 	}
 }
 
-// older returns the keys of the claims that were written in an era before one.
-func (l *ledger) older(era int64) []string {
+// keysBeforeEra returns the keys of the claims that were written in an era before one.
+func (l *recentClaims) keysBeforeEra(era int64) []string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var keys []string
@@ -74,22 +74,22 @@
 }
 
 // put keeps a claim as it was written.
-func (l *ledger) put(c *Claim) {
+func (l *recentClaims) put(c *Claim) {
 	now := time.Now()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.claims[c.Key] = &ledgered{Claim: *c, at: now}
-	if len(l.claims) > ledgerMost || now.Sub(l.sweptAt) >= sweepEvery {
+	l.claims[c.Key] = &recentClaim{Claim: *c, writtenAt: now}
+	if len(l.claims) > maxRecentClaims || now.Sub(l.sweptAt) >= sweepInterval {
 		l.sweep(now)
 	}
 }
 
 // sweep forgets claims of requests that have ended long ago, and more of those that have
 // ended where there are too many.
-func (l *ledger) sweep(now time.Time) {
+func (l *recentClaims) sweep(now time.Time) {
 	l.sweptAt = now
 	for k, x := range l.claims {
-		if x.Record.State != StateRunning && (now.Sub(x.at) > ledgerLife || len(l.claims) > ledgerMost) {
+		if x.Record.State != StateRunning && (now.Sub(x.writtenAt) > recentClaimTTL || len(l.claims) > maxRecentClaims) {
 			delete(l.claims, k)
 		}
 	}
--- a/internal/requestkey/requestkey.go
+++ b/internal/requestkey/requestkey.go
@@ -37,11 +37,11 @@
 	Finish      string `json:"finish,omitempty"`      // generation: why it ended
 	Generation  string `json:"generation,omitempty"`  // the id at the upstream
 	Object      string `json:"object,omitempty"`      // the object that holds the answer, where it is large
-	Print       string `json:"print"`                 // hash of the request, which a repeat must match
+	Fingerprint string `json:"print"`                 // hash of the request, which a repeat must match
 	State       State  `json:"state"`
 	Status      int    `json:"status,omitempty"` // service: of the answer
 	Tokens      int    `json:"tokens,omitempty"`
-	Try         string `json:"try"` // names the attempt that holds the key
+	AttemptID   string `json:"try"` // names the attempt that holds the key
 	Upstream    string `json:"upstream,omitempty"`
 }
 
@@ -69,23 +69,23 @@
 
 	cancel  context.CancelFunc
 	ctx     context.Context
-	ledger  ledger
+	recent  recentClaims
 	metrics *metric.Set
-	pending chan *item
+	pending chan *pendingWrite
 	// restored holds a value where the store came back from a copy since claims were last
 	// written again.
 	restored chan struct{}
-	worker   sync.WaitGroup
+	workers  sync.WaitGroup
 }
 
 const (
-	batchMost     = 256
-	bodyMost      = 16 << 10 // bytes of an answer kept in the row itself
-	pendingMost   = 4096
-	retryWaitMost = time.Second
-	retryWait     = 20 * time.Millisecond
-	rowPrefix     = "request/"
-	settleTries   = 3 // of a write that meets the row of its own attempt under another revision
+	maxBatchWrites       = 256
+	maxInlineBytes       = 16 << 10 // bytes of an answer kept in the row itself
+	maxPendingWrites     = 4096
+	maxRetryDelay        = time.Second
+	minRetryDelay        = 20 * time.Millisecond
+	rowPrefix            = "request/"
+	maxConditionalWrites = 3 // of a write that meets the row of its own attempt under another revision
 )
 
 // New returns keys that are kept in the platform's table.
@@ -94,11 +94,11 @@
 	k := &Keys{
 		Commit: c.Commit, Get: c.Get, GetObject: c.Object, PutObject: c.PutObject,
 		Era:    func() (int64, time.Time) { return 0, time.Time{} },
-		cancel: cancel, ctx: ctx, ledger: ledger{claims: make(map[string]*ledgered)}, metrics: m, pending: make(chan *item, pendingMost),
+		cancel: cancel, ctx: ctx, recent: recentClaims{claims: make(map[string]*recentClaim)}, metrics: m, pending: make(chan *pendingWrite, maxPendingWrites),
 		restored: make(chan struct{}, 1),
 	}
-	k.worker.Go(k.run)
-	k.worker.Go(k.runRewrite)
+	k.workers.Go(k.runWriter)
+	k.workers.Go(k.runRewrite)
 	return k
 }
 
@@ -115,7 +115,7 @@
 	}
 	b, err := k.GetObject(ctx, r.Object)
 	if err == nil && b == nil {
-		return "", fail.New(fail.Unknown, place(), "answer_lost", "the store has no object %q", r.Object)
+		return "", fail.New(fail.Unknown, writePlace(), "answer_lost", "the store has no object %q", r.Object)
 	}
 	return string(b), err
 }
@@ -123,7 +123,7 @@
 // Close gives up on rows not written yet and waits for the worker.
 func (k *Keys) Close() error {
 	k.cancel()
-	k.worker.Wait()
+	k.workers.Wait()
 	return nil
 }
 
@@ -133,64 +133,64 @@
 // others may have yet to write theirs again to a store that was restored.
 func (k *Keys) Insert(ctx context.Context, key string, r Record) (*Claim, bool, error) {
 	era, since := k.Era()
-	if !since.IsZero() && time.Since(since) < settlePeriod {
-		return nil, false, errRestored()
+	if !since.IsZero() && time.Since(since) < claimHoldOff {
+		return nil, false, storeRestoredError()
 	}
-	i := writeOf(key, 0, &r)
+	i := newWrite(key, 0, &r)
 	i.insert = true
 	o := k.write(ctx, i)
 	if o.err != nil {
 		return nil, false, o.err
 	}
 	if o.current != nil {
-		c, err := claimOf(o.current)
+		c, err := decodeClaim(o.current)
 		return c, false, err
 	}
-	if now, _ := k.Era(); now != era || revision.Era(o.revision) != era {
-		k.takeBack(i, o.revision)
-		return nil, false, errRestored()
+	if e, _ := k.Era(); e != era || revision.Era(o.revision) != era {
+		k.undoInsert(i, o.revision)
+		return nil, false, storeRestoredError()
 	}
 	c := &Claim{Key: key, Record: r, Revision: o.revision}
-	k.ledger.put(c)
+	k.recent.put(c)
 	return c, true, nil
 }
 
-// Look returns the claim on a key, or nil.
-func (k *Keys) Look(ctx context.Context, key string) (*Claim, error) {
+// Lookup returns the claim on a key, or nil.
+func (k *Keys) Lookup(ctx context.Context, key string) (*Claim, error) {
 	r, err := k.Get(ctx, key)
 	if err != nil || r == nil {
 		return nil, err
 	}
-	return claimOf(r)
+	return decodeClaim(r)
 }
 
 // Release removes a claim on a key whose request did not run.
 func (k *Keys) Release(ctx context.Context, c *Claim) error {
-	k.ledger.drop(c.Key)
+	k.recent.remove(c.Key)
 	r := c.Revision
-	for range settleTries {
-		o := k.write(ctx, &item{
+	for range maxConditionalWrites {
+		o := k.write(ctx, &pendingWrite{
 			condition: table.Condition{Key: c.Key, Revision: r}, write: table.Write{Delete: true, Key: c.Key},
 		})
 		if o.err != nil || o.current == nil {
 			return o.err
 		}
-		standing, ok := c.standing(&o)
-		if !ok || standing == 0 {
+		next, ok := c.retryCondition(&o)
+		if !ok || next == 0 {
 			return nil
 		}
-		r = standing
+		r = next
 	}
 	return nil
 }
 
-// Store puts the answer into r, in an object of its own where it is large.
-func (k *Keys) Store(ctx context.Context, key string, r *Record, answer string) error {
-	if len(answer) <= bodyMost {
+// StoreAnswer puts the answer into r, in an object of its own where it is large.
+func (k *Keys) StoreAnswer(ctx context.Context, key string, r *Record, answer string) error {
+	if len(answer) <= maxInlineBytes {
 		r.Body = answer
 		return nil
 	}
-	r.Object = key + "/" + r.Try
+	r.Object = key + "/" + r.AttemptID
 	return k.PutObject(ctx, r.Object, []byte(answer))
 }
 
@@ -198,37 +198,37 @@
 // store has lost, or holds as it was, is written all the same.
 func (k *Keys) Update(ctx context.Context, c *Claim, r Record) error {
 	condition := c.Revision
-	for range settleTries {
-		o := k.write(ctx, writeOf(c.Key, condition, &r))
+	for range maxConditionalWrites {
+		o := k.write(ctx, newWrite(c.Key, condition, &r))
 		if o.err != nil {
 			return o.err
 		}
 		if o.current == nil {
 			c.Record, c.Revision = r, o.revision
-			k.ledger.put(c)
+			k.recent.put(c)
 			return nil
 		}
-		standing, ok := c.standing(&o)
+		next, ok := c.retryCondition(&o)
 		if !ok {
 			break
 		}
-		condition = standing
+		condition = next
 	}
-	return fail.New(fail.Conflict, place(), "key_taken", "the key %q is held by another attempt", c.Key)
+	return fail.New(fail.Conflict, writePlace(), "key_taken", "the key %q is held by another attempt", c.Key)
 }
 
-func claimOf(r *table.Row) (*Claim, error) {
+func decodeClaim(r *table.Row) (*Claim, error) {
 	c := &Claim{Key: r.Key, Revision: r.Revision}
 	if r.Deleted {
-		return nil, fail.New(fail.Conflict, place(), "key_taken", "the key's row was removed meanwhile")
+		return nil, fail.New(fail.Conflict, writePlace(), "key_taken", "the key's row was removed meanwhile")
 	}
 	if err := json.Unmarshal(r.Value, &c.Record); err != nil {
-		return nil, fail.Wrap(fail.Unknown, place(), "platform_garbled", err)
+		return nil, fail.Wrap(fail.Unknown, writePlace(), "platform_garbled", err)
 	}
 	return c, nil
 }
 
-func encode(r *Record) json.RawMessage {
+func encodeRecord(r *Record) json.RawMessage {
 	b, err := json.Marshal(r)
 	if err != nil {
 		panic("requestkey: a record can always be encoded: " + err.Error())
@@ -236,11 +236,11 @@
 	return b
 }
 
-// writeOf returns the write of a record under a condition; 0 means that there is no row.
-func writeOf(key string, condition int64, r *Record) *item {
-	return &item{condition: table.Condition{Key: key, Revision: condition}, write: table.Write{Key: key, Value: encode(r)}}
+// newWrite returns the write of a record under a condition; 0 means that there is no row.
+func newWrite(key string, condition int64, r *Record) *pendingWrite {
+	return &pendingWrite{condition: table.Condition{Key: key, Revision: condition}, write: table.Write{Key: key, Value: encodeRecord(r)}}
 }
 
-func place() fail.Origin {
+func writePlace() fail.Origin {
 	return fail.Origin{Peer: "platform", Step: "write request key"}
 }
--- a/internal/requestkey/requestkey_test.go
+++ b/internal/requestkey/requestkey_test.go
@@ -22,12 +22,12 @@
 
 // slowTable is a table whose commits take a while and may lose their answers.
 type slowTable struct {
-	commits int
-	delay   time.Duration
-	lose    func(commit int) bool // takes effect without an answer
-	mutex   sync.Mutex
-	refuse  func() bool // takes no effect
-	stand   *fakeplatform.Platform
+	commits     int
+	delay       time.Duration
+	loseAnswer  func(commit int) bool // takes effect without an answer
+	mutex       sync.Mutex
+	unavailable func() bool // takes no effect
+	platform    *fakeplatform.Platform
 }
 
 func (b *slowTable) commit(ctx context.Context, t *table.Transaction) (*table.Result, error) {
@@ -38,14 +38,14 @@
 	select {
 	case <-time.After(b.delay):
 	case <-ctx.Done():
-		return nil, fail.Wrap(fail.Unknown, place(), "platform_lost", ctx.Err())
+		return nil, fail.Wrap(fail.Unknown, writePlace(), "platform_lost", ctx.Err())
 	}
-	if b.refuse != nil && b.refuse() {
-		return nil, fail.New(fail.Unavailable, place(), "platform_down", "down")
+	if b.unavailable != nil && b.unavailable() {
+		return nil, fail.New(fail.Unavailable, writePlace(), "platform_down", "down")
 	}
-	r := b.stand.Commit(t)
-	if b.lose != nil && b.lose(n) {
-		return nil, fail.New(fail.Unknown, place(), "platform_lost", "lost")
+	r := b.platform.Commit(t)
+	if b.loseAnswer != nil && b.loseAnswer(n) {
+		return nil, fail.New(fail.Unknown, writePlace(), "platform_lost", "lost")
 	}
 	return &r, nil
 }
@@ -53,11 +53,11 @@
 func withKeys(t *testing.T, b *slowTable, f func(t *testing.T, k *Keys, m *metric.Set)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		b.stand = fakeplatform.New()
+		b.platform = fakeplatform.New()
 		m := metric.NewSet()
 		k := New(new(table.Store), m)
 		k.Commit = b.commit
-		k.Get = func(_ context.Context, key string) (*table.Row, error) { return b.stand.Row(key), nil }
+		k.Get = func(_ context.Context, key string) (*table.Row, error) { return b.platform.Row(key), nil }
 		f(t, k, m)
 		if err := k.Close(); err != nil {
 			t.Error(err)
@@ -65,7 +65,9 @@
 	})
 }
 
-func record(try string) Record { return Record{Print: "p", State: StateRunning, Try: try} }
+func record(attemptID string) Record {
+	return Record{Fingerprint: "p", State: StateRunning, AttemptID: attemptID}
+}
 
 // TestInsertsShareTransactions measures writes per key where many boxes' worth
 // of requests come at once: 400 keys in the time of a few transactions.
@@ -91,15 +93,15 @@
 // TestLostAnswersAreSettled loses every other answer: each key is held by
 // exactly the try that inserted it first.
 func TestLostAnswersAreSettled(t *testing.T) {
-	b := &slowTable{delay: time.Millisecond, lose: func(n int) bool { return n%2 == 1 }}
+	b := &slowTable{delay: time.Millisecond, loseAnswer: func(n int) bool { return n%2 == 1 }}
 	withKeys(t, b, func(t *testing.T, k *Keys, _ *metric.Set) {
 		var mutex sync.Mutex
-		owners := make(map[int]int)
+		winners := make(map[int]int)
 		var g sync.WaitGroup
 		for i := range 50 {
-			for try := range 3 {
+			for attempt := range 3 {
 				g.Go(func() {
-					c, ours, err := k.Insert(t.Context(), fmt.Sprint(i), record(fmt.Sprint(try)))
+					c, ours, err := k.Insert(t.Context(), fmt.Sprint(i), record(fmt.Sprint(attempt)))
 					if err != nil {
 						t.Error(err)
 						return
@@ -107,9 +109,9 @@
 					mutex.Lock()
 					defer mutex.Unlock()
 					if ours {
-						owners[i]++
+						winners[i]++
 					}
-					if got, want := c.Record.Try == fmt.Sprint(try), ours; got != want {
+					if got, want := c.Record.AttemptID == fmt.Sprint(attempt), ours; got != want {
 						t.Errorf("key %d: the row is of this try: got %v, want %v", i, got, want)
 					}
 				})
@@ -117,7 +119,7 @@
 		}
 		g.Wait()
 		for i := range 50 {
-			if got, want := owners[i], 1; got != want {
+			if got, want := winners[i], 1; got != want {
 				t.Errorf("key %d: got %d holders, want %d", i, got, want)
 			}
 		}
@@ -128,8 +130,8 @@
 // box does that refuses with "not run": the row must not stay.
 func TestGivenUpInsertIsTakenBack(t *testing.T) {
 	var down atomic.Bool
-	b := &slowTable{delay: time.Millisecond, lose: func(n int) bool { return n == 1 }}
-	b.refuse = down.Load
+	b := &slowTable{delay: time.Millisecond, loseAnswer: func(n int) bool { return n == 1 }}
+	b.unavailable = down.Load
 	withKeys(t, b, func(t *testing.T, k *Keys, _ *metric.Set) {
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
@@ -137,12 +139,12 @@
 		if _, _, err := k.Insert(ctx, "k", record("t")); err == nil || fail.Reason(err) != "platform_slow" {
 			t.Errorf("got %v, want to have given up", err)
 		}
-		if b.stand.Row("k") == nil {
+		if b.platform.Row("k") == nil {
 			t.Fatal("the lost write did not take effect; the test proves nothing")
 		}
 		down.Store(false)
 		time.Sleep(5 * time.Second)
-		if got := b.stand.Row("k"); got != nil {
+		if got := b.platform.Row("k"); got != nil {
 			t.Errorf("row: got %s, want none", got.Value)
 		}
 	})
@@ -164,7 +166,7 @@
 		if err := k.Release(t.Context(), c); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := k.Look(t.Context(), "k"); got != nil || err != nil {
+		if got, err := k.Lookup(t.Context(), "k"); got != nil || err != nil {
 			t.Errorf("after the release: got %v %v, want none", got, err)
 		}
 	})
@@ -178,13 +180,13 @@
 			return nil
 		}
 		k.GetObject = func(_ context.Context, n string) ([]byte, error) { return objects[n], nil }
-		for _, n := range []int{10, bodyMost, bodyMost + 1} {
+		for _, n := range []int{10, maxInlineBytes, maxInlineBytes + 1} {
 			r := record("t")
 			want := string(make([]byte, n))
-			if err := k.Store(t.Context(), "k", &r, want); err != nil {
+			if err := k.StoreAnswer(t.Context(), "k", &r, want); err != nil {
 				t.Fatal(err)
 			}
-			if got, want := r.Object != "", n > bodyMost; got != want {
+			if got, want := r.Object != "", n > maxInlineBytes; got != want {
 				t.Errorf("%d bytes in an object: got %v, want %v", n, got, want)
 			}
 			if got, err := k.Answer(t.Context(), &r); got != want || err != nil {
--- a/internal/requestkey/restored.go
+++ b/internal/requestkey/restored.go
@@ -15,18 +15,18 @@
 // holds it may run.
 
 const (
-	// rewriteEvery is the time between two tries to write claims again.
-	rewriteEvery = 500 * time.Millisecond
-	// rewritesAtOnce bounds the claims that wait to be written again; they share transactions.
-	rewritesAtOnce = batchMost
-	// settlePeriod is how long after a box learned that the store was restored it claims no
+	// rewriteInterval is the time between two tries to write claims again.
+	rewriteInterval = 500 * time.Millisecond
+	// maxConcurrentRewrites bounds the claims that wait to be written again; they share transactions.
+	maxConcurrentRewrites = maxBatchWrites
+	// claimHoldOff is how long after a box learned that the store was restored it claims no
 	// keys: others hear of it within a second or two, and write theirs again at once.
-	settlePeriod = 5 * time.Second
+	claimHoldOff = 5 * time.Second
 )
 
-// Restored takes in that the store came back from a copy, and has this box's claims written
+// StoreRestored takes in that the store came back from a copy, and has this box's claims written
 // again.
-func (k *Keys) Restored() {
+func (k *Keys) StoreRestored() {
 	select {
 	case k.restored <- struct{}{}:
 	default: // it is about to be looked at
@@ -38,25 +38,25 @@
 	for {
 		select {
 		case <-k.restored:
-			k.rewrite()
+			k.rewriteLostClaims()
 		case <-k.ctx.Done():
 			return
 		}
 	}
 }
 
-// rewrite writes all claims again that the store may have lost, until it has them or others
+// rewriteLostClaims writes all claims again that the store may have lost, until it has them or others
 // may claim their keys.
-func (k *Keys) rewrite() {
-	t := time.NewTicker(rewriteEvery)
+func (k *Keys) rewriteLostClaims() {
+	t := time.NewTicker(rewriteInterval)
 	defer t.Stop()
-	for until := time.Now().Add(settlePeriod); time.Now().Before(until) && k.ctx.Err() == nil; {
+	for until := time.Now().Add(claimHoldOff); time.Now().Before(until) && k.ctx.Err() == nil; {
 		era, _ := k.Era()
-		l := k.ledger.older(era)
-		if len(l) == 0 {
+		keys := k.recent.keysBeforeEra(era)
+		if len(keys) == 0 {
 			return
 		}
-		k.rewriteAll(l)
+		k.rewriteClaims(keys)
 		select {
 		case <-t.C:
 		case <-k.ctx.Done():
@@ -64,14 +64,14 @@
 	}
 }
 
-// rewriteAll writes claims again.
-func (k *Keys) rewriteAll(keys []string) {
+// rewriteClaims writes claims again.
+func (k *Keys) rewriteClaims(keys []string) {
 	var g errgroup.Group
-	g.SetLimit(rewritesAtOnce)
-	for _, n := range keys {
+	g.SetLimit(maxConcurrentRewrites)
+	for _, key := range keys {
 		g.Go(func() error {
-			if c := k.ledger.get(n); c != nil {
-				k.metrics.Count(metric.RequestKeyRewrites, "outcome", string(k.rewriteOne(c)))
+			if c := k.recent.get(key); c != nil {
+				k.metrics.Count(metric.RequestKeyRewrites, "outcome", string(k.rewriteClaim(c)))
 			}
 			return nil
 		})
@@ -90,44 +90,44 @@
 	rewriteWritten rewriteOutcome = "written" // the store has the claim as it was
 )
 
-// rewriteOne writes a claim again: where the row is lost, or is of the same attempt and older.
-func (k *Keys) rewriteOne(c *Claim) rewriteOutcome {
-	o := k.write(k.ctx, writeOf(c.Key, 0, &c.Record))
+// rewriteClaim writes a claim again: where the row is lost, or is of the same attempt and older.
+func (k *Keys) rewriteClaim(c *Claim) rewriteOutcome {
+	o := k.write(k.ctx, newWrite(c.Key, 0, &c.Record))
 	if o.err == nil && o.current != nil {
-		x, err := claimOf(o.current)
+		x, err := decodeClaim(o.current)
 		switch {
 		case err != nil:
 			return rewriteFailed
-		case x.Record.Try != c.Record.Try:
+		case x.Record.AttemptID != c.Record.AttemptID:
 			return rewriteTaken
 		case c.Record.State == StateRunning && x.Record.State != StateRunning:
-			k.ledger.move(c, x.Revision)
+			k.recent.setRevision(c, x.Revision)
 			return rewriteKept
 		}
-		o = k.write(k.ctx, writeOf(c.Key, x.Revision, &c.Record))
+		o = k.write(k.ctx, newWrite(c.Key, x.Revision, &c.Record))
 	}
 	if o.err != nil || o.current != nil {
 		return rewriteFailed
 	}
-	if k.ledger.get(c.Key) == nil { // it was released meanwhile
+	if k.recent.get(c.Key) == nil { // it was released meanwhile
 		_ = k.Release(k.ctx, &Claim{Key: c.Key, Record: c.Record, Revision: o.revision})
 		return rewriteWritten
 	}
-	k.ledger.move(c, o.revision)
+	k.recent.setRevision(c, o.revision)
 	return rewriteWritten
 }
 
-// errRestored returns the error of a key that is not claimed since the store was restored.
-func errRestored() error {
-	return fail.New(fail.Unavailable, place(), "platform_restored", "the store was restored, and may have lost who holds the key")
+// storeRestoredError returns the error of a key that is not claimed since the store was restored.
+func storeRestoredError() error {
+	return fail.New(fail.Unavailable, writePlace(), "platform_restored", "the store was restored, and may have lost who holds the key")
 }
 
-// standing returns the revision under which a claim can be written, where a row stood in the
+// retryCondition returns the revision under which a claim can be written, where a row stood in the
 // way of a write: that of the same attempt, or none where the store has lost the row.
-func (c *Claim) standing(o *outcome) (condition int64, ok bool) {
+func (c *Claim) retryCondition(o *writeResult) (condition int64, ok bool) {
 	if o.current.Deleted {
 		return 0, revision.Era(o.revision) > revision.Era(c.Revision)
 	}
-	x, err := claimOf(o.current)
-	return o.current.Revision, err == nil && x.Record.Try == c.Record.Try
+	x, err := decodeClaim(o.current)
+	return o.current.Revision, err == nil && x.Record.AttemptID == c.Record.AttemptID
 }
--- a/internal/requestkey/restored_test.go
+++ b/internal/requestkey/restored_test.go
@@ -17,49 +17,49 @@
 	"github.com/linetiller/linetiller/platform"
 )
 
-// keysBox is a box that keeps request keys in a store.
-type keysBox struct {
+// testBox is a box that keeps request keys in a store.
+type testBox struct {
 	*Keys
 	era   int64      // that it knows of
 	mutex sync.Mutex // guards era and since
 	since time.Time
 }
 
-// known returns what the box knows of the store's era.
-func (b *keysBox) known() (int64, time.Time) {
+// storeEra returns what the box knows of the store's era.
+func (b *testBox) storeEra() (int64, time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.era, b.since
 }
 
-// hear has the box hear of the store's era.
-func (b *keysBox) hear(p *fakeplatform.Platform) {
+// learnEra has the box hear of the store's era.
+func (b *testBox) learnEra(p *fakeplatform.Platform) {
 	era := p.Era()
 	b.mutex.Lock()
-	news := era > b.era
-	if news {
+	changed := era > b.era
+	if changed {
 		b.era, b.since = era, time.Now()
 	}
 	b.mutex.Unlock()
-	if news {
-		b.Restored()
+	if changed {
+		b.StoreRestored()
 	}
 }
 
 // withBoxes runs f with two boxes on one store, in virtual time.
-func withBoxes(t *testing.T, f func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, b *keysBox)) {
+func withBoxes(t *testing.T, f func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, b *testBox)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		l, p := link.New(), fakeplatform.New()
 		l.Join("store", p)
-		newBox := func() *keysBox {
-			b := &keysBox{Keys: New(platform.NewStore("http://store", platform.WithStoreTransport(l)).Table(), metric.NewSet())}
-			b.Era = b.known
+		newBox := func() *testBox {
+			b := &testBox{Keys: New(platform.NewStore("http://store", platform.WithStoreTransport(l)).Table(), metric.NewSet())}
+			b.Era = b.storeEra
 			return b
 		}
 		a, b := newBox(), newBox()
 		f(t.Context(), t, p, a, b)
-		for _, x := range []*keysBox{a, b} {
+		for _, x := range []*testBox{a, b} {
 			if err := x.Close(); err != nil {
 				t.Error(err)
 			}
@@ -67,30 +67,30 @@
 	})
 }
 
-const restoredKey = "request/w/k"
+const testRowKey = "request/w/k"
 
 // claim claims the one key of a test.
-func (b *keysBox) claim(ctx context.Context, t *testing.T, try string) *Claim {
+func (b *testBox) claim(ctx context.Context, t *testing.T, attemptID string) *Claim {
 	t.Helper()
-	c, ours, err := b.Insert(ctx, restoredKey, record(try))
+	c, ours, err := b.Insert(ctx, testRowKey, record(attemptID))
 	if err != nil || !ours {
 		t.Fatalf("got %+v %v %v, want the key", c, ours, err)
 	}
 	return c
 }
 
-// wantRow checks what the store holds under the one key of a test.
-func wantRow(t *testing.T, p *fakeplatform.Platform, when, try string, s State) {
+// checkRow checks what the store holds under the one key of a test.
+func checkRow(t *testing.T, p *fakeplatform.Platform, when, attemptID string, s State) {
 	t.Helper()
 	got := "none"
-	if r := p.Row(restoredKey); r != nil {
-		c, err := claimOf(r)
+	if r := p.Row(testRowKey); r != nil {
+		c, err := decodeClaim(r)
 		if err != nil {
 			t.Fatal(err)
 		}
-		got = c.Record.Try + " " + string(c.Record.State)
+		got = c.Record.AttemptID + " " + string(c.Record.State)
 	}
-	if want := strings.TrimSpace(try + " " + string(s)); got != want {
+	if want := strings.TrimSpace(attemptID + " " + string(s)); got != want {
 		t.Errorf("%s: the row: got %q, want %q", when, got, want)
 	}
 }
@@ -110,32 +110,32 @@
 		{"nobody has heard", true, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			withBoxes(t, func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, b *keysBox) {
+			withBoxes(t, func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, b *testBox) {
 				p.Copy()
 				a.claim(ctx, t, "first")
 				p.Restore()
 				repeat := func() {
 					if x.hears {
-						b.hear(p)
+						b.learnEra(p)
 					}
-					c, ours, err := b.Insert(ctx, restoredKey, record("second"))
-					if ours || (err == nil && c.Record.Try != "first") || (err != nil && !errorx.IsOfType(err, fail.Unavailable)) {
+					c, ours, err := b.Insert(ctx, testRowKey, record("second"))
+					if ours || (err == nil && c.Record.AttemptID != "first") || (err != nil && !errorx.IsOfType(err, fail.Unavailable)) {
 						t.Errorf("the repeat: got %+v %v %v, want the first claim or a refusal", c, ours, err)
 					}
 				}
 				if x.otherFirst {
 					repeat()
 				}
-				a.hear(p)
+				a.learnEra(p)
 				time.Sleep(2 * time.Second)
-				wantRow(t, p, "2 s after the holder heard", "first", StateRunning)
+				checkRow(t, p, "2 s after the holder heard", "first", StateRunning)
 				if !x.otherFirst {
 					repeat()
 				}
-				b.hear(p)
-				time.Sleep(settlePeriod)
-				c, ours, err := b.Insert(ctx, restoredKey, record("third"))
-				if ours || err != nil || c.Record.Try != "first" {
+				b.learnEra(p)
+				time.Sleep(claimHoldOff)
+				c, ours, err := b.Insert(ctx, testRowKey, record("third"))
+				if ours || err != nil || c.Record.AttemptID != "first" {
 					t.Errorf("a later repeat: got %+v %v %v, want the first claim", c, ours, err)
 				}
 			})
@@ -152,7 +152,7 @@
 		heard  bool // the box has heard of it as the request ends
 	}{{"lost", false, true}, {"older", true, true}, {"lost, unheard", false, false}, {"older, unheard", true, false}} {
 		t.Run(x.name, func(t *testing.T) {
-			withBoxes(t, func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, _ *keysBox) {
+			withBoxes(t, func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, _ *testBox) {
 				p.Copy()
 				c := a.claim(ctx, t, "first")
 				if x.copied {
@@ -165,13 +165,13 @@
 				}
 				p.Restore()
 				if x.heard {
-					a.hear(p)
+					a.learnEra(p)
 				}
 				r.State = StateFinished
 				if err := a.Update(ctx, c, r); err != nil {
 					t.Errorf("got %v, want it written", err)
 				}
-				wantRow(t, p, "written", "first", StateFinished)
+				checkRow(t, p, "written", "first", StateFinished)
 			})
 		})
 	}
@@ -180,29 +180,29 @@
 // TestReleasedKeyStaysReleased releases a key whose row the copy lacks, or holds: nothing is
 // written again.
 func TestReleasedKeyStaysReleased(t *testing.T) {
-	withBoxes(t, func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, _ *keysBox) {
+	withBoxes(t, func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, _ *testBox) {
 		c := a.claim(ctx, t, "first")
 		p.Copy()
 		p.Restore()
-		a.hear(p)
+		a.learnEra(p)
 		if err := a.Release(ctx, c); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(2 * settlePeriod)
-		wantRow(t, p, "released", "none", "")
+		time.Sleep(2 * claimHoldOff)
+		checkRow(t, p, "released", "none", "")
 	})
 }
 
 // TestAnswerThatTheStoreLost looks for the object of a recorded answer that the store has
 // lost: it is not taken for an empty answer.
 func TestAnswerThatTheStoreLost(t *testing.T) {
-	withBoxes(t, func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, _ *keysBox) {
+	withBoxes(t, func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, _ *testBox) {
 		p.Copy()
 		r := record("first")
-		if err := a.Store(ctx, restoredKey, &r, strings.Repeat("x", bodyMost+1)); err != nil {
+		if err := a.StoreAnswer(ctx, testRowKey, &r, strings.Repeat("x", maxInlineBytes+1)); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := a.Answer(ctx, &r); len(got) != bodyMost+1 || err != nil {
+		if got, err := a.Answer(ctx, &r); len(got) != maxInlineBytes+1 || err != nil {
 			t.Fatalf("before: got %d bytes, %v", len(got), err)
 		}
 		p.Restore()
@@ -215,7 +215,7 @@
 // TestKeyIsNotClaimedAsTheStoreIsRestored has a box hear that the store was restored at the
 // very moment at which it begins to claim a key: it claims none.
 func TestKeyIsNotClaimedAsTheStoreIsRestored(t *testing.T) {
-	withBoxes(t, func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, _ *keysBox) {
+	withBoxes(t, func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, _ *testBox) {
 		p.Copy()
 		p.Restore()
 		if _, _, err := a.Insert(ctx, "request/w/other", record("t")); err == nil {
@@ -228,7 +228,7 @@
 			}
 			return 1, time.Now()
 		}
-		if c, ours, err := a.Insert(ctx, restoredKey, record("first")); ours || err == nil {
+		if c, ours, err := a.Insert(ctx, testRowKey, record("first")); ours || err == nil {
 			t.Errorf("got %+v %v %v, want a refusal", c, ours, err)
 		}
 	})
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -103,7 +103,7 @@
 // answerFromRecord returns the recorded answer to an earlier call with the same key, or an error if
 // the earlier call was a different one or has no recorded answer.
 func (r *Router) answerFromRecord(ctx context.Context, c *Call, k *requestkey.Claim) (*Answer, error) {
-	if k.Record.Print != c.Fingerprint {
+	if k.Record.Fingerprint != c.Fingerprint {
 		return nil, fail.New(fail.Conflict, r.origin(c), "key_reused", "the request key belongs to another request")
 	}
 	if k.Record.State != requestkey.StateFinished {
@@ -123,7 +123,7 @@
 	if x == nil {
 		return nil, r.noUpstreamError(c, u)
 	}
-	q := requestkey.Record{Print: c.Fingerprint, State: requestkey.StateRunning, Try: rand.Text(), Upstream: x.Name}
+	q := requestkey.Record{Fingerprint: c.Fingerprint, State: requestkey.StateRunning, AttemptID: rand.Text(), Upstream: x.Name}
 	k, ours, err := r.keys.Insert(ctx, requestkey.RowKey(c.Workspace, c.Key), q)
 	if err != nil {
 		return nil, tableError(err)
@@ -202,7 +202,7 @@
 	q.State = requestkey.StateUnknown
 	if err == nil {
 		q.State, q.Status, q.ContentType = requestkey.StateFinished, a.Status, a.ContentType
-		if r.keys.Store(ctx, k.Key, &q, string(a.Body)) != nil {
+		if r.keys.StoreAnswer(ctx, k.Key, &q, string(a.Body)) != nil {
 			return
 		}
 	}
@@ -241,7 +241,7 @@
 	if err != nil {
 		return nil, fail.Wrap(fail.Unknown, p, "upstream_lost", err)
 	}
-	if rest := upstream.RestOf(w.StatusCode, w.Header); rest > 0 {
+	if rest := upstream.RetryAfter(w.StatusCode, w.Header); rest > 0 {
 		r.Backoffs.RecordBackoff(u, time.Now().Add(rest))
 	}
 	return &Answer{Body: b, ContentType: w.Header.Get("Content-Type"), Status: w.StatusCode}, nil
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -33,7 +33,7 @@
 		}
 		v.Apply(changes, 2)
 		r := NewRouter(v, nil, metric.NewSet())
-		r.Do = upstream.NewEngines(time.Second, upstream.WithTransport(l)).Call
+		r.Do = upstream.NewClient(time.Second, upstream.WithTransport(l)).Call
 		f(t, r, l, upstreams)
 	})
 }
--- a/internal/upstream/engine.go
+++ b/internal/upstream/engine.go
@@ -19,8 +19,8 @@
 	"github.com/linetiller/linetiller/internal/sse"
 )
 
-// Engines calls model engines. It is safe for concurrent use.
-type Engines struct {
+// Client calls model engines. It is safe for concurrent use.
+type Client struct {
 	http    *http.Client
 	timeout time.Duration
 }
@@ -36,43 +36,43 @@
 }
 
 // Option sets one thing of Engines.
-type Option func(*Engines)
+type Option func(*Client)
 
 // ReasonLeaving is the reason of the refusal of an engine that takes no new work.
 const ReasonLeaving = "upstream_leaving"
 
 const (
-	maxAnswerBytes     = 1 << 20
-	maxIdleConnections = 256
+	maxResponseBytes          = 1 << 20
+	maxIdleConnectionsPerHost = 256
 )
 
-// NewEngines returns a caller of engines; timeout bounds every call but a stream.
-func NewEngines(timeout time.Duration, options ...Option) *Engines {
+// NewClient returns a caller of engines; timeout bounds every call but a stream.
+func NewClient(timeout time.Duration, options ...Option) *Client {
 	t := http.DefaultTransport.(*http.Transport).Clone()
-	t.MaxIdleConnsPerHost = maxIdleConnections
+	t.MaxIdleConnsPerHost = maxIdleConnectionsPerHost
 	t.ResponseHeaderTimeout = timeout
 	t.DialContext = (&net.Dialer{Timeout: timeout}).DialContext
-	e := &Engines{http: &http.Client{Transport: t}, timeout: timeout}
+	c := &Client{http: &http.Client{Transport: t}, timeout: timeout}
 	for _, o := range options {
-		o(e)
+		o(c)
 	}
-	return e
+	return c
 }
 
 // WithTransport sets the transport, for tests; nil leaves it as it is.
 func WithTransport(t http.RoundTripper) Option {
-	return func(e *Engines) {
+	return func(c *Client) {
 		if t != nil {
-			e.http.Transport = t
+			c.http.Transport = t
 		}
 	}
 }
 
 // CacheEvents returns an engine's prefix cache events after number after, and
 // whether some were lost in between. They come late, so they may only inform.
-func (e *Engines) CacheEvents(ctx context.Context, address string, after int64) (l []CacheEvent, gap bool, err error) {
+func (c *Client) CacheEvents(ctx context.Context, address string, after int64) (l []CacheEvent, gap bool, err error) {
 	path := "/v1/cache/events?after=" + strconv.FormatInt(after, 10)
-	if err := e.call(ctx, "read cache events", http.MethodGet, address, path, nil, &l); err != nil {
+	if err := c.call(ctx, "read cache events", http.MethodGet, address, path, nil, &l); err != nil {
 		return nil, false, err
 	}
 	for _, v := range l {
@@ -83,8 +83,8 @@
 }
 
 // Cancel ends a generation; one that no longer exists is no error.
-func (e *Engines) Cancel(ctx context.Context, address, id string) error {
-	err := e.call(ctx, "cancel", http.MethodDelete, address, generationPath(id), nil, nil)
+func (c *Client) Cancel(ctx context.Context, address, id string) error {
+	err := c.call(ctx, "cancel", http.MethodDelete, address, generationPath(id), nil, nil)
 	if errorx.IsOfType(err, fail.NotFound) {
 		return nil
 	}
@@ -92,46 +92,46 @@
 }
 
 // Close closes idle connections.
-func (e *Engines) Close() error {
-	e.http.CloseIdleConnections()
+func (c *Client) Close() error {
+	c.http.CloseIdleConnections()
 	return nil
 }
 
 // Load returns an engine's load report.
-func (e *Engines) Load(ctx context.Context, address string) (*Load, error) {
+func (c *Client) Load(ctx context.Context, address string) (*Load, error) {
 	v := new(Load)
-	if err := e.call(ctx, "read load", http.MethodGet, address, "/v1/load", nil, v); err != nil {
+	if err := c.call(ctx, "read load", http.MethodGet, address, "/v1/load", nil, v); err != nil {
 		return nil, err
 	}
 	return v, nil
 }
 
 // Order gives an engine a fenced order.
-func (e *Engines) Order(ctx context.Context, address string, o *Order) error {
-	return e.call(ctx, "order", http.MethodPost, address, "/v1/orders", o, nil)
+func (c *Client) Order(ctx context.Context, address string, o *Order) error {
+	return c.call(ctx, "order", http.MethodPost, address, "/v1/orders", o, nil)
 }
 
 // Position returns where a generation stands. An error of type fail.NotFound
 // means that the engine, as it runs now, has never started it.
-func (e *Engines) Position(ctx context.Context, address, id string) (*Position, error) {
+func (c *Client) Position(ctx context.Context, address, id string) (*Position, error) {
 	v := new(Position)
-	if err := e.call(ctx, "read position", http.MethodGet, address, generationPath(id), nil, v); err != nil {
+	if err := c.call(ctx, "read position", http.MethodGet, address, generationPath(id), nil, v); err != nil {
 		return nil, err
 	}
 	return v, nil
 }
 
 // Resume opens the stream of a running or finished generation at token from.
-func (e *Engines) Resume(ctx context.Context, address, id string, from int) (*Stream, error) {
-	return e.open(ctx, "resume", http.MethodGet, address, generationPath(id)+"/events?from="+strconv.Itoa(from), nil, id, from)
+func (c *Client) Resume(ctx context.Context, address, id string, from int) (*Stream, error) {
+	return c.openStream(ctx, "resume", http.MethodGet, address, generationPath(id)+"/events?from="+strconv.Itoa(from), nil, id, from)
 }
 
 // Start starts a generation and opens its stream.
 //
 // An error of type fail.NotRun means that the engine confirmed, or could not
 // but agree, that it started nothing; any other error leaves that open.
-func (e *Engines) Start(ctx context.Context, address string, s *Start) (*Stream, error) {
-	return e.open(ctx, "start", http.MethodPost, address, "/v1/generations", s, s.ID, 0)
+func (c *Client) Start(ctx context.Context, address string, s *Start) (*Stream, error) {
+	return c.openStream(ctx, "start", http.MethodPost, address, "/v1/generations", s, s.ID, 0)
 }
 
 // Close ends the stream without cancelling the generation.
@@ -158,7 +158,7 @@
 		if g := f.GetStringBytes("generation"); string(g) != s.generation {
 			return Token{}, fail.New(fail.Interrupted, p, "stream_crossed", "generation %q in the stream of %q", g, s.generation)
 		}
-		t := Token{Finish: finishOf(f.GetStringBytes("finish")), Index: f.GetInt("index"), Text: f.GetStringBytes("text")}
+		t := Token{Finish: parseFinish(f.GetStringBytes("finish")), Index: f.GetInt("index"), Text: f.GetStringBytes("text")}
 		switch {
 		case t.Finish == "" && t.Index < s.next:
 			continue
@@ -171,11 +171,11 @@
 	}
 }
 
-func (e *Engines) call(ctx context.Context, step, method, address, path string, in, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, e.timeout)
+func (c *Client) call(ctx context.Context, step, method, address, path string, in, out any) error {
+	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	p := fail.Origin{Peer: "upstream " + address, Step: step}
-	w, err := e.send(ctx, p, method, address+path, in)
+	w, err := c.send(ctx, p, method, address+path, in)
 	if err != nil {
 		return err
 	}
@@ -183,15 +183,15 @@
 	if out == nil {
 		return nil
 	}
-	if err := json.NewDecoder(io.LimitReader(w.Body, maxAnswerBytes)).Decode(out); err != nil {
+	if err := json.NewDecoder(io.LimitReader(w.Body, maxResponseBytes)).Decode(out); err != nil {
 		return fail.Wrap(fail.Unavailable, p, "upstream_garbled", err)
 	}
 	return nil
 }
 
-func (e *Engines) open(ctx context.Context, step, method, address, path string, in any, id string, from int) (*Stream, error) {
+func (c *Client) openStream(ctx context.Context, step, method, address, path string, in any, id string, from int) (*Stream, error) {
 	p := fail.Origin{Peer: "upstream " + address, Step: step}
-	w, err := e.send(ctx, p, method, address+path, in) //nolint:bodyclose // Stream.Close closes it.
+	w, err := c.send(ctx, p, method, address+path, in) //nolint:bodyclose // Stream.Close closes it.
 	if err != nil {
 		return nil, err
 	}
@@ -199,8 +199,8 @@
 }
 
 // send returns an answer of status 200, or a typed error.
-func (e *Engines) send(ctx context.Context, p fail.Origin, method, target string, in any) (*http.Response, error) {
-	b, err := encode(in)
+func (c *Client) send(ctx context.Context, p fail.Origin, method, target string, in any) (*http.Response, error) {
+	b, err := encodeBody(in)
 	if err != nil {
 		return nil, fail.Wrap(fail.BadInput, p, "bad_upstream_request", err)
 	}
@@ -208,7 +208,7 @@
 	if err != nil {
 		return nil, fail.Wrap(fail.BadInput, p, "bad_upstream_request", err)
 	}
-	w, err := e.http.Do(r)
+	w, err := c.http.Do(r)
 	if err != nil {
 		return nil, sendError(p, err)
 	}
@@ -219,15 +219,15 @@
 	return nil, statusError(p, w)
 }
 
-func encode(in any) ([]byte, error) {
+func encodeBody(in any) ([]byte, error) {
 	if in == nil {
 		return nil, nil
 	}
 	return json.Marshal(in)
 }
 
-// finishOf returns why a generation ended, without allocating for the common reasons.
-func finishOf(b []byte) string {
+// parseFinish returns why a generation ended, without allocating for the common reasons.
+func parseFinish(b []byte) string {
 	for _, f := range []string{"", FinishStop, FinishLength, FinishCancelled} {
 		if string(b) == f {
 			return f
@@ -242,7 +242,7 @@
 
 // sendError tells a call that never left from one whose answer was lost.
 func sendError(p fail.Origin, err error) error {
-	if IsDial(err) {
+	if IsDialError(err) {
 		return fail.Wrap(fail.NotRun, p, "upstream_unreachable", err)
 	}
 	return fail.Wrap(fail.Unknown, p, "upstream_lost", err)
@@ -259,8 +259,8 @@
 		return fail.New(fail.Conflict, p, "upstream_conflict", "%s", m)
 	case http.StatusServiceUnavailable:
 		err := fail.New(fail.NotRun, p, ReasonLeaving, "%s", m)
-		if rest := RestOf(w.StatusCode, w.Header); rest > 0 {
-			return fail.WithRetryAt(err, time.Now().Add(rest))
+		if d := RetryAfter(w.StatusCode, w.Header); d > 0 {
+			return fail.WithRetryAt(err, time.Now().Add(d))
 		}
 		return err
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge:
--- a/internal/upstream/engine_test.go
+++ b/internal/upstream/engine_test.go
@@ -16,12 +16,12 @@
 	l.Join("u", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode([]upstream.CacheEvent{{Number: 3, Stored: true}, {Number: 4}, {Number: 6}})
 	}))
-	e := upstream.NewEngines(time.Second, upstream.WithTransport(l))
+	c := upstream.NewClient(time.Second, upstream.WithTransport(l))
 	for _, x := range []struct {
 		after int64
 		want  bool
 	}{{2, true}, {1, true}} {
-		got, gap, err := e.CacheEvents(t.Context(), "http://u", x.after)
+		got, gap, err := c.CacheEvents(t.Context(), "http://u", x.after)
 		if err != nil || len(got) != 3 || gap != x.want {
 			t.Errorf("after %d: got %v, gap %v, %v; want 3 events, gap %v", x.after, got, gap, err, x.want)
 		}
@@ -29,7 +29,7 @@
 	l.Join("u", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode([]upstream.CacheEvent{{Number: 3}, {Number: 4}})
 	}))
-	if _, gap, err := e.CacheEvents(t.Context(), "http://u", 2); gap || err != nil {
+	if _, gap, err := c.CacheEvents(t.Context(), "http://u", 2); gap || err != nil {
 		t.Errorf("without a loss: got gap %v, %v", gap, err)
 	}
 }
--- a/internal/upstream/rest.go
+++ b/internal/upstream/rest.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// restMost bounds the rest that an upstream may ask for: a day outlasts the life of any.
-const restMost = 24 * time.Hour
+// maxRetryAfter bounds the rest that an upstream may ask for: a day outlasts the life of any.
+const maxRetryAfter = 24 * time.Hour
 
-// RestOf returns for how long the sender of a request is to stay away, as an answer that
+// RetryAfter returns for how long the sender of a request is to stay away, as an answer that
 // turns it away tells in seconds, or 0.
-func RestOf(status int, h http.Header) time.Duration {
+func RetryAfter(status int, h http.Header) time.Duration {
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
 		return 0
 	}
@@ -19,5 +19,5 @@
 	if err != nil || !(s > 0) { // or it is no number
 		return 0
 	}
-	return time.Duration(min(s, restMost.Seconds()) * float64(time.Second))
+	return time.Duration(min(s, maxRetryAfter.Seconds()) * float64(time.Second))
 }
--- a/internal/upstream/service.go
+++ b/internal/upstream/service.go
@@ -12,17 +12,17 @@
 //
 // An error of type fail.NotRun means that nothing was sent; fail.Unknown means
 // that the call may have run. The caller closes the answer's body.
-func (e *Engines) Call(r *http.Request) (*http.Response, error) {
+func (c *Client) Call(r *http.Request) (*http.Response, error) {
 	p := fail.Origin{Peer: "upstream " + r.URL.Host, Step: "call service"}
-	w, err := e.http.Do(r)
+	w, err := c.http.Do(r)
 	if err != nil {
 		return nil, sendError(p, err)
 	}
 	return w, nil
 }
 
-// IsDial reports whether err arose while connecting, before anything was sent.
-func IsDial(err error) bool {
+// IsDialError reports whether err arose while connecting, before anything was sent.
+func IsDialError(err error) bool {
 	var o *net.OpError
 	return errors.As(err, &o) && o.Op == "dial"
 }
--- a/linetiller.go
+++ b/linetiller.go
@@ -45,7 +45,7 @@
 	clientServer     *http.Server
 	deliverer        *delivery.Deliverer
 	crashes          crashes
-	engines          *upstream.Engines
+	engines          *upstream.Client
 	follower         *configuration.Follower
 	ignored          ignoredRows
 	keys             *requestkey.Keys
@@ -135,7 +135,7 @@
 func (b *Box) ClientAddress() string { return b.clientListener.Addr().String() }
 
 // Held returns how many requests are in progress.
-func (b *Box) Held() int { return b.deliverer.Held() + b.relay.InProgress() }
+func (b *Box) Held() int { return b.deliverer.InProgress() + b.relay.InProgress() }
 
 // OperatorAddress returns the address for operators.
 func (b *Box) OperatorAddress() string { return b.operatorListener.Addr().String() }
