--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -1,6 +1,6 @@
-// Package delivery carries one request from its arrival to its final answer:
-// it finds a place, starts the generation, relays its tokens once and in order,
-// resumes after cuts and records the outcome.
+// Package delivery handles a generation request from its arrival to its outcome. It obtains a place
+// at an upstream, starts the generation, forwards each token exactly once and in order, resumes
+// broken streams and records the outcome under the request key.
 package delivery
 
 import (
@@ -27,52 +27,54 @@
 	"github.com/linetiller/linetiller/internal/upstream"
 )
 
-// Request is one generation that a client asks for.
+// Request is a client's request for a generation.
 type Request struct {
-	Key         string // the request key, "" where it may be repeated
-	MaxQueued   int    // requests of its workspace that may wait at this box; 0 is no bound of its own
-	Fingerprint string // hash of what is asked, which a repeat of the key must match
+	Key         string // the request key; "" if the request may run more than once
+	MaxQueued   int    // how many requests of the workspace may wait for a place at this box; 0 for no limit
+	Fingerprint string // hash of the request; a repeat with the same key must match it
 	Prompt      string
-	ResumeAfter *EventID // the last token that the client has
+	ResumeAfter *EventID // the last token that the client received; nil for a new generation
 	Work        policy.Work
 }
 
-// EventID names a token that was delivered.
+// EventID identifies a token that was delivered.
 type EventID struct {
 	Generation string
-	Index      int // of the token
+	Index      int // index of the token
 	Upstream   string
 }
 
-// Token is one token on its way to the client.
+// Token is a token to be sent to the client.
 type Token struct {
-	Finish     string // why the generation ended, on the last one, which has no text
+	Finish     string // why the generation ended; only on the last token, which has no text
 	Generation string
 	Index      int
 	Text       []byte // valid until the sink returns
 	Upstream   string
 }
 
-// Sink takes one token to the client; it must not keep the token. An error means that the client has gone.
+// Sink sends a token to the client. It must not keep the token. An error means that the client has
+// disconnected.
 type Sink func(t *Token) error
 
-// Deliverer carries requests. It is safe for concurrent use; Close waits for
-// those in progress.
+// Deliverer handles generation requests. It is safe for concurrent use. Close waits for the requests in
+// progress.
 type Deliverer struct {
-	// RefreshViews makes sure that the box's views are not those of before a pause; a seam.
+	// RefreshViews refreshes the box's views if its process was suspended. Set it before use; by
+	// default it does nothing.
 	RefreshViews func(ctx context.Context)
-	// Place finds an upstream; a seam, set to a placement's method.
+	// Place obtains a place at an upstream that is not in avoid. It must be set before use.
 	Place func(ctx context.Context, w *policy.Work, avoid map[string]bool) (*placement.Place, error)
 
 	cancel                context.CancelFunc
-	ctx                   context.Context // ends with Abort, or when Close stops waiting for outcomes to be recorded
+	ctx                   context.Context // cancelled by Abort, or when Close stops waiting for outcomes to be recorded
 	engines               *upstream.Client
 	keys                  *requestkey.Keys
 	log                   *slog.Logger
 	metrics               *metric.Set
-	mutex                 sync.Mutex     // guards retries, held, closing, holds and waits
-	inProgressByWorkspace map[string]int // by workspace: requests in progress
-	queuedByWorkspace     map[string]int // by workspace: requests that wait for a place
+	mutex                 sync.Mutex     // guards retries, closing, inProgress, inProgressByWorkspace and queuedByWorkspace
+	inProgressByWorkspace map[string]int // number of requests in progress
+	queuedByWorkspace     map[string]int // number of requests that wait for a place
 	closing               bool
 	inProgress            int
 	maxInProgress         int
@@ -89,19 +91,19 @@
 const (
 	cancelTimeout        = 2 * time.Second
 	recordGracePeriod    = 5 * time.Second  // for outcomes to be recorded when the box stops
-	reconnectGracePeriod = 10 * time.Second // for a client to come back, before its generation is cancelled
+	reconnectGracePeriod = 10 * time.Second // for a client to reconnect before its generation is cancelled
 	maxAttempts          = 4                // upstreams tried for one request
-	recordTimeout        = 10 * time.Minute // for the outcome to be recorded while the platform is out
-	recordRetryInterval  = 5 * time.Second
-	resumeTimeout        = 3 * time.Second // of failing resumptions after which a generation is lost
+	recordTimeout        = 10 * time.Minute // for an outcome to be recorded while the platform is unavailable
+	recordRetryInterval  = 5 * time.Second  // between attempts to record an outcome, and limit of each
+	resumeTimeout        = 3 * time.Second  // of failing resumptions, after which a generation counts as lost
 	resumeRetryInterval  = 50 * time.Millisecond
-	// maxWorkspaceShare is how much of the requests that a box may hold one workspace
-	// may have, so that none can shut the others out.
+	// maxWorkspaceShare is the share of a box's maximum of requests in progress that one
+	// workspace may use, so that it cannot shut out the others.
 	maxWorkspaceShare = 0.75
-	startGracePeriod  = 3 * time.Second // from the claim of a key to the arrival of its start
+	startGracePeriod  = 3 * time.Second // from the claim of a key until its generation is known at the upstream
 )
 
-// Option sets one thing of a Deliverer.
+// Option configures a Deliverer.
 type Option func(*Deliverer)
 
 // New returns a deliverer.
@@ -121,7 +123,7 @@
 	return d
 }
 
-// ParseEventID reads the form that EventID.String writes.
+// ParseEventID parses the format that EventID.String returns.
 func ParseEventID(s string) (*EventID, error) {
 	p := strings.Split(s, "/")
 	if len(p) != 3 || p[0] == "" || p[1] == "" {
@@ -129,29 +131,30 @@
 	}
 	i, err := strconv.Atoi(p[2])
 	if err != nil || i < 0 {
-		return nil, fmt.Errorf("event id %q has no token index", s)
+		return nil, fmt.Errorf("event id %q has no valid token index", s)
 	}
 	return &EventID{Generation: p[1], Index: i, Upstream: p[0]}, nil
 }
 
-// WithMaxInProgress bounds the requests held at once.
-func WithMaxInProgress(n int) Option {
-	return func(d *Deliverer) { d.maxInProgress = n }
-}
-
-// WithBackoffs shares the times for which upstreams want nothing from this box with others that
-// send to them.
+// WithBackoffs sets the record of the back-offs that upstreams requested, to share it with other
+// senders of this box. By default, the deliverer has its own.
 func WithBackoffs(r *health.Backoffs) Option {
 	return func(d *Deliverer) { d.backoffs = r }
 }
 
-// WithStallTimeout sets after how long without a token a stream is opened anew.
+// WithMaxInProgress sets the maximum number of requests in progress. The default is 10,000.
+func WithMaxInProgress(n int) Option {
+	return func(d *Deliverer) { d.maxInProgress = n }
+}
+
+// WithStallTimeout sets how long a stream may go without a token before it is closed and resumed. The
+// default is 10 seconds.
 func WithStallTimeout(s time.Duration) Option {
 	return func(d *Deliverer) { d.stallTimeout = s }
 }
 
-// Abort ends the requests in progress and waits for them; outcomes that are not
-// recorded yet stay so.
+// Abort cancels the requests in progress and waits for them to end. Outcomes that are not recorded by
+// then are not recorded.
 func (d *Deliverer) Abort() error {
 	d.mutex.Lock()
 	d.closing = true
@@ -162,8 +165,8 @@
 	return nil
 }
 
-// Close refuses new requests, waits for those in progress, and gives outcomes
-// that are not recorded yet a moment more.
+// Close refuses new requests, waits for those in progress to end, and then for up to recordGracePeriod
+// for their outcomes to be recorded.
 func (d *Deliverer) Close() error {
 	d.mutex.Lock()
 	d.closing = true
@@ -176,8 +179,8 @@
 	return nil
 }
 
-// Generate carries q to its end. Its error tells what the client may conclude:
-// fail.NotRun, fail.Interrupted, fail.Unknown and the others as they say.
+// Generate handles q and returns when it has ended. The type of the error, such as fail.NotRun,
+// fail.Interrupted or fail.Unknown, tells the client whether the request ran.
 func (d *Deliverer) Generate(ctx context.Context, q *Request, sink Sink) error {
 	if err := d.admit(q.Work.Workspace); err != nil {
 		return d.recordEnd(err)
@@ -190,26 +193,73 @@
 	return d.recordEnd(s.run())
 }
 
-// InProgress returns how many requests are in progress.
+// InProgress returns the number of requests in progress.
 func (d *Deliverer) InProgress() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.inProgress
 }
 
-// Append adds to b the form that goes to clients as a server-sent event's id.
+// Append appends the ID to b in the format of the ids of server-sent events to clients,
+// UPSTREAM/GENERATION/INDEX.
 func (e EventID) Append(b []byte) []byte {
 	b = append(append(b, e.Upstream...), '/')
 	b = append(append(b, e.Generation...), '/')
 	return strconv.AppendInt(b, int64(e.Index), 10)
 }
 
-// String returns the form that Append adds.
+// String returns the ID in the format of Append.
 func (e EventID) String() string {
 	return string(e.Append(nil))
 }
 
-// recordEnd counts and logs how a request ended.
+// admit counts a new request of a workspace, or returns an error if the deliverer is closing or a limit
+// is reached. The caller calls release when an admitted request ends.
+func (d *Deliverer) admit(workspace string) error {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	p := fail.Origin{Peer: "client", Step: "accept"}
+	if d.closing {
+		return fail.WithRetryAt(fail.New(fail.NotRun, p, "box_leaving", "this box is leaving"), time.Now())
+	}
+	if d.inProgress >= d.maxInProgress {
+		return fail.WithRetryAt(fail.New(fail.NotRun, p, "too_many_streams", "this box has reached its limit of requests in progress"), time.Now().Add(time.Second))
+	}
+	if most := int(maxWorkspaceShare * float64(d.maxInProgress)); d.inProgressByWorkspace[workspace] >= max(1, most) {
+		return fail.WithRetryAt(fail.New(fail.NotRun, p, "workspace_streams", "the workspace has reached its share of the requests in progress at this box"), time.Now().Add(time.Second))
+	}
+	d.inProgressByWorkspace[workspace]++
+	d.inProgress++
+	d.retries.RecordRequest()
+	d.requests.Add(1)
+	return nil
+}
+
+// findPlace obtains a place at an upstream for a request. It fails at once if too many requests of the
+// workspace wait for one or all upstreams have requested back-off.
+func (d *Deliverer) findPlace(ctx context.Context, q *Request, avoid map[string]bool) (*placement.Place, error) {
+	w := q.Work.Workspace
+	d.mutex.Lock()
+	if q.MaxQueued > 0 && d.queuedByWorkspace[w] >= q.MaxQueued {
+		d.mutex.Unlock()
+		p := fail.Origin{Peer: "client", Step: "wait for a place"}
+		return nil, fail.WithRetryAt(fail.New(fail.NotRun, p, "workspace_queue_full", "%d requests of the workspace already wait for a place at this box", q.MaxQueued), time.Now().Add(time.Second))
+	}
+	d.queuedByWorkspace[w]++
+	d.mutex.Unlock()
+	defer func() {
+		d.mutex.Lock()
+		defer d.mutex.Unlock()
+		decrement(d.queuedByWorkspace, w)
+	}()
+	l, now := d.view.UpstreamsOfModel(q.Work.Model), time.Now()
+	if err := d.backoffs.AllBackingOffError(l, fail.Origin{Peer: "upstreams", Step: "choose"}, now); err != nil {
+		return nil, err
+	}
+	return d.Place(ctx, &q.Work, d.backoffs.Avoid(l, avoid, now))
+}
+
+// recordEnd counts and logs the outcome of a request. It returns err.
 func (d *Deliverer) recordEnd(err error) error {
 	r := fail.Reason(err)
 	switch {
@@ -227,7 +277,8 @@
 	return err
 }
 
-// recordInBackground records an outcome, again and again while the platform is out.
+// recordInBackground calls record until it succeeds, the key turns out to be held by another attempt,
+// recordTimeout has passed or the deliverer stops waiting.
 func (d *Deliverer) recordInBackground(record func(ctx context.Context) error) {
 	until := time.Now().Add(recordTimeout)
 	d.recorders.Go(func() {
@@ -250,26 +301,7 @@
 	})
 }
 
-func (d *Deliverer) admit(workspace string) error {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	p := fail.Origin{Peer: "client", Step: "accept"}
-	if d.closing {
-		return fail.WithRetryAt(fail.New(fail.NotRun, p, "box_leaving", "this box is leaving"), time.Now())
-	}
-	if d.inProgress >= d.maxInProgress {
-		return fail.WithRetryAt(fail.New(fail.NotRun, p, "too_many_streams", "this box holds its limit of requests"), time.Now().Add(time.Second))
-	}
-	if most := int(maxWorkspaceShare * float64(d.maxInProgress)); d.inProgressByWorkspace[workspace] >= max(1, most) {
-		return fail.WithRetryAt(fail.New(fail.NotRun, p, "workspace_streams", "the workspace holds its share of this box's requests"), time.Now().Add(time.Second))
-	}
-	d.inProgressByWorkspace[workspace]++
-	d.inProgress++
-	d.retries.RecordRequest()
-	d.requests.Add(1)
-	return nil
-}
-
+// release undoes admit.
 func (d *Deliverer) release(workspace string) {
 	d.mutex.Lock()
 	d.inProgress--
@@ -278,36 +310,14 @@
 	d.requests.Done()
 }
 
-// findPlace finds a place for a request, unless too many of its workspace wait for one.
-func (d *Deliverer) findPlace(ctx context.Context, q *Request, avoid map[string]bool) (*placement.Place, error) {
-	w := q.Work.Workspace
-	d.mutex.Lock()
-	if q.MaxQueued > 0 && d.queuedByWorkspace[w] >= q.MaxQueued {
-		d.mutex.Unlock()
-		p := fail.Origin{Peer: "client", Step: "wait for a place"}
-		return nil, fail.WithRetryAt(fail.New(fail.NotRun, p, "workspace_queue_full", "%d requests of the workspace wait here", q.MaxQueued), time.Now().Add(time.Second))
-	}
-	d.queuedByWorkspace[w]++
-	d.mutex.Unlock()
-	defer func() {
-		d.mutex.Lock()
-		defer d.mutex.Unlock()
-		decrement(d.queuedByWorkspace, w)
-	}()
-	l, now := d.view.UpstreamsOfModel(q.Work.Model), time.Now()
-	if err := d.backoffs.AllBackingOffError(l, fail.Origin{Peer: "upstreams", Step: "choose"}, now); err != nil {
-		return nil, err
-	}
-	return d.Place(ctx, &q.Work, d.backoffs.Avoid(l, avoid, now))
-}
-
+// takeRetry reports whether the retry budget allows a retry, and takes it from the budget.
 func (d *Deliverer) takeRetry() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.retries.Take()
 }
 
-// decrement takes one from a workspace's count, which goes with the last.
+// decrement decrements the count of a workspace and deletes it at zero.
 func decrement(counts map[string]int, workspace string) {
 	counts[workspace]--
 	if counts[workspace] <= 0 {
@@ -315,7 +325,7 @@
 	}
 }
 
-// newID returns a name that no other box will choose.
+// newID returns a globally unique random ID.
 func newID() string {
 	return strings.ToLower(rand.Text())
 }
--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -20,7 +20,8 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// TestSessions runs whole sessions under faults of the upstreams.
+// TestSessions runs requests against an engine with various faults. The client must see each token
+// exactly once, and the calls to the upstreams and the platform must match the golden file.
 func TestSessions(t *testing.T) {
 	for _, x := range []struct {
 		name   string
@@ -53,8 +54,8 @@
 	}
 }
 
-// TestEngineLostMidStream checks that an answer whose engine dies after tokens
-// were delivered ends as interrupted and is not spliced with another run.
+// TestEngineLostMidStream checks that a request whose engine restarts after tokens were delivered ends
+// as interrupted, and is not continued with the tokens of another generation.
 func TestEngineLostMidStream(t *testing.T) {
 	withRig(t, func(t *testing.T, r *rig) {
 		r.engines["engine-1"].SetFaults(engine.Faults{CutAfter: 3})
@@ -72,8 +73,8 @@
 	})
 }
 
-// TestEngineLostBeforeFirstToken checks that a request which may be repeated
-// runs elsewhere where nothing was delivered, and one with a key does not.
+// TestEngineLostBeforeFirstToken checks that a request without a key is retried at another upstream if
+// its engine is lost before the first token, and that one with a key is not.
 func TestEngineLostBeforeFirstToken(t *testing.T) {
 	for _, key := range []string{"", "k"} {
 		t.Run("key="+key, func(t *testing.T) {
@@ -103,7 +104,8 @@
 	}
 }
 
-// TestNotRunIsTrue checks that each refusal that says so left nothing running.
+// TestNotRunIsTrue checks for each cause of a refusal that its type is fail.NotRun, that it is counted,
+// that it carries a retry time where one is known, and that no generation was started.
 func TestNotRunIsTrue(t *testing.T) {
 	for _, x := range []struct {
 		name   string
@@ -129,7 +131,7 @@
 					t.Fatalf("got %v, want not run", err)
 				}
 				if fail.RetryAt(err).IsZero() && fail.Reason(err) != "no_upstream" && fail.Reason(err) != "upstream_unreachable" && fail.Reason(err) != "upstream_leaving" {
-					t.Errorf("%s: got no time to come back", fail.Reason(err))
+					t.Errorf("%s: got no retry time", fail.Reason(err))
 				}
 				if got, want := r.metrics.Value(metric.Refusals, "reason", fail.Reason(err)), uint64(1); got != want {
 					t.Errorf("counter of %s: got %d, want %d", fail.Reason(err), got, want)
@@ -142,8 +144,8 @@
 	}
 }
 
-// TestWorkspacesDoNotShutEachOtherOut lets one workspace ask for more than its
-// share: it is refused, and another is served.
+// TestWorkspacesDoNotShutEachOtherOut checks that a workspace that exceeds its share of requests in
+// progress or its queue limit is refused, while another workspace is served.
 func TestWorkspacesDoNotShutEachOtherOut(t *testing.T) {
 	for _, x := range []struct {
 		reason  string
@@ -189,8 +191,8 @@
 	}
 }
 
-// TestLostStartIsNeverNotRun checks that once the first byte has gone out and
-// nothing more is heard, the outcome is not called "not run".
+// TestLostStartIsNeverNotRun checks that a request is not reported as not run if the connection is lost
+// after the start was sent, and that a repeat does not start a second generation.
 func TestLostStartIsNeverNotRun(t *testing.T) {
 	withRig(t, func(t *testing.T, r *rig) {
 		r.link.Cut("engine-1", true)
@@ -207,7 +209,8 @@
 	})
 }
 
-// TestClientReturns takes up a generation at the token after the last one seen.
+// TestClientReturns checks that a client that reconnects receives the generation from the token after
+// the last one that it saw, and that another workspace cannot resume it.
 func TestClientReturns(t *testing.T) {
 	withRig(t, func(t *testing.T, r *rig) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -232,7 +235,7 @@
 		}
 		r.checkTokens(20)
 		if err := <-first; !errorx.IsOfType(err, fail.Interrupted) {
-			t.Errorf("the first connection: got %v, want interrupted", err)
+			t.Errorf("first connection: got %v, want interrupted", err)
 		}
 		other := r.request("length=20", "")
 		other.ResumeAfter, other.Work.Workspace = last, "another"
@@ -242,7 +245,8 @@
 	})
 }
 
-// TestClientGoneForGood checks that a generation nobody reads is cancelled.
+// TestClientGoneForGood checks that a generation is cancelled if its client disconnects and does not
+// reconnect.
 func TestClientGoneForGood(t *testing.T) {
 	withRig(t, func(t *testing.T, r *rig) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -250,13 +254,13 @@
 		_ = r.run(ctx, "a", r.request("length=2000", ""))
 		got := strings.Join(r.link.Calls(), "\n")
 		if want := "engine-1 DELETE"; !strings.Contains(got, want) {
-			t.Errorf("calls: got\n%s\nwant a %s", got, want)
+			t.Errorf("calls: got\n%s\nwant %s", got, want)
 		}
 	})
 }
 
-// TestLeavingUpstreamGetsNothingNew checks that what becomes known between the
-// place and the send keeps the request away.
+// TestLeavingUpstreamGetsNothingNew checks that a request is not sent to an upstream that is found to be
+// leaving after the place was granted and before the send.
 func TestLeavingUpstreamGetsNothingNew(t *testing.T) {
 	withRig(t, func(t *testing.T, r *rig) {
 		r.deliverer.RefreshViews = func(context.Context) {
@@ -275,7 +279,7 @@
 	})
 }
 
-// TestCloseCutsOffNothing closes the deliverer while requests run.
+// TestCloseCutsOffNothing checks that requests in progress complete when the deliverer is closed.
 func TestCloseCutsOffNothing(t *testing.T) {
 	withRig(t, func(t *testing.T, r *rig) {
 		done := make(chan error, 10)
@@ -308,7 +312,7 @@
 	}
 }
 
-// TestStageIsTruthful checks every pair of stage and error.
+// TestStageIsTruthful checks the types of the errors that correctError returns.
 func TestStageIsTruthful(t *testing.T) {
 	p := fail.Origin{Peer: "p", Step: "s"}
 	for _, x := range []struct {
@@ -336,6 +340,6 @@
 		}
 	}
 	if err := stageSent.correctError(errors.New("x"), 0); err == nil {
-		t.Error("an error was lost")
+		t.Error("untyped error: got nil")
 	}
 }
--- a/internal/delivery/follower.go
+++ b/internal/delivery/forwarder.go
@@ -14,24 +14,25 @@
 	"github.com/linetiller/linetiller/internal/upstream"
 )
 
-// forwarder relays the tokens of one generation, opening its stream anew after
-// a cut, a mismatch or a silence, at the token that is next.
+// forwarder forwards the tokens of one generation to the client. If the stream breaks, stalls or
+// contains unexpected frames, it reopens it at the next token.
 type forwarder struct {
-	generation string
+	generation string // id
 	running    *placement.Generation
 	session    *session
-	stream     *upstream.Stream
+	stream     *upstream.Stream // nil if the answer to the start was lost
 	upstream   *resource.Upstream
 
-	ctx   context.Context
-	token Token
+	ctx   context.Context // not cancelled when the client disconnects
+	token Token           // reused to avoid an allocation per token
 }
 
-// maxIdleReopens bounds how often in a row a stream is opened anew without a token.
+// maxIdleReopens limits how often in a row a stream is reopened without yielding a token.
 const maxIdleReopens = 100
 
-// run relays until the generation's end. An error of type fail.Interrupted
-// means that the generation is lost.
+// run forwards tokens until the generation ends. It returns errClientGone if the client disconnected
+// and the request has no key; with a key, it reads on to record the answer. An error of type
+// fail.Interrupted means that the generation is lost.
 func (f *forwarder) run() error {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(f.session.clientContext))
 	defer cancel()
@@ -55,7 +56,7 @@
 	}
 }
 
-// endError returns errClientGone where the relay ended because the client has gone.
+// endError returns errClientGone if err is not nil, which means that the client disconnected.
 func (f *forwarder) endError(err error) error {
 	if err != nil {
 		return errClientGone
@@ -63,10 +64,10 @@
 	return nil
 }
 
-// forwardStream passes tokens on until the stream ends or fails.
+// forwardStream forwards tokens until the generation ends or the stream fails.
 func (f *forwarder) forwardStream() error {
 	if f.stream == nil {
-		return fail.New(fail.Interrupted, f.upstreamPlace("open"), "start_lost", "the answer to the start was lost")
+		return fail.New(fail.Interrupted, f.upstreamPlace("open"), "start_lost", "the response to the start of the generation was lost")
 	}
 	x := f.stream
 	defer func() { _ = x.Close() }()
@@ -94,7 +95,8 @@
 	}
 }
 
-// forwardToken takes one frame to the client.
+// forwardToken sends a token to the client, and appends it to the answer to be recorded if the request
+// has a key.
 func (f *forwarder) forwardToken(v *upstream.Token) error {
 	s := f.session
 	if v.Finish == upstream.FinishCancelled {
@@ -122,8 +124,9 @@
 	return nil
 }
 
-// reopen opens the stream at the next token, and gives the generation up for
-// lost when the upstream does not know it or does not answer until lostAt.
+// reopen opens the stream at the next token. It fails if the generation was cancelled, if the upstream
+// does not know it or if the upstream cannot be reached until lostAt. cause is the error that ended
+// the previous stream.
 func (f *forwarder) reopen(lostAt time.Time, cause error) error {
 	d := f.session.deliverer
 	if fail.Reason(cause) == "cancelled" {
--- a/internal/delivery/key_test.go
+++ b/internal/delivery/key_test.go
@@ -14,7 +14,8 @@
 	"github.com/linetiller/linetiller/internal/requestkey"
 )
 
-// TestRequestKeyRunsOnce checks the repeats of a key, in each state it may be in.
+// TestRequestKeyRunsOnce checks that a repeat with the same key gets the recorded answer, and that a
+// different request with the key is a conflict.
 func TestRequestKeyRunsOnce(t *testing.T) {
 	withRig(t, func(t *testing.T, r *rig) {
 		for _, n := range []string{"a", "b"} {
@@ -24,7 +25,7 @@
 			synctest.Wait()
 		}
 		if err := r.run(t.Context(), "c", r.request("length=7", "k")); !errorx.IsOfType(err, fail.Conflict) {
-			t.Errorf("the key with another request: got %v, want a conflict", err)
+			t.Errorf("key with another request: got %v, want a conflict", err)
 		}
 		if got, want := r.started(), 1; got != want {
 			t.Errorf("generations started: got %d, want %d", got, want)
@@ -33,7 +34,8 @@
 	})
 }
 
-// TestRequestKeyAtTwoBoxesAtOnce races the same key at two boxes.
+// TestRequestKeyAtTwoBoxesAtOnce checks that two concurrent requests with the same key start one
+// generation and both get its answer.
 func TestRequestKeyAtTwoBoxesAtOnce(t *testing.T) {
 	withRig(t, func(t *testing.T, r *rig) {
 		done := make(chan error, 2)
@@ -52,7 +54,8 @@
 	})
 }
 
-// TestRequestKeyWithLostAnswers loses the answers of the table's writes.
+// TestRequestKeyWithLostAnswers checks that a request with a key runs once although answers to writes of
+// the table are lost.
 func TestRequestKeyWithLostAnswers(t *testing.T) {
 	for lost := 1; lost <= 3; lost++ {
 		t.Run(fmt.Sprint(lost), func(t *testing.T) {
@@ -72,8 +75,8 @@
 	}
 }
 
-// TestOutcomeIsRecordedAfterAnOutage takes the platform away while a request
-// with a key runs; a repeat after its return gets the recorded answer.
+// TestOutcomeIsRecordedAfterAnOutage checks that the outcome of a request with a key that ends during an
+// outage of the platform is recorded afterwards, so that a repeat gets the recorded answer.
 func TestOutcomeIsRecordedAfterAnOutage(t *testing.T) {
 	withRig(t, func(t *testing.T, r *rig) {
 		time.AfterFunc(60*time.Millisecond, func() { r.platform.SetFaults(fakeplatform.Faults{Down: true}) })
@@ -86,18 +89,18 @@
 		time.Sleep(time.Minute)
 		r.platform.SetFaults(fakeplatform.Faults{})
 		time.Sleep(time.Minute)
-		r.restartEngine("engine-1") // the engine has forgotten it: only the record is left
+		r.restartEngine("engine-1") // the restarted engine does not know the generation
 		if err := r.run(t.Context(), "c", r.request("length=6", "k")); err != nil {
 			t.Error(err)
 		}
 		if !strings.Contains(r.transcript(), "client c end stop at 6") {
-			t.Errorf("session: got\n%s\nwant the recorded answer for c", r.transcript())
+			t.Errorf("transcript: got\n%s\nwant the recorded answer for c", r.transcript())
 		}
 	})
 }
 
-// TestBoxKilledBetweenWriteAndSend leaves a key's row without a generation, as
-// a box does that dies in between: a repeat is told that the outcome is unknown.
+// TestBoxKilledBetweenWriteAndSend checks that a repeat is told that the outcome is unknown if the key is
+// claimed but its generation was never started, because the box was killed in between.
 func TestBoxKilledBetweenWriteAndSend(t *testing.T) {
 	withRig(t, func(t *testing.T, r *rig) {
 		q := r.request("length=6", "k")
--- a/internal/delivery/relay_test.go
+++ b/internal/delivery/relay_test.go
@@ -30,7 +30,7 @@
 	return &http.Response{Body: io.NopCloser(bytes.NewReader(b)), Header: make(http.Header), StatusCode: http.StatusOK}, nil
 }
 
-// newRelay returns a deliverer whose engine answers with n tokens at once.
+// newRelay returns a deliverer whose engine sends n tokens without delay, and a request to it.
 func newRelay(n int) (*Deliverer, *Request) {
 	var b []byte
 	for i := range n {
@@ -53,8 +53,8 @@
 	return d, &Request{Work: policy.Work{Deadline: time.Now().Add(time.Hour), ID: "w", MaxTokens: n, Model: "m"}}
 }
 
-// TestRelayAllocatesNothing compares the allocations of a short and of a long
-// relay: what they differ by is the cost of the tokens between.
+// TestRelayAllocatesNothing checks that forwarding a token does not allocate. It compares a short with a
+// long generation to exclude the allocations per request.
 func TestRelayAllocatesNothing(t *testing.T) {
 	const short, long = 1000, 11_000
 	count := func(n int) float64 {
@@ -66,7 +66,7 @@
 		})
 	}
 	if got, want := (count(long)-count(short))/(long-short), 0.01; got > want {
-		t.Errorf("allocations for each token: got %.3f, want at most %.3f", got, want)
+		t.Errorf("allocations per token: got %.3f, want at most %.3f", got, want)
 	}
 }
 
--- a/internal/delivery/rig_test.go
+++ b/internal/delivery/rig_test.go
@@ -35,15 +35,15 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// rig is a deliverer with two engines and a platform, in memory and virtual time.
+// rig is a deliverer with two fake engines and a fake platform, connected in memory.
 type rig struct {
 	deliverer *Deliverer
 	engines   map[string]*engine.Server
 	link      *link.Link
 	metrics   *metric.Set
-	mutex     sync.Mutex // guards session
+	mutex     sync.Mutex // guards lines
 	platform  *fakeplatform.Platform
-	lines     strings.Builder // what the client saw
+	lines     strings.Builder // what the clients did and saw
 	t         *testing.T
 	tracker   *placement.Tracker
 	view      *resource.View
@@ -79,11 +79,11 @@
 		for _, e := range r.engines {
 			_ = e.Close()
 		}
-		time.Sleep(time.Hour) // lets every stand-in's handler end
+		time.Sleep(time.Hour) // lets the handlers of the fakes end
 	})
 }
 
-// place gives the first upstream that is not avoided.
+// place grants a place at the first upstream that is not in avoid or leaving.
 func (r *rig) place(_ context.Context, _ *policy.Work, avoid map[string]bool) (*placement.Place, error) {
 	for _, n := range []string{"engine-1", "engine-2"} {
 		if u := r.view.Upstream(n); !avoid[n] && u != nil && !u.Spec.Leaving {
@@ -99,21 +99,21 @@
 	}}
 }
 
-// note adds a line to the session.
+// note adds a line to the transcript.
 func (r *rig) note(format string, arguments ...any) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	fmt.Fprintf(&r.lines, format+"\n", arguments...)
 }
 
-// transcript returns the session so far.
+// transcript returns what the clients did and saw so far.
 func (r *rig) transcript() string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.lines.String()
 }
 
-// run runs a request and notes what its client sees.
+// run runs a request for the named client and adds what the client sees to the transcript.
 func (r *rig) run(ctx context.Context, name string, q *Request) error {
 	r.note("client %s asks", name)
 	err := r.deliverer.Generate(ctx, q, func(t *Token) error {
@@ -130,6 +130,7 @@
 	return err
 }
 
+// restartEngine starts an engine, replacing the one of that name if there is one.
 func (r *rig) restartEngine(n string) {
 	old := r.engines[n]
 	r.engines[n] = engine.NewServer(engine.DefaultSettings(), 0)
@@ -139,6 +140,7 @@
 	}
 }
 
+// started returns the number of generations that the engines started.
 func (r *rig) started() int {
 	n := 0
 	for _, e := range r.engines {
@@ -149,8 +151,8 @@
 
 var idPattern = regexp.MustCompile(`[a-z0-9]{26}`)
 
-// golden compares the whole session, of the client and of the calls to the
-// upstreams and the platform, with its file.
+// golden compares the transcript and the calls to the upstreams and the platform with a golden file.
+// Generated IDs are replaced by numbered ones.
 func (r *rig) golden(name string) {
 	r.t.Helper()
 	ids := make(map[string]string)
@@ -175,12 +177,12 @@
 		r.t.Fatal(err)
 	}
 	if got != string(want) {
-		r.t.Errorf("session: got\n%s\nwant\n%s", got, want)
+		r.t.Errorf("transcript: got\n%s\nwant\n%s", got, want)
 	}
 }
 
-// checkTokens checks that client a saw tokens 0 to n-1, each once and in
-// order, of one generation, with the text that this generation has.
+// checkTokens checks that client a saw the tokens 0 to n-1 of one generation, each once, in order and with
+// the right text.
 func (r *rig) checkTokens(n int) {
 	r.t.Helper()
 	generation := ""
--- a/internal/delivery/session.go
+++ b/internal/delivery/session.go
@@ -19,25 +19,26 @@
 	"github.com/linetiller/linetiller/internal/upstream"
 )
 
-// session is one request on its way. It is used by one goroutine.
+// session is the state of one request. It is used by one goroutine.
 type session struct {
-	clientContext context.Context // ends when the client has gone
+	clientContext context.Context // cancelled when the client disconnects
 	deliverer     *Deliverer
 	request       *Request
 	sink          Sink
 
-	avoid      map[string]bool
-	claim      *requestkey.Claim
-	delivered  int  // tokens that have reached the client or were recorded
-	clientGone bool // the client has gone
+	avoid      map[string]bool   // names of upstreams not to try again
+	claim      *requestkey.Claim // nil unless this attempt holds the request key
+	delivered  int               // tokens that were sent to the client or are to be recorded
+	clientGone bool              // the client has disconnected
 	stage      stage
-	text       strings.Builder // of a request with a key, to be recorded
+	text       strings.Builder // the answer to be recorded; only if claim is set
 	times      meter.RequestTimes
 }
 
-// errClientGone says that the client has gone and nothing needs the generation.
-var errClientGone = errors.New("the client has gone")
+// errClientGone means that the client has disconnected and the generation is no longer needed.
+var errClientGone = errors.New("the client has disconnected")
 
+// run handles the request and returns its error for the client.
 func (s *session) run() error {
 	defer func() { s.deliverer.meter.End(&s.times) }()
 	if s.request.ResumeAfter != nil {
@@ -63,8 +64,7 @@
 	}
 }
 
-// attempt runs the request at one upstream. It reports whether the request may
-// be tried at another one.
+// attempt runs the request at one upstream. retry reports whether another upstream may be tried.
 func (s *session) attempt() (retry bool, err error) {
 	p, err := s.deliverer.findPlace(s.clientContext, s.request, s.avoid)
 	if err != nil {
@@ -90,14 +90,14 @@
 	ended = err == nil
 	if errors.Is(err, errClientGone) {
 		s.cancelUnread(f)
-		return false, fail.New(fail.Interrupted, fail.Origin{Peer: "client", Step: "deliver"}, "caller_gone", "the client has gone")
+		return false, fail.New(fail.Interrupted, fail.Origin{Peer: "client", Step: "deliver"}, "caller_gone", "the client has disconnected")
 	}
 	return err != nil && s.mayRetry(err), err
 }
 
-// cancelUnread cancels a generation that nobody reads any more, once the client has
-// had the time to come back through another box. A box that stops leaves it
-// running: its client may be on the way to another box.
+// cancelUnread waits for reconnectGracePeriod, so that the client can reconnect through any box, and
+// then cancels the generation if it has no reader. If the box stops meanwhile, the generation is left
+// running, because its client may be about to reconnect through another box.
 func (s *session) cancelUnread(f *forwarder) {
 	d := s.deliverer
 	select {
@@ -114,8 +114,9 @@
 	_ = d.engines.Cancel(ctx, f.upstream.Spec.Address, f.generation)
 }
 
-// recheckPlace makes sure, just before the send, that the place may still be used: the
-// box may have been paused since it was given.
+// recheckPlace checks, just before the send, that the place may still be used: the box's process may
+// have been suspended since the place was granted. It returns the place with the upstream as listed
+// now.
 func (s *session) recheckPlace(p *placement.Place) (*placement.Place, error) {
 	s.deliverer.RefreshViews(s.clientContext)
 	u := s.deliverer.view.Upstream(p.Upstream.Name)
@@ -126,15 +127,16 @@
 	}
 	if t := s.deliverer.backoffs.Until(u.Name, time.Now()); !t.IsZero() {
 		s.avoid[u.Name] = true
-		return nil, fail.WithRetryAt(fail.New(fail.NotRun, place, string(policy.ReasonResting), "the upstream wants rest"), t)
+		return nil, fail.WithRetryAt(fail.New(fail.NotRun, place, string(policy.ReasonResting), "the upstream asked for back-off"), t)
 	}
 	if p.Stale(time.Now()) {
-		return nil, fail.WithRetryAt(fail.New(fail.NotRun, place, "stale_place", "the place was given too long ago"), time.Now())
+		return nil, fail.WithRetryAt(fail.New(fail.NotRun, place, "stale_place", "the reserved place has expired"), time.Now())
 	}
 	return &placement.Place{GrantedAt: p.GrantedAt, Upstream: u}, nil
 }
 
-// finish settles the request's key and returns the request's final error.
+// finish releases the request key if nothing ran, or otherwise records the outcome under it. It returns
+// the error for the client.
 func (s *session) finish(err error) error {
 	if errors.Is(err, errAnswered) {
 		return nil
@@ -166,7 +168,7 @@
 	return s.clientError(err)
 }
 
-// mayRetry reports whether the request may be run at another upstream after err.
+// mayRetry reports whether the request may be sent to another upstream after err.
 func (s *session) mayRetry(err error) bool {
 	if s.delivered > 0 || s.clientGone {
 		return false
@@ -174,7 +176,7 @@
 	return errorx.IsOfType(err, fail.NotRun) || s.request.Key == ""
 }
 
-// clientError makes sure that what the client is told is true of the stage reached.
+// clientError returns err with the type that applies in the stage that the request has reached.
 func (s *session) clientError(err error) error {
 	if err == nil {
 		return nil
@@ -182,7 +184,7 @@
 	return s.stage.correctError(err, s.delivered)
 }
 
-// answerIfRepeated answers a request whose key was used before. It reports whether it did.
+// answerIfRepeated answers the request if its key was used before. It reports whether it was.
 func (s *session) answerIfRepeated() (bool, error) {
 	d := s.deliverer
 	k := requestkey.RowKey(s.request.Work.Workspace, s.request.Key)
@@ -196,6 +198,8 @@
 	return true, s.answerRepeat(c)
 }
 
+// answerRepeat answers the request from an earlier claim on its key: with the recorded answer, by
+// resuming a running generation, or with an error.
 func (s *session) answerRepeat(c *requestkey.Claim) error {
 	p := fail.Origin{Peer: "platform", Step: "look up request key"}
 	r := &c.Record
@@ -218,7 +222,7 @@
 	return fail.New(fail.Unknown, p, "outcome_unknown", "it is not known whether the request ran")
 }
 
-// replay sends a recorded answer as one piece.
+// replay sends a recorded answer to the client as a single token and the end.
 func (s *session) replay(r *requestkey.Record) error {
 	text, err := s.deliverer.keys.Answer(s.clientContext, r)
 	if err != nil {
@@ -232,7 +236,8 @@
 	return nil
 }
 
-// resume delivers a generation that already runs from a token index on.
+// resume forwards a generation that was started before, from the token with index from on. It fails
+// with fail.NotFound if the upstream does not know the generation or it is of another workspace.
 func (s *session) resume(name, generation string, from int) error {
 	d := s.deliverer
 	p := fail.Origin{Peer: "upstream " + name, Step: "resume for client"}
@@ -265,8 +270,8 @@
 	return s.clientError(err)
 }
 
-// resumeWhenStarted delivers a generation whose row was written but whose start may
-// still be on its way to the upstream.
+// resumeWhenStarted forwards a generation whose request key is claimed. Its start may not have reached
+// the upstream yet, so fail.NotFound is retried for startGracePeriod.
 func (s *session) resumeWhenStarted(name, generation string) error {
 	until := time.Now().Add(startGracePeriod)
 	for {
@@ -282,7 +287,8 @@
 	}
 }
 
-// start sends the request. From here on it is no longer certain that nothing ran.
+// start sends the request to the upstream. Unless it fails with fail.NotRun, the generation may be
+// running from then on.
 func (s *session) start(f *forwarder) error {
 	q := s.request
 	s.stage = stageSent
@@ -297,7 +303,7 @@
 		return err
 	}
 	if err != nil {
-		// The answer was lost: the generation may run. Its stream can still be had.
+		// The answer was lost, and the generation may be running. The forwarder tries to resume it.
 		event.UpstreamFailed.Log(s.deliverer.log, "upstream", f.upstream.Name, "reason", fail.Reason(err))
 		return nil
 	}
@@ -306,8 +312,9 @@
 	return nil
 }
 
-// recordRefusal takes in that an upstream ran nothing: it may want rest, or turn all away. Where it
-// found fault with the request, or could not be reached, it did neither.
+// recordRefusal records the back-off that an upstream requested when it rejected the request, or a
+// rejection without back-off if it accepts no new work. It records nothing if the upstream found the
+// request invalid or could not be reached.
 func (s *session) recordRefusal(u *resource.Upstream, err error) {
 	if t := fail.RetryAt(err); !t.IsZero() {
 		s.deliverer.backoffs.RecordBackoff(u, t)
@@ -316,7 +323,9 @@
 	}
 }
 
-// claimKey claims the request key for this attempt, or moves the claim on to it.
+// claimKey claims the request key, if there is one, for a generation at an upstream. If this request
+// already holds the key from an earlier attempt, it updates the claim. If another attempt holds it, it
+// answers the request from there and returns errAnswered.
 func (s *session) claimKey(name, generation string) error {
 	if s.request.Key == "" {
 		return nil
@@ -339,7 +348,8 @@
 	return nil
 }
 
-// answerFromHolder answers a request whose key another attempt took a moment ago.
+// answerFromHolder answers a request whose key was claimed concurrently by another attempt. It returns
+// errAnswered on success.
 func (s *session) answerFromHolder(c *requestkey.Claim) error {
 	err := s.answerRepeat(c)
 	if err == nil {
@@ -348,7 +358,7 @@
 	return err
 }
 
-// errAnswered says that the request was answered from another attempt.
+// errAnswered means that the request was answered from another attempt with the same key.
 var errAnswered = errors.New("answered from another attempt")
 
 func resumeError(p fail.Origin, err error) error {
@@ -358,7 +368,8 @@
 	return fail.WithRetryAt(fail.Wrap(fail.Unavailable, p, "resume_failed", err), time.Now().Add(time.Second))
 }
 
-// tableError refuses a request that needs the table while it cannot be had.
+// tableError returns the error of a request that cannot run because a call of the platform's table
+// failed with err. It is of type fail.NotRun, except that a conflict is returned as is.
 func tableError(err error) error {
 	if err == nil || errorx.IsOfType(err, fail.Conflict) {
 		return err
@@ -367,4 +378,5 @@
 	return fail.WithRetryAt(fail.Wrap(fail.NotRun, p, "table_unavailable", err), time.Now().Add(tableRetryAfter))
 }
 
+// tableRetryAfter is the retry delay given to clients while the platform's table is unavailable.
 const tableRetryAfter = 5 * time.Second
--- a/internal/delivery/stage.go
+++ b/internal/delivery/stage.go
@@ -6,9 +6,8 @@
 	"github.com/linetiller/linetiller/internal/fail"
 )
 
-// stage is how far a request has come. It moves from stageNotRun to stageSent
-// with the first byte that goes to an upstream, and back only where that
-// upstream itself confirms that it ran nothing.
+// stage tells whether a request may have run. It changes from stageNotRun to stageSent before the first
+// byte is sent to an upstream, and back only if it is certain that this upstream ran nothing.
 type stage string
 
 const (
@@ -16,8 +15,8 @@
 	stageSent   stage = "sent"
 )
 
-// correctError returns err in the type that is true of the stage: an error that
-// says that nothing ran is changed once something may have run.
+// correctError returns err with the type that applies in this stage after the given number of delivered
+// tokens. In particular, it never returns fail.NotRun for a request that may have run.
 func (s stage) correctError(err error, delivered int) error {
 	p := fail.Origin{Peer: fail.Peer(err), Step: fail.Step(err)}
 	if s == stageNotRun {
--- a/internal/requestkey/ledger.go
+++ b/internal/requestkey/recentclaims.go
@@ -7,10 +7,11 @@
 	"github.com/linetiller/linetiller/internal/revision"
 )
 
-// recentClaims holds the claims that this box wrote lately: a store that comes back from a copy may
-// have lost their rows.
+// recentClaims holds the claims that this box wrote recently, so that it can write them again if
+// the platform's store is restored from a backup that lacks their rows. It is safe for concurrent
+// use.
 type recentClaims struct {
-	claims  map[string]*recentClaim // by the row's key
+	claims  map[string]*recentClaim // by row key
 	mutex   sync.Mutex              // guards all fields
 	sweptAt time.Time
 }
@@ -22,23 +23,17 @@
 }
 
 const (
-	// recentClaimTTL is how long a claim is kept whose request has ended: copies are some
-	// seconds old, and at most as old as the store's history, 20 s.
+	// recentClaimTTL is how long the claim of an ended request is kept after its last write.
+	// Backups are normally a few seconds old, and never older than the store's history of 20 s.
 	recentClaimTTL = time.Minute
-	// maxRecentClaims bounds the claims that are kept; each holds up to maxInlineBytes of an answer.
+	// maxRecentClaims bounds memory use: each claim holds up to maxInlineBytes of an answer.
+	// Claims of running requests are kept even above this limit.
 	maxRecentClaims = 2048
-	// sweepInterval is the time between two looks for claims that need not be kept.
+	// sweepInterval is the minimum time between two sweeps below maxRecentClaims.
 	sweepInterval = 10 * time.Second
 )
 
-// remove forgets a claim.
-func (l *recentClaims) remove(key string) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	delete(l.claims, key)
-}
-
-// get returns a claim as it was written last, or nil.
+// get returns a copy of the claim as last written, or nil.
 func (l *recentClaims) get(key string) *Claim {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -50,17 +45,7 @@
 	return &c
 }
 
-// setRevision takes in the revision under which a claim was written again, unless it has been
-// written otherwise since.
-func (l *recentClaims) setRevision(c *Claim, to int64) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if x := l.claims[c.Key]; x != nil && x.Revision == c.Revision {
-		x.Revision = to
-	}
-}
-
-// keysBeforeEra returns the keys of the claims that were written in an era before one.
+// keysBeforeEra returns the row keys of the claims last written in an era before era.
 func (l *recentClaims) keysBeforeEra(era int64) []string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -73,7 +58,7 @@
 	return keys
 }
 
-// put keeps a claim as it was written.
+// put records a claim that was just written.
 func (l *recentClaims) put(c *Claim) {
 	now := time.Now()
 	l.mutex.Lock()
@@ -84,8 +69,24 @@
 	}
 }
 
-// sweep forgets claims of requests that have ended long ago, and more of those that have
-// ended where there are too many.
+func (l *recentClaims) remove(key string) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	delete(l.claims, key)
+}
+
+// setRevision sets the revision of a claim that was written again, unless the claim was updated
+// meanwhile.
+func (l *recentClaims) setRevision(c *Claim, to int64) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if x := l.claims[c.Key]; x != nil && x.Revision == c.Revision {
+		x.Revision = to
+	}
+}
+
+// sweep removes claims of ended requests: those older than recentClaimTTL, and any others for as
+// long as there are more than maxRecentClaims. The caller holds the mutex.
 func (l *recentClaims) sweep(now time.Time) {
 	l.sweptAt = now
 	for k, x := range l.claims {
--- a/internal/requestkey/requestkey.go
+++ b/internal/requestkey/requestkey.go
@@ -1,10 +1,10 @@
-// Package requestkey keeps, in the platform's table, the keys of requests that
-// may run at most once, with what became of them.
+// Package requestkey stores the keys of requests that may run at most once, and the outcomes of
+// these requests, in the platform's table.
 //
-// A key's row is inserted before the first byte goes to an upstream. Rows of
-// many requests are written in one transaction. A write whose answer was lost
-// is settled by sending it again: its conditions then fail, and the row that
-// stands there tells whether it was this one.
+// The row of a key is inserted before the first byte is sent to an upstream. Rows of many requests
+// are written in one transaction. If the answer to a write is lost, the write is sent again: if the
+// first one took effect, the condition of the second fails, and the current row shows whether this
+// box wrote it.
 package requestkey
 
 import (
@@ -19,52 +19,53 @@
 	"github.com/linetiller/linetiller/internal/table"
 )
 
-// State is what became of a request with a key.
+// State is the state of a request with a key.
 type State string
 
-// The states. A record only moves from running to one of the others.
+// The states. Only StateRunning changes, to one of the others.
 const (
 	StateFinished    State = "finished"
-	StateInterrupted State = "interrupted"
+	StateInterrupted State = "interrupted" // failed after part of the answer was produced
 	StateRunning     State = "running"
-	StateUnknown     State = "unknown"
+	StateUnknown     State = "unknown" // it is not known whether the request ran
 )
 
 // Record is the value of a key's row.
 type Record struct {
-	Body        string `json:"body,omitempty"`        // the answer, where it is small
-	ContentType string `json:"contentType,omitempty"` // service: of the answer
-	Finish      string `json:"finish,omitempty"`      // generation: why it ended
-	Generation  string `json:"generation,omitempty"`  // the id at the upstream
-	Object      string `json:"object,omitempty"`      // the object that holds the answer, where it is large
-	Fingerprint string `json:"print"`                 // hash of the request, which a repeat must match
+	Body        string `json:"body,omitempty"`        // the answer if it is small, otherwise see Object
+	ContentType string `json:"contentType,omitempty"` // of the answer; plain services only
+	Finish      string `json:"finish,omitempty"`      // why the generation ended; engines only
+	Generation  string `json:"generation,omitempty"`  // id of the generation at the upstream; engines only
+	Object      string `json:"object,omitempty"`      // name of the object that holds the answer if it is large
+	Fingerprint string `json:"print"`                 // hash of the request; a repeat must match it
 	State       State  `json:"state"`
-	Status      int    `json:"status,omitempty"` // service: of the answer
+	Status      int    `json:"status,omitempty"` // HTTP status of the answer; plain services only
 	Tokens      int    `json:"tokens,omitempty"`
-	AttemptID   string `json:"try"` // names the attempt that holds the key
+	AttemptID   string `json:"try"` // the attempt that holds the key
 	Upstream    string `json:"upstream,omitempty"`
 }
 
-// Claim is a key's row as this box last wrote or read it.
+// Claim is the row of a key as this box last wrote or read it.
 type Claim struct {
-	Key      string
+	Key      string // the row key
 	Record   Record
 	Revision int64
 }
 
-// Keys writes and reads the keys' rows. It is safe for concurrent use; Close
-// waits for its worker.
+// Keys reads and writes the rows of request keys. It is safe for concurrent use. Close stops its
+// goroutines.
 type Keys struct {
-	// Commit applies a transaction; a seam for tests.
+	// Commit applies a transaction. Tests replace it.
 	Commit func(ctx context.Context, t *table.Transaction) (*table.Result, error)
-	// Era returns the era of the store as this box knows it, and when it learned that the
-	// store came back from a copy, zero where it never did; a seam.
+	// Era returns the era of the store as known to this box, and when the box learned that the
+	// store was restored from a backup, or the zero time if it never was. Set it before use; by
+	// default the store never was.
 	Era func() (era int64, since time.Time)
-	// Get reads a row; a seam for tests.
+	// Get reads a row, or returns nil if there is none. Tests replace it.
 	Get func(ctx context.Context, key string) (*table.Row, error)
-	// GetObject reads an object; a seam for tests.
+	// GetObject reads an object, or returns nil if there is none. Tests replace it.
 	GetObject func(ctx context.Context, name string) ([]byte, error)
-	// PutObject writes an object; a seam for tests.
+	// PutObject writes an object. Tests replace it.
 	PutObject func(ctx context.Context, name string, b []byte) error
 
 	cancel  context.CancelFunc
@@ -72,23 +73,22 @@
 	recent  recentClaims
 	metrics *metric.Set
 	pending chan *pendingWrite
-	// restored holds a value where the store came back from a copy since claims were last
-	// written again.
+	// restored has a value if the store was restored since runRewrite last looked.
 	restored chan struct{}
 	workers  sync.WaitGroup
 }
 
 const (
 	maxBatchWrites       = 256
-	maxInlineBytes       = 16 << 10 // bytes of an answer kept in the row itself
+	maxInlineBytes       = 16 << 10 // size limit of an answer stored in the row itself
 	maxPendingWrites     = 4096
 	maxRetryDelay        = time.Second
 	minRetryDelay        = 20 * time.Millisecond
 	rowPrefix            = "request/"
-	maxConditionalWrites = 3 // of a write that meets the row of its own attempt under another revision
+	maxConditionalWrites = 3 // writes of one change if the row of its own attempt has another revision than expected
 )
 
-// New returns keys that are kept in the platform's table.
+// New returns the request keys in a table and starts their writer. The caller calls Close.
 func New(c *table.Store, m *metric.Set) *Keys {
 	ctx, cancel := context.WithCancel(context.Background())
 	k := &Keys{
@@ -102,13 +102,13 @@
 	return k
 }
 
-// RowKey returns the key of the row of a workspace's request key.
+// RowKey returns the row key for a request key of a workspace.
 func RowKey(workspace, key string) string {
 	return rowPrefix + workspace + "/" + key
 }
 
-// Answer returns the answer that a finished record holds. A fail.Unknown error means that
-// the store has lost it.
+// Answer returns the recorded answer of a finished request. It fails with fail.Unknown if the store
+// has lost the object that holds it.
 func (k *Keys) Answer(ctx context.Context, r *Record) (string, error) {
 	if r.Object == "" {
 		return r.Body, nil
@@ -120,17 +120,18 @@
 	return string(b), err
 }
 
-// Close gives up on rows not written yet and waits for the worker.
+// Close abandons rows that are not yet written and waits for the goroutines to end.
 func (k *Keys) Close() error {
 	k.cancel()
 	k.workers.Wait()
 	return nil
 }
 
-// Insert claims a key. Where another attempt holds it, it returns that
-// attempt's claim and false. An error means that the key is not held: what may
-// have reached the table is taken back as soon as it answers. No key is claimed while
-// others may have yet to write theirs again to a store that was restored.
+// Insert claims a key. If another attempt holds it, Insert returns that attempt's claim and false.
+//
+// An error means that the key is not claimed: a row that reached the table all the same is deleted
+// once the table answers. For claimHoldOff after the store was restored, Insert refuses every claim,
+// because other boxes may not yet have rewritten the rows of theirs.
 func (k *Keys) Insert(ctx context.Context, key string, r Record) (*Claim, bool, error) {
 	era, since := k.Era()
 	if !since.IsZero() && time.Since(since) < claimHoldOff {
@@ -155,7 +156,7 @@
 	return c, true, nil
 }
 
-// Lookup returns the claim on a key, or nil.
+// Lookup returns the claim on a key, or nil if there is none.
 func (k *Keys) Lookup(ctx context.Context, key string) (*Claim, error) {
 	r, err := k.Get(ctx, key)
 	if err != nil || r == nil {
@@ -164,7 +165,7 @@
 	return decodeClaim(r)
 }
 
-// Release removes a claim on a key whose request did not run.
+// Release deletes the claim of a request that did not run.
 func (k *Keys) Release(ctx context.Context, c *Claim) error {
 	k.recent.remove(c.Key)
 	r := c.Revision
@@ -184,7 +185,8 @@
 	return nil
 }
 
-// StoreAnswer puts the answer into r, in an object of its own where it is large.
+// StoreAnswer puts the answer into r, or into an object of its own if it is larger than
+// maxInlineBytes.
 func (k *Keys) StoreAnswer(ctx context.Context, key string, r *Record, answer string) error {
 	if len(answer) <= maxInlineBytes {
 		r.Body = answer
@@ -194,8 +196,9 @@
 	return k.PutObject(ctx, r.Object, []byte(answer))
 }
 
-// Update writes a new record under a claim and moves the claim on. A claim that a restored
-// store has lost, or holds as it was, is written all the same.
+// Update writes a new record for a claim and updates c. It also succeeds if a restored store has lost
+// the row or holds an older version of it. It fails with fail.Conflict if another attempt holds the
+// key.
 func (k *Keys) Update(ctx context.Context, c *Claim, r Record) error {
 	condition := c.Revision
 	for range maxConditionalWrites {
@@ -220,7 +223,7 @@
 func decodeClaim(r *table.Row) (*Claim, error) {
 	c := &Claim{Key: r.Key, Revision: r.Revision}
 	if r.Deleted {
-		return nil, fail.New(fail.Conflict, writePlace(), "key_taken", "the key's row was removed meanwhile")
+		return nil, fail.New(fail.Conflict, writePlace(), "key_taken", "the row of the request key was deleted concurrently")
 	}
 	if err := json.Unmarshal(r.Value, &c.Record); err != nil {
 		return nil, fail.Wrap(fail.Unknown, writePlace(), "platform_garbled", err)
@@ -231,12 +234,13 @@
 func encodeRecord(r *Record) json.RawMessage {
 	b, err := json.Marshal(r)
 	if err != nil {
-		panic("requestkey: a record can always be encoded: " + err.Error())
+		panic("requestkey: cannot encode record: " + err.Error())
 	}
 	return b
 }
 
-// newWrite returns the write of a record under a condition; 0 means that there is no row.
+// newWrite returns a write of a record on condition that the row has the given revision, or does not
+// exist if it is 0.
 func newWrite(key string, condition int64, r *Record) *pendingWrite {
 	return &pendingWrite{condition: table.Condition{Key: key, Revision: condition}, write: table.Write{Key: key, Value: encodeRecord(r)}}
 }
--- a/internal/requestkey/requestkey_test.go
+++ b/internal/requestkey/requestkey_test.go
@@ -20,13 +20,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// slowTable is a table whose commits take a while and may lose their answers.
+// slowTable is a table whose commits are delayed and can fail.
 type slowTable struct {
 	commits     int
 	delay       time.Duration
-	loseAnswer  func(commit int) bool // takes effect without an answer
+	loseAnswer  func(commit int) bool // whether to commit but report a lost answer
 	mutex       sync.Mutex
-	unavailable func() bool // takes no effect
+	unavailable func() bool // whether to reject without committing
 	platform    *fakeplatform.Platform
 }
 
@@ -69,15 +69,15 @@
 	return Record{Fingerprint: "p", State: StateRunning, AttemptID: attemptID}
 }
 
-// TestInsertsShareTransactions measures writes per key where many boxes' worth
-// of requests come at once: 400 keys in the time of a few transactions.
+// TestInsertsShareTransactions checks that concurrent inserts are batched: 400 keys at 1,000 per
+// second, which is the load of many boxes, take at most 25 transactions of 20 ms.
 func TestInsertsShareTransactions(t *testing.T) {
 	b := &slowTable{delay: 20 * time.Millisecond}
 	withKeys(t, b, func(t *testing.T, k *Keys, _ *metric.Set) {
 		var g sync.WaitGroup
 		for i := range 400 {
 			g.Go(func() {
-				time.Sleep(time.Duration(i) * time.Millisecond) // 1,000 a second
+				time.Sleep(time.Duration(i) * time.Millisecond) // 1,000 per second
 				if _, ours, err := k.Insert(t.Context(), fmt.Sprint(i), record("t")); !ours || err != nil {
 					t.Errorf("key %d: got %v %v", i, ours, err)
 				}
@@ -85,13 +85,13 @@
 		}
 		g.Wait()
 		if got, want := b.commits, 25; got > want {
-			t.Errorf("transactions for 400 keys at 1,000 a second: got %d, want at most %d", got, want)
+			t.Errorf("transactions for 400 keys at 1,000 per second: got %d, want at most %d", got, want)
 		}
 	})
 }
 
-// TestLostAnswersAreSettled loses every other answer: each key is held by
-// exactly the try that inserted it first.
+// TestLostAnswersAreSettled checks that exactly one of three concurrent attempts claims each key
+// although every other answer of the table is lost.
 func TestLostAnswersAreSettled(t *testing.T) {
 	b := &slowTable{delay: time.Millisecond, loseAnswer: func(n int) bool { return n%2 == 1 }}
 	withKeys(t, b, func(t *testing.T, k *Keys, _ *metric.Set) {
@@ -112,7 +112,7 @@
 						winners[i]++
 					}
 					if got, want := c.Record.AttemptID == fmt.Sprint(attempt), ours; got != want {
-						t.Errorf("key %d: the row is of this try: got %v, want %v", i, got, want)
+						t.Errorf("key %d: row is of this attempt: got %v, want %v", i, got, want)
 					}
 				})
 			}
@@ -126,8 +126,8 @@
 	})
 }
 
-// TestGivenUpInsertIsTakenBack gives up on an insert whose answer was lost, as a
-// box does that refuses with "not run": the row must not stay.
+// TestGivenUpInsertIsTakenBack checks that the row of an abandoned insert is deleted if its answer
+// was lost. The box then tells the client that the request did not run, so the row must not remain.
 func TestGivenUpInsertIsTakenBack(t *testing.T) {
 	var down atomic.Bool
 	b := &slowTable{delay: time.Millisecond, loseAnswer: func(n int) bool { return n == 1 }}
@@ -137,10 +137,10 @@
 		defer cancel()
 		time.AfterFunc(2*time.Millisecond, func() { down.Store(true) })
 		if _, _, err := k.Insert(ctx, "k", record("t")); err == nil || fail.Reason(err) != "platform_slow" {
-			t.Errorf("got %v, want to have given up", err)
+			t.Errorf("got %v, want platform_slow", err)
 		}
 		if b.platform.Row("k") == nil {
-			t.Fatal("the lost write did not take effect; the test proves nothing")
+			t.Fatal("row: got none, want the write whose answer was lost")
 		}
 		down.Store(false)
 		time.Sleep(5 * time.Second)
@@ -207,9 +207,9 @@
 		synctest.Wait()
 		_ = k.Close()
 		if err := <-done; err == nil {
-			t.Error("an insert that was not made succeeded")
+			t.Error("insert not committed: got no error")
 		} else if errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("got %v, want to be told of the close", err)
+			t.Errorf("got %v, want an error because of the close", err)
 		}
 	})
 }
--- a/internal/requestkey/restored.go
+++ b/internal/requestkey/restored.go
@@ -10,30 +10,30 @@
 	"github.com/linetiller/linetiller/internal/revision"
 )
 
-// Where the store came back from a copy, rows of keys may be lost. The boxes that wrote them
-// write them again, and until they had the time for that no box claims a key: the request that
-// holds it may run.
+// If the platform's store is restored from a backup, rows of request keys may be lost. The boxes that
+// wrote them write them again. Until they have had time to do so, no box claims a key, because the
+// request that holds it may still be running.
 
 const (
-	// rewriteInterval is the time between two tries to write claims again.
+	// rewriteInterval is the time between two attempts to rewrite lost claims.
 	rewriteInterval = 500 * time.Millisecond
-	// maxConcurrentRewrites bounds the claims that wait to be written again; they share transactions.
+	// maxConcurrentRewrites bounds the concurrent rewrites, which share transactions.
 	maxConcurrentRewrites = maxBatchWrites
-	// claimHoldOff is how long after a box learned that the store was restored it claims no
-	// keys: others hear of it within a second or two, and write theirs again at once.
+	// claimHoldOff is how long a box claims no keys after it learned that the store was restored.
+	// The other boxes learn of it within one or two seconds and rewrite their claims at once.
 	claimHoldOff = 5 * time.Second
 )
 
-// StoreRestored takes in that the store came back from a copy, and has this box's claims written
-// again.
+// StoreRestored reports that the store was restored from a backup. The claims of this box are then
+// rewritten in the background.
 func (k *Keys) StoreRestored() {
 	select {
 	case k.restored <- struct{}{}:
-	default: // it is about to be looked at
+	default: // a rewrite is already pending
 	}
 }
 
-// runRewrite writes claims again whenever the store came back from a copy.
+// runRewrite rewrites claims whenever the store was restored from a backup.
 func (k *Keys) runRewrite() {
 	for {
 		select {
@@ -45,8 +45,8 @@
 	}
 }
 
-// rewriteLostClaims writes all claims again that the store may have lost, until it has them or others
-// may claim their keys.
+// rewriteLostClaims rewrites all claims that the store may have lost. It retries until the store has
+// them all or claimHoldOff has passed, after which other boxes may claim their keys.
 func (k *Keys) rewriteLostClaims() {
 	t := time.NewTicker(rewriteInterval)
 	defer t.Stop()
@@ -64,7 +64,7 @@
 	}
 }
 
-// rewriteClaims writes claims again.
+// rewriteClaims rewrites the claims with the given row keys and counts the outcomes.
 func (k *Keys) rewriteClaims(keys []string) {
 	var g errgroup.Group
 	g.SetLimit(maxConcurrentRewrites)
@@ -79,18 +79,18 @@
 	_ = g.Wait()
 }
 
-// rewriteOutcome is what became of writing a claim again.
+// rewriteOutcome is the outcome of rewriting a claim, as counted in metric.RequestKeyRewrites.
 type rewriteOutcome string
 
-// The outcomes of writing a claim again.
+// The outcomes of rewriting a claim.
 const (
-	rewriteFailed  rewriteOutcome = "failed"  // the store did not answer, or refused
-	rewriteKept    rewriteOutcome = "kept"    // the store has the outcome of the request
+	rewriteFailed  rewriteOutcome = "failed"  // the store did not answer or rejected the write
+	rewriteKept    rewriteOutcome = "kept"    // the store already has the outcome of the request
 	rewriteTaken   rewriteOutcome = "taken"   // another attempt holds the key
-	rewriteWritten rewriteOutcome = "written" // the store has the claim as it was
+	rewriteWritten rewriteOutcome = "written" // the claim was written
 )
 
-// rewriteClaim writes a claim again: where the row is lost, or is of the same attempt and older.
+// rewriteClaim rewrites a claim if its row is lost or is an older one of the same attempt.
 func (k *Keys) rewriteClaim(c *Claim) rewriteOutcome {
 	o := k.write(k.ctx, newWrite(c.Key, 0, &c.Record))
 	if o.err == nil && o.current != nil {
@@ -109,7 +109,7 @@
 	if o.err != nil || o.current != nil {
 		return rewriteFailed
 	}
-	if k.recent.get(c.Key) == nil { // it was released meanwhile
+	if k.recent.get(c.Key) == nil { // released meanwhile
 		_ = k.Release(k.ctx, &Claim{Key: c.Key, Record: c.Record, Revision: o.revision})
 		return rewriteWritten
 	}
@@ -117,13 +117,14 @@
 	return rewriteWritten
 }
 
-// storeRestoredError returns the error of a key that is not claimed since the store was restored.
+// storeRestoredError returns the error for a claim that is refused because the store was restored.
 func storeRestoredError() error {
-	return fail.New(fail.Unavailable, writePlace(), "platform_restored", "the store was restored, and may have lost who holds the key")
+	return fail.New(fail.Unavailable, writePlace(), "platform_restored", "the store was restored from a backup and may have lost a claim on the key")
 }
 
-// retryCondition returns the revision under which a claim can be written, where a row stood in the
-// way of a write: that of the same attempt, or none where the store has lost the row.
+// retryCondition returns the revision on which a write of c should be conditioned after o reported a
+// conflicting row. This is the row's revision if the row is of the same attempt, and 0, for no row, if
+// a restored store has lost it. Otherwise it returns false.
 func (c *Claim) retryCondition(o *writeResult) (condition int64, ok bool) {
 	if o.current.Deleted {
 		return 0, revision.Era(o.revision) > revision.Era(c.Revision)
--- a/internal/requestkey/restored_test.go
+++ b/internal/requestkey/restored_test.go
@@ -17,22 +17,22 @@
 	"github.com/linetiller/linetiller/platform"
 )
 
-// testBox is a box that keeps request keys in a store.
+// testBox holds the request keys of one box and what the box knows of the store's era.
 type testBox struct {
 	*Keys
-	era   int64      // that it knows of
+	era   int64      // the store's era as known to the box
 	mutex sync.Mutex // guards era and since
-	since time.Time
+	since time.Time  // when the box learned of the era
 }
 
-// storeEra returns what the box knows of the store's era.
+// storeEra implements Keys.Era.
 func (b *testBox) storeEra() (int64, time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.era, b.since
 }
 
-// learnEra has the box hear of the store's era.
+// learnEra tells the box the store's current era.
 func (b *testBox) learnEra(p *fakeplatform.Platform) {
 	era := p.Era()
 	b.mutex.Lock()
@@ -46,7 +46,7 @@
 	}
 }
 
-// withBoxes runs f with two boxes on one store, in virtual time.
+// withBoxes runs f in virtual time with two boxes that share a store.
 func withBoxes(t *testing.T, f func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, b *testBox)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -69,7 +69,7 @@
 
 const testRowKey = "request/w/k"
 
-// claim claims the one key of a test.
+// claim claims testRowKey.
 func (b *testBox) claim(ctx context.Context, t *testing.T, attemptID string) *Claim {
 	t.Helper()
 	c, ours, err := b.Insert(ctx, testRowKey, record(attemptID))
@@ -79,7 +79,7 @@
 	return c
 }
 
-// checkRow checks what the store holds under the one key of a test.
+// checkRow checks the attempt and state in the row of testRowKey; "none" and "" stand for no row.
 func checkRow(t *testing.T, p *fakeplatform.Platform, when, attemptID string, s State) {
 	t.Helper()
 	got := "none"
@@ -95,14 +95,14 @@
 	}
 }
 
-// TestKeyThatTheStoreForgot has the store lose the row of a request that runs. Until the box
-// that holds the key has written it again, no other box claims it, whether it has heard that
-// the store was restored or not; and then the repeat finds the request.
+// TestKeyThatTheStoreForgot checks that no other box claims the key of a running request whose row was
+// lost when the store was restored, whether or not that box has learned of the restore. Once the
+// holder has rewritten the row, a repeat finds the request.
 func TestKeyThatTheStoreForgot(t *testing.T) {
 	for _, x := range []struct {
 		name       string
-		otherFirst bool // the other box hears of it, or asks, before the holder does
-		hears      bool // the other box hears of it before it asks
+		otherFirst bool // the other box inserts before the holder learns of the restore
+		learns     bool // the other box learns of the restore before it inserts
 	}{
 		{"both have heard", false, true},
 		{"the holder hears later", true, true},
@@ -115,12 +115,12 @@
 				a.claim(ctx, t, "first")
 				p.Restore()
 				repeat := func() {
-					if x.hears {
+					if x.learns {
 						b.learnEra(p)
 					}
 					c, ours, err := b.Insert(ctx, testRowKey, record("second"))
 					if ours || (err == nil && c.Record.AttemptID != "first") || (err != nil && !errorx.IsOfType(err, fail.Unavailable)) {
-						t.Errorf("the repeat: got %+v %v %v, want the first claim or a refusal", c, ours, err)
+						t.Errorf("repeat: got %+v %v %v, want the first claim or a refusal", c, ours, err)
 					}
 				}
 				if x.otherFirst {
@@ -128,7 +128,7 @@
 				}
 				a.learnEra(p)
 				time.Sleep(2 * time.Second)
-				checkRow(t, p, "2 s after the holder heard", "first", StateRunning)
+				checkRow(t, p, "2 s after the holder learned of the restore", "first", StateRunning)
 				if !x.otherFirst {
 					repeat()
 				}
@@ -136,20 +136,20 @@
 				time.Sleep(claimHoldOff)
 				c, ours, err := b.Insert(ctx, testRowKey, record("third"))
 				if ours || err != nil || c.Record.AttemptID != "first" {
-					t.Errorf("a later repeat: got %+v %v %v, want the first claim", c, ours, err)
+					t.Errorf("later repeat: got %+v %v %v, want the first claim", c, ours, err)
 				}
 			})
 		})
 	}
 }
 
-// TestOutcomeAfterTheStoreWasRestored writes what became of a request whose row the store has
-// lost, or holds as it was before.
+// TestOutcomeAfterTheStoreWasRestored checks that the outcome of a request is recorded although the
+// restored store has lost the row or holds an older version of it.
 func TestOutcomeAfterTheStoreWasRestored(t *testing.T) {
 	for _, x := range []struct {
-		name   string
-		copied bool // the copy holds the row
-		heard  bool // the box has heard of it as the request ends
+		name    string
+		copied  bool // the backup contains the row
+		learned bool // the box learns of the restore before the request ends
 	}{{"lost", false, true}, {"older", true, true}, {"lost, unheard", false, false}, {"older, unheard", true, false}} {
 		t.Run(x.name, func(t *testing.T) {
 			withBoxes(t, func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, _ *testBox) {
@@ -164,12 +164,12 @@
 					t.Fatal(err)
 				}
 				p.Restore()
-				if x.heard {
+				if x.learned {
 					a.learnEra(p)
 				}
 				r.State = StateFinished
 				if err := a.Update(ctx, c, r); err != nil {
-					t.Errorf("got %v, want it written", err)
+					t.Errorf("update after the restore: got %v", err)
 				}
 				checkRow(t, p, "written", "first", StateFinished)
 			})
@@ -177,8 +177,8 @@
 	}
 }
 
-// TestReleasedKeyStaysReleased releases a key whose row the copy lacks, or holds: nothing is
-// written again.
+// TestReleasedKeyStaysReleased checks that the claim on a key is not rewritten if it is released right
+// after the store was restored from a backup that contains its row.
 func TestReleasedKeyStaysReleased(t *testing.T) {
 	withBoxes(t, func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, _ *testBox) {
 		c := a.claim(ctx, t, "first")
@@ -193,8 +193,8 @@
 	})
 }
 
-// TestAnswerThatTheStoreLost looks for the object of a recorded answer that the store has
-// lost: it is not taken for an empty answer.
+// TestAnswerThatTheStoreLost checks that a recorded answer whose object a restored store has lost is
+// an error, not an empty answer.
 func TestAnswerThatTheStoreLost(t *testing.T) {
 	withBoxes(t, func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, _ *testBox) {
 		p.Copy()
@@ -207,19 +207,19 @@
 		}
 		p.Restore()
 		if got, err := a.Answer(ctx, &r); !errorx.IsOfType(err, fail.Unknown) {
-			t.Errorf("got %q %v, want that the outcome is unknown", got, err)
+			t.Errorf("got %q %v, want an unknown outcome", got, err)
 		}
 	})
 }
 
-// TestKeyIsNotClaimedAsTheStoreIsRestored has a box hear that the store was restored at the
-// very moment at which it begins to claim a key: it claims none.
+// TestKeyIsNotClaimedAsTheStoreIsRestored checks that Insert refuses a claim if the box learns between
+// the first check and the write that the store was restored.
 func TestKeyIsNotClaimedAsTheStoreIsRestored(t *testing.T) {
 	withBoxes(t, func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, _ *testBox) {
 		p.Copy()
 		p.Restore()
 		if _, _, err := a.Insert(ctx, "request/w/other", record("t")); err == nil {
-			t.Fatal("the first claim, which tells the era: got it held, want a refusal")
+			t.Fatal("first claim, which reveals the era: got no error, want a refusal")
 		}
 		asked := 0
 		a.Era = func() (int64, time.Time) {
--- a/internal/requestkey/writer.go
+++ b/internal/requestkey/writer.go
@@ -13,24 +13,24 @@
 	"github.com/linetiller/linetiller/internal/table"
 )
 
-// pendingWrite is one row that waits to be written.
+// pendingWrite is a conditional write or deletion of one row that waits in the queue.
 type pendingWrite struct {
-	abandoned atomic.Bool // nobody waits for it any more
+	abandoned atomic.Bool // the caller no longer waits for the result
 	condition table.Condition
-	done      chan writeResult
-	insert    bool
+	done      chan writeResult // has room for the result
+	insert    bool             // claims a key, and must be undone if it is abandoned
 	write     table.Write
 }
 
-// writeResult is what became of an item.
+// writeResult is the result of a pendingWrite.
 type writeResult struct {
-	current  *table.Row // the row that stood in the way
+	current  *table.Row // the conflicting row if the condition failed
 	err      error
-	revision int64 // of the row that was written, or of the store where a row stood in the way
+	revision int64 // of the written row, or of the store if the condition failed
 }
 
-// collectBatch returns first and what else waits, up to a batch; a row that stands
-// in the batch already waits for the next one.
+// collectBatch returns first and further queued writes, up to maxBatchWrites. It stops at a write to
+// a row that is already in the batch, which it returns as deferred, to go first in the next batch.
 func (k *Keys) collectBatch(first *pendingWrite) (batch []*pendingWrite, deferred *pendingWrite) {
 	batch = []*pendingWrite{first}
 	seen := map[string]bool{first.write.Key: true}
@@ -49,8 +49,8 @@
 	return batch, nil
 }
 
-// commitBatch writes a batch, again and again until the platform has told what
-// became of it or nobody waits any more.
+// commitBatch commits a batch. It retries with exponential back-off until the result of each write is
+// known or no caller waits for it any more.
 func (k *Keys) commitBatch(batch []*pendingWrite) {
 	delay := minRetryDelay
 	uncertain := false
@@ -80,25 +80,8 @@
 	}
 }
 
-func (k *Keys) runWriter() {
-	var deferred *pendingWrite
-	for {
-		first := deferred
-		if first == nil {
-			select {
-			case <-k.ctx.Done():
-				return
-			case first = <-k.pending:
-			}
-		}
-		var batch []*pendingWrite
-		batch, deferred = k.collectBatch(first)
-		k.commitBatch(batch)
-	}
-}
-
-// completeWrites tells the callers that their rows are written. A row that was inserted
-// for a caller who has gone, having been told that nothing ran, is taken back.
+// completeWrites reports to the callers that their rows are written. It undoes inserts whose callers
+// have given up, because their clients were told that the request did not run.
 func (k *Keys) completeWrites(batch []*pendingWrite, revision int64) {
 	for _, i := range batch {
 		if i.insert && i.abandoned.Load() {
@@ -109,7 +92,8 @@
 	}
 }
 
-// resolveConflicts answers the items whose conditions fail and returns the others.
+// resolveConflicts handles a transaction that was rejected with result x. It reports the result of
+// the writes whose conditions failed, and returns the others, which are to be committed again.
 func (k *Keys) resolveConflicts(batch []*pendingWrite, x *table.Result) []*pendingWrite {
 	rows := make(map[string]*table.Row, len(x.Current))
 	for n := range x.Current {
@@ -130,6 +114,25 @@
 	return unresolved
 }
 
+// runWriter commits queued writes in batches until Close.
+func (k *Keys) runWriter() {
+	var deferred *pendingWrite
+	for {
+		first := deferred
+		if first == nil {
+			select {
+			case <-k.ctx.Done():
+				return
+			case first = <-k.pending:
+			}
+		}
+		var batch []*pendingWrite
+		batch, deferred = k.collectBatch(first)
+		k.commitBatch(batch)
+	}
+}
+
+// undoInsert queues the deletion of the row that i inserted under the given revision.
 func (k *Keys) undoInsert(i *pendingWrite, revision int64) {
 	undo := &pendingWrite{
 		condition: table.Condition{Key: i.write.Key, Revision: revision},
@@ -139,17 +142,19 @@
 	select {
 	case k.pending <- undo:
 	default:
-		// The queue is full: the row stays as running, and a repeat is told that
-		// the outcome is unknown.
+		// The queue is full. The row remains in StateRunning, so that a repeat of the request
+		// is told that the outcome is unknown.
 	}
 }
 
+// write queues a write and waits for its result. It fails with fail.Unavailable if the queue is full,
+// ctx ends or Keys is closed.
 func (k *Keys) write(ctx context.Context, i *pendingWrite) writeResult {
 	i.done = make(chan writeResult, 1)
 	select {
 	case k.pending <- i:
 	default:
-		return writeResult{err: fail.New(fail.Unavailable, writePlace(), "key_queue_full", "too many rows wait to be written")}
+		return writeResult{err: fail.New(fail.Unavailable, writePlace(), "key_queue_full", "the write queue for request keys is full")}
 	}
 	select {
 	case o := <-i.done:
@@ -161,7 +166,8 @@
 	}
 }
 
-// abandon gives up on an item, unless its outcome came at the last moment.
+// abandon gives up waiting for i and returns an error. If i was an insert that completed at the last
+// moment, abandon undoes it.
 func (k *Keys) abandon(i *pendingWrite, err error) writeResult {
 	i.abandoned.Store(true)
 	select {
@@ -174,7 +180,8 @@
 	return writeResult{err: fail.Wrap(fail.Unavailable, writePlace(), "platform_slow", err)}
 }
 
-// alreadyApplied reports whether r is what i wants to write, written by an earlier send.
+// alreadyApplied reports whether r is the result of i, written by an earlier commit whose answer was
+// lost.
 func (i *pendingWrite) alreadyApplied(r *table.Row) bool {
 	if i.write.Delete {
 		return r.Deleted
@@ -182,9 +189,9 @@
 	return !r.Deleted && bytes.Equal(r.Value, i.write.Value)
 }
 
-// dropAbandoned answers the items that nobody waits for any more and returns the
-// others. Once a send was lost, inserts are kept until their fate is known, so
-// that a row nobody wanted can be taken back.
+// dropAbandoned returns the batch without the writes whose callers have given up. If uncertain is set,
+// the answer to a commit was lost and the rows may be written; all writes are then kept until their
+// result is known, so that abandoned inserts can be undone.
 func dropAbandoned(batch []*pendingWrite, err error, uncertain bool) []*pendingWrite {
 	var kept []*pendingWrite
 	for _, i := range batch {
--- a/internal/upstream/engine.go
+++ b/internal/upstream/engine.go
@@ -19,7 +19,7 @@
 	"github.com/linetiller/linetiller/internal/sse"
 )
 
-// Client calls model engines. It is safe for concurrent use.
+// Client calls model engines and plain services. It is safe for concurrent use.
 type Client struct {
 	http    *http.Client
 	timeout time.Duration
@@ -28,17 +28,17 @@
 // Stream is the open event stream of one generation.
 type Stream struct {
 	body       io.ReadCloser
-	generation string
-	next       int // the index of the next token
+	generation string // id
+	next       int    // index of the next token
 	parser     fastjson.Parser
-	peer       string
+	peer       string // for errors
 	reader     *sse.Reader
 }
 
-// Option sets one thing of Engines.
+// Option configures a Client.
 type Option func(*Client)
 
-// ReasonLeaving is the reason of the refusal of an engine that takes no new work.
+// ReasonLeaving is the reason of the error when an engine answers that it accepts no new work.
 const ReasonLeaving = "upstream_leaving"
 
 const (
@@ -46,7 +46,8 @@
 	maxIdleConnectionsPerHost = 256
 )
 
-// NewClient returns a caller of engines; timeout bounds every call but a stream.
+// NewClient returns a client. The timeout applies to connecting, to waiting for response headers, and
+// to calls of engines as a whole, other than streams.
 func NewClient(timeout time.Duration, options ...Option) *Client {
 	t := http.DefaultTransport.(*http.Transport).Clone()
 	t.MaxIdleConnsPerHost = maxIdleConnectionsPerHost
@@ -59,7 +60,7 @@
 	return c
 }
 
-// WithTransport sets the transport, for tests; nil leaves it as it is.
+// WithTransport sets the HTTP transport, for tests. A nil transport keeps the default one.
 func WithTransport(t http.RoundTripper) Option {
 	return func(c *Client) {
 		if t != nil {
@@ -68,8 +69,9 @@
 	}
 }
 
-// CacheEvents returns an engine's prefix cache events after number after, and
-// whether some were lost in between. They come late, so they may only inform.
+// CacheEvents returns the prefix cache events of an engine whose numbers are greater than after. gap
+// reports whether events are missing in between. The events arrive late, so that they may serve as
+// hints only.
 func (c *Client) CacheEvents(ctx context.Context, address string, after int64) (l []CacheEvent, gap bool, err error) {
 	path := "/v1/cache/events?after=" + strconv.FormatInt(after, 10)
 	if err := c.call(ctx, "read cache events", http.MethodGet, address, path, nil, &l); err != nil {
@@ -82,7 +84,7 @@
 	return l, gap, nil
 }
 
-// Cancel ends a generation; one that no longer exists is no error.
+// Cancel cancels a generation. It returns nil if the generation does not exist.
 func (c *Client) Cancel(ctx context.Context, address, id string) error {
 	err := c.call(ctx, "cancel", http.MethodDelete, address, generationPath(id), nil, nil)
 	if errorx.IsOfType(err, fail.NotFound) {
@@ -97,7 +99,7 @@
 	return nil
 }
 
-// Load returns an engine's load report.
+// Load returns the load report of an engine.
 func (c *Client) Load(ctx context.Context, address string) (*Load, error) {
 	v := new(Load)
 	if err := c.call(ctx, "read load", http.MethodGet, address, "/v1/load", nil, v); err != nil {
@@ -106,13 +108,13 @@
 	return v, nil
 }
 
-// Order gives an engine a fenced order.
+// Order sends a fenced order to an engine.
 func (c *Client) Order(ctx context.Context, address string, o *Order) error {
 	return c.call(ctx, "order", http.MethodPost, address, "/v1/orders", o, nil)
 }
 
-// Position returns where a generation stands. An error of type fail.NotFound
-// means that the engine, as it runs now, has never started it.
+// Position returns the progress of a generation. An error of type fail.NotFound means that the engine
+// has not started it since the engine itself last restarted.
 func (c *Client) Position(ctx context.Context, address, id string) (*Position, error) {
 	v := new(Position)
 	if err := c.call(ctx, "read position", http.MethodGet, address, generationPath(id), nil, v); err != nil {
@@ -121,15 +123,15 @@
 	return v, nil
 }
 
-// Resume opens the stream of a running or finished generation at token from.
+// Resume opens the stream of a running or finished generation at the token with index from.
 func (c *Client) Resume(ctx context.Context, address, id string, from int) (*Stream, error) {
 	return c.openStream(ctx, "resume", http.MethodGet, address, generationPath(id)+"/events?from="+strconv.Itoa(from), nil, id, from)
 }
 
 // Start starts a generation and opens its stream.
 //
-// An error of type fail.NotRun means that the engine confirmed, or could not
-// but agree, that it started nothing; any other error leaves that open.
+// An error of type fail.NotRun means that the generation was not started: the engine said so or no
+// connection to it was made. After any other error it may be running.
 func (c *Client) Start(ctx context.Context, address string, s *Start) (*Stream, error) {
 	return c.openStream(ctx, "start", http.MethodPost, address, "/v1/generations", s, s.ID, 0)
 }
@@ -139,11 +141,11 @@
 	return s.body.Close()
 }
 
-// Next returns the stream's next token. Its text is valid until the next call.
+// Next returns the next token of the stream. Its text is valid until the next call.
 //
-// Frames that were already seen are passed over. A frame of another generation,
-// or one that leaves out a token, is an error of type fail.Interrupted; the
-// caller then resumes.
+// Frames of tokens that were already returned are skipped. A broken stream, a frame of another
+// generation and a skipped token are errors of type fail.Interrupted, after which the caller may
+// resume the generation with a new stream.
 func (s *Stream) Next() (Token, error) {
 	p := fail.Origin{Peer: s.peer, Step: "read stream"}
 	for {
@@ -156,14 +158,14 @@
 			return Token{}, fail.Wrap(fail.Interrupted, p, "stream_garbled", err)
 		}
 		if g := f.GetStringBytes("generation"); string(g) != s.generation {
-			return Token{}, fail.New(fail.Interrupted, p, "stream_crossed", "generation %q in the stream of %q", g, s.generation)
+			return Token{}, fail.New(fail.Interrupted, p, "stream_crossed", "got a frame of generation %q in the stream of generation %q", g, s.generation)
 		}
 		t := Token{Finish: parseFinish(f.GetStringBytes("finish")), Index: f.GetInt("index"), Text: f.GetStringBytes("text")}
 		switch {
 		case t.Finish == "" && t.Index < s.next:
 			continue
 		case t.Index != s.next:
-			return Token{}, fail.New(fail.Interrupted, p, "stream_gap", "index %d came, %d was next", t.Index, s.next)
+			return Token{}, fail.New(fail.Interrupted, p, "stream_gap", "got token index %d, want %d", t.Index, s.next)
 		case t.Finish == "":
 			s.next++
 		}
@@ -171,6 +173,7 @@
 	}
 }
 
+// call sends in as JSON and decodes the JSON response into out, which may be nil.
 func (c *Client) call(ctx context.Context, step, method, address, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -189,6 +192,8 @@
 	return nil
 }
 
+// openStream sends in as JSON and returns the event stream of the response. The stream starts at the
+// token with index from.
 func (c *Client) openStream(ctx context.Context, step, method, address, path string, in any, id string, from int) (*Stream, error) {
 	p := fail.Origin{Peer: "upstream " + address, Step: step}
 	w, err := c.send(ctx, p, method, address+path, in) //nolint:bodyclose // Stream.Close closes it.
@@ -198,7 +203,7 @@
 	return &Stream{body: w.Body, generation: id, next: from, peer: p.Peer, reader: sse.NewReader(w.Body)}, nil
 }
 
-// send returns an answer of status 200, or a typed error.
+// send sends a request and returns the response if its status is 200, and a typed error otherwise.
 func (c *Client) send(ctx context.Context, p fail.Origin, method, target string, in any) (*http.Response, error) {
 	b, err := encodeBody(in)
 	if err != nil {
@@ -226,7 +231,7 @@
 	return json.Marshal(in)
 }
 
-// parseFinish returns why a generation ended, without allocating for the common reasons.
+// parseFinish returns b as a string, without allocating for the usual reasons.
 func parseFinish(b []byte) string {
 	for _, f := range []string{"", FinishStop, FinishLength, FinishCancelled} {
 		if string(b) == f {
@@ -240,7 +245,8 @@
 	return "/v1/generations/" + url.PathEscape(id)
 }
 
-// sendError tells a call that never left from one whose answer was lost.
+// sendError returns the error of a request without a response. It is of type fail.NotRun if nothing
+// was sent, and fail.Unknown otherwise.
 func sendError(p fail.Origin, err error) error {
 	if IsDialError(err) {
 		return fail.Wrap(fail.NotRun, p, "upstream_unreachable", err)
@@ -248,7 +254,8 @@
 	return fail.Wrap(fail.Unknown, p, "upstream_lost", err)
 }
 
-// statusError trusts an engine's own word that it ran nothing: 4xx and 503.
+// statusError returns the error for a response status other than 200. The statuses 400, 413 and 503
+// mean that the engine ran nothing.
 func statusError(p fail.Origin, w *http.Response) error {
 	b, _ := io.ReadAll(io.LimitReader(w.Body, 512))
 	m := fmt.Sprintf("status %d: %s", w.StatusCode, bytes.TrimSpace(b))
--- a/internal/upstream/engine_test.go
+++ b/internal/upstream/engine_test.go
@@ -10,7 +10,8 @@
 	"github.com/linetiller/linetiller/internal/upstream"
 )
 
-// TestCacheEventsTellGaps reads events of which one was lost.
+// TestCacheEventsTellGaps checks that CacheEvents reports a gap if the first event or one in between
+// is missing, and none otherwise.
 func TestCacheEventsTellGaps(t *testing.T) {
 	l := link.New()
 	l.Join("u", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -21,15 +22,15 @@
 		after int64
 		want  bool
 	}{{2, true}, {1, true}} {
-		got, gap, err := c.CacheEvents(t.Context(), "http://u", x.after)
-		if err != nil || len(got) != 3 || gap != x.want {
-			t.Errorf("after %d: got %v, gap %v, %v; want 3 events, gap %v", x.after, got, gap, err, x.want)
+		events, gap, err := c.CacheEvents(t.Context(), "http://u", x.after)
+		if err != nil || len(events) != 3 || gap != x.want {
+			t.Errorf("after %d: got %v, gap %v, %v; want 3 events, gap %v", x.after, events, gap, err, x.want)
 		}
 	}
 	l.Join("u", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode([]upstream.CacheEvent{{Number: 3}, {Number: 4}})
 	}))
 	if _, gap, err := c.CacheEvents(t.Context(), "http://u", 2); gap || err != nil {
-		t.Errorf("without a loss: got gap %v, %v", gap, err)
+		t.Errorf("without a gap: got gap %v, %v", gap, err)
 	}
 }
--- a/internal/upstream/service.go
+++ b/internal/upstream/service.go
@@ -8,10 +8,11 @@
 	"github.com/linetiller/linetiller/internal/fail"
 )
 
-// Call sends a request to a plain service and returns its answer.
+// Call sends a request to a plain service and returns the response, whatever its status. The caller
+// closes the response body.
 //
-// An error of type fail.NotRun means that nothing was sent; fail.Unknown means
-// that the call may have run. The caller closes the answer's body.
+// An error of type fail.NotRun means that nothing was sent, and fail.Unknown that the call may have
+// run.
 func (c *Client) Call(r *http.Request) (*http.Response, error) {
 	p := fail.Origin{Peer: "upstream " + r.URL.Host, Step: "call service"}
 	w, err := c.http.Do(r)
@@ -21,7 +22,7 @@
 	return w, nil
 }
 
-// IsDialError reports whether err arose while connecting, before anything was sent.
+// IsDialError reports whether err occurred while connecting, before anything was sent.
 func IsDialError(err error) bool {
 	var o *net.OpError
 	return errors.As(err, &o) && o.Op == "dial"
