--- a/answer.go
+++ b/answer.go
@@ -33,7 +33,7 @@
 		_ = answer(b.answerCrashes(q))
 	case box.KindHeartbeat:
 		now := time.Now()
-		_ = answer(&box.Reply{ViewAge: b.follower.Age(), LimitsDigest: b.relay.Limits().Digest(now), Loads: b.owners.Loads(), CrashesDigest: b.relay.Quarantine().Digest(now)})
+		_ = answer(&box.Reply{ViewAge: b.follower.ViewAge(), LimitsDigest: b.relay.Limits().Digest(now), Loads: b.owners.Loads(), CrashesDigest: b.relay.Quarantine().Digest(now)})
 	case box.KindInForce:
 		_ = answer(&box.Reply{Halls: b.inForceHere(ctx, q.Forward)})
 	case box.KindLimits, box.KindPermit:
@@ -41,7 +41,7 @@
 	case box.KindMembers:
 		_ = answer(&box.Reply{Members: b.members.Members()})
 	case box.KindWatchChanges:
-		_ = answer(b.follower.News(ctx, q.Revisions, q.Wait))
+		_ = answer(b.follower.WatchChanges(ctx, q.Revisions, q.Wait))
 	case box.KindMoveSlot:
 		b.answerTurn(ctx, q.MoveSlot, answer)
 	case box.KindProgress:
@@ -87,7 +87,7 @@
 func (b *Box) noteAnnouncement(q *box.Request) {
 	switch q.Kind { //nolint:exhaustive // The others are answered elsewhere.
 	case box.KindListUnreadable:
-		b.follower.HeardAway(q.From.Name, q.ListUnreadable)
+		b.follower.RecordPeerListUnavailable(q.From.Name, q.ListUnreadable)
 	case box.KindLeaving:
 		b.noteLeaving(q.LeavingUpstream, q.Born, q.From.Name)
 	case box.KindServed:
--- a/assemble.go
+++ b/assemble.go
@@ -43,8 +43,8 @@
 	seed := xxhash.Sum64String(s.Box)
 	lengths := policy.NewLengths()
 	store := platform.NewStore(s.Platform, platform.WithStoreTimeout(s.Timeouts.Platform.Duration), platform.WithStoreTransport(b.platformTransport),
-		platform.WithStoreRestored(func(era int64) { b.follower.NoteEra(era) }),
-		platform.WithStoreCalled(func(step, outcome string) { b.metrics.CountTwo(metric.PlatformCalls, "step", step, "outcome", outcome) }))
+		platform.WithStoreRestoreObserver(func(era int64) { b.follower.RecordEra(era) }),
+		platform.WithStoreCallObserver(func(step, outcome string) { b.metrics.CountTwo(metric.PlatformCalls, "step", step, "outcome", outcome) }))
 	b.store = store.Table()
 	b.engines = upstream.NewClient(engineCallPeriod, upstream.WithTransport(b.engineTransport))
 	b.routed = platform.NewEngines(platform.WithEnginesTransport(b.routedTransport))
@@ -57,7 +57,7 @@
 
 	b.owners = ownership.New(b.view, b.members, lengths, b.metrics, b.log,
 		ownership.WithColdStartLimits(ownership.ColdStartLimits(s.Cold)), ownership.WithMaxQueued(s.Limits.Queued), ownership.WithReportInterval(s.Timeouts.Report.Duration))
-	b.owners.PlatformUnavailable = b.follower.Away
+	b.owners.PlatformUnavailable = b.follower.ListUnavailable
 	b.owners.OnLeaving = func(u *resource.Upstream) { b.announceLeaving(u, "its report") }
 	b.owners.BackedOff = func(n string) bool { return !b.rests.Until(n, time.Now()).IsZero() }
 	b.owners.ReadLoad = b.readLoad
@@ -106,11 +106,11 @@
 
 func (b *Box) assembleFollower(s *platform.Store) {
 	b.follower = configuration.NewFollower(b.view, b.members, b.log)
-	b.follower.Ask = b.links.CallOnce
+	b.follower.Call = b.links.CallOnce
 	b.follower.Reconnect = func() { _ = s.Close() }
-	b.follower.Restored = b.keys.StoreRestored
-	b.follower.TellAway = b.announceAway
-	b.follower.Spread = rand.Float64
+	b.follower.OnRestored = b.keys.StoreRestored
+	b.follower.AnnounceListUnavailable = b.announceAway
+	b.follower.Jitter = rand.Float64
 	b.follower.Add(resource.SourceBoxes, configuration.BoxReader(s.Changes))
 	if b.hasEntry() {
 		b.follower.Add(resource.SourceConfiguration, platform.ConfigurationReader(s))
@@ -118,7 +118,7 @@
 	} else {
 		b.follower.Add(resource.SourceResources, configuration.ResourceReader(s.Changes))
 	}
-	b.follower.Meter(b.metrics)
+	b.follower.RegisterMetrics(b.metrics)
 }
 
 func (b *Box) assembleOrders() {
@@ -148,8 +148,8 @@
 	b.relay.Place = b.reserved.Place
 	b.relay.HasOtherBoxes = b.hasOthers
 	b.relay.Turn = b.takeTurn
-	b.relay.ViewAge = b.follower.Age
-	b.relay.Upstreams = relay.UpstreamCalls{ProcessEnded: b.routed.Gone, Migrate: b.routed.Migrate, Release: b.routed.Release, Send: b.routed.Send}
+	b.relay.ViewAge = b.follower.ViewAge
+	b.relay.Upstreams = relay.UpstreamCalls{ProcessEnded: b.routed.ProcessEnded, Migrate: b.routed.Migrate, Release: b.routed.Release, Send: b.routed.Send}
 }
 
 func (b *Box) assembleServers() {
--- a/heartbeat.go
+++ b/heartbeat.go
@@ -28,7 +28,7 @@
 	b.members.ClearFailures(time.Now())
 	ctx, cancel := context.WithTimeout(ctx, refreshPeriod)
 	defer cancel()
-	if b.follower.Renew(ctx) != nil {
+	if b.follower.RefreshFromPeerOrStore(ctx) != nil {
 		b.heartbeats(ctx)
 	}
 	b.beat.Store(int64(time.Since(b.started)))
@@ -42,7 +42,7 @@
 	b.limits.heard(q.From.Name)
 	b.learnAll(q.Loads)
 	if b.follower.CatchUp(ctx, q.From.Address, q.Revisions) == nil { // or the next message tries again
-		b.follower.HeardAge(q.ViewAge)
+		b.follower.RecordPeerViewAge(q.ViewAge)
 	}
 	b.fetchCrashes(ctx, q.From, q.CrashesDigest)
 	if q.Kind == box.KindHeartbeat {
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithTimeout(ctx, heartbeatPeriod)
 	defer cancel()
 	began := time.Now()
-	q := box.Request{ViewAge: b.follower.Age(), Kind: box.KindHeartbeat, LimitsDigest: b.relay.Limits().Digest(began), Loads: b.owners.Loads(), CrashesDigest: b.relay.Quarantine().Digest(began)}
+	q := box.Request{ViewAge: b.follower.ViewAge(), Kind: box.KindHeartbeat, LimitsDigest: b.relay.Limits().Digest(began), Loads: b.owners.Loads(), CrashesDigest: b.relay.Quarantine().Digest(began)}
 	r, err := b.links.CallOnce(ctx, m.Address, b.request(q))
 	if err != nil {
 		if b.members.RecordFailure(m.Name, began, time.Now()) {
@@ -69,7 +69,7 @@
 		event.PeerReachable.Log(b.log, "box", m.Name)
 	}
 	if b.follower.CatchUp(ctx, m.Address, r.Revisions) == nil { // or the next heartbeat tries again
-		b.follower.HeardAge(r.ViewAge)
+		b.follower.RecordPeerViewAge(r.ViewAge)
 	}
 	b.fetchCrashes(ctx, m, r.CrashesDigest)
 	b.fetchLimits(ctx, m, r.LimitsDigest)
--- a/internal/configuration/age.go
+++ b/internal/configuration/age.go
@@ -16,18 +16,18 @@
 const ViewStaleAfter = 6 * time.Second
 
 const (
-	// readLateAfter is how long after the end of its wait a read counts as late while the store
+	// minLateReadThreshold is how long after the end of its wait a read counts as late while the store
 	// answers within some milliseconds.
-	readLateAfter = 250 * time.Millisecond
-	// viewCheckEvery is between two looks at the age of the view.
-	viewCheckEvery = time.Second
+	minLateReadThreshold = 250 * time.Millisecond
+	// viewAgeCheckInterval is between two looks at the age of the view.
+	viewAgeCheckInterval = time.Second
 )
 
-// Age returns how long ago the view is known to have held all that the platform's store had
+// ViewAge returns how long ago the view is known to have held all that the platform's store had
 // acknowledged, 0 where it never was.
-func (f *Follower) Age() time.Duration {
-	at := f.currentAt.get()
-	if own := f.readAllAt(); own.After(at) {
+func (f *Follower) ViewAge() time.Duration {
+	at := f.peerCurrentAt.get()
+	if own := f.lastFullReadAt(); own.After(at) {
 		at = own
 	}
 	if at.IsZero() {
@@ -36,20 +36,20 @@
 	return max(1, time.Since(at))
 }
 
-// HeardAge records the age of the view of a box with whose revisions this one has caught up; 0
+// RecordPeerViewAge records the age of the view of a box with whose revisions this one has caught up; 0
 // is none.
-func (f *Follower) HeardAge(age time.Duration) {
-	if at := time.Now().Add(-age); age > 0 && at.After(f.currentAt.get()) {
-		f.currentAt.set(at)
+func (f *Follower) RecordPeerViewAge(age time.Duration) {
+	if at := time.Now().Add(-age); age > 0 && at.After(f.peerCurrentAt.get()) {
+		f.peerCurrentAt.set(at)
 	}
 }
 
-// RunAge logs when the view is no longer known to be current, and when it is again, until the
+// MonitorViewAge logs when the view is no longer known to be current, and when it is again, until the
 // context ends.
-func (f *Follower) RunAge(ctx context.Context) {
+func (f *Follower) MonitorViewAge(ctx context.Context) {
 	stale := false
-	periodic.Run(ctx, viewCheckEvery, func(context.Context) {
-		age := f.Age()
+	periodic.Run(ctx, viewAgeCheckInterval, func(context.Context) {
+		age := f.ViewAge()
 		if stale == (age > ViewStaleAfter) {
 			return
 		}
@@ -62,26 +62,26 @@
 	})
 }
 
-// meterAge has the age of the view told by a gauge of m.
-func (f *Follower) meterAge(m *metric.Set) {
+// registerViewAge has the age of the view told by a gauge of m.
+func (f *Follower) registerViewAge(m *metric.Set) {
 	m.Gauge(metric.ViewAge, func() float64 {
-		if age := f.Age(); age > 0 {
+		if age := f.ViewAge(); age > 0 {
 			return age.Seconds()
 		}
 		return math.Inf(1)
 	})
 }
 
-// noteLate logs that a read which began at a time has not been answered in time.
-func (f *Follower) noteLate(s *source, began time.Time) {
+// recordLateRead logs that a read which began at a time has not been answered in time.
+func (f *Follower) recordLateRead(s *source, began time.Time) {
 	f.metrics.Count(metric.PlatformLateReads, "source", string(s.name))
 	event.ReadLate.Log(f.log, "source", string(s.name), "waited_ms", time.Since(began).Milliseconds())
 }
 
-// readAllAt returns when this box last had an answer of the store about each source by which
+// lastFullReadAt returns when this box last had an answer of the store about each source by which
 // requests are decided, zero where one is lacking.
-func (f *Follower) readAllAt() time.Time {
-	var at time.Time
+func (f *Follower) lastFullReadAt() time.Time {
+	var oldest time.Time
 	for _, s := range f.sources {
 		t := s.readAt.get()
 		if s.name == resource.SourceBoxes {
@@ -90,9 +90,9 @@
 		if t.IsZero() {
 			return t
 		}
-		if at.IsZero() || t.Before(at) {
-			at = t
+		if oldest.IsZero() || t.Before(oldest) {
+			oldest = t
 		}
 	}
-	return at
+	return oldest
 }
--- a/internal/configuration/age_test.go
+++ b/internal/configuration/age_test.go
@@ -17,28 +17,28 @@
 // log says so once and says when it is over, and a box that hears from one that is younger goes by that.
 func TestAgeOfAViewThatNobodyConfirms(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const silence = 20 * time.Second
-		s := newSilentStore(silence)
+		const outage = 20 * time.Second
+		s := newOutageStore(outage)
 		f := s.follower(resource.SourceBoxes, resource.SourceConfiguration, resource.SourceUpstreams)
 		var b bytes.Buffer
 		f.log = slog.New(slog.NewTextHandler(&b, nil))
-		if got := f.Age(); got != 0 {
+		if got := f.ViewAge(); got != 0 {
 			t.Errorf("before any read: got age %v, want none", got)
 		}
-		ctx, cancel := context.WithDeadline(context.Background(), s.to.Add(5*time.Second))
+		ctx, cancel := context.WithDeadline(context.Background(), s.outageEnd.Add(5*time.Second))
 		defer cancel()
-		go f.RunAge(ctx)
+		go f.MonitorViewAge(ctx)
 		go f.Run(ctx)
 		time.Sleep(9 * time.Second)
-		if got := f.Age(); got == 0 || got > ViewStaleAfter {
+		if got := f.ViewAge(); got == 0 || got > ViewStaleAfter {
 			t.Errorf("while the store answers: got age %v, want at most %v", got, ViewStaleAfter)
 		}
-		time.Sleep(time.Until(s.to))
-		if got, want := f.Age(), silence-shortWatchPeriod; got < want { // a read may have been under way
+		time.Sleep(time.Until(s.outageEnd))
+		if got, want := f.ViewAge(), outage-shortWatchPeriod; got < want { // a read may have been under way
 			t.Errorf("after the silence: got age %v, want at least %v", got, want)
 		}
-		f.HeardAge(time.Second)
-		if got, want := f.Age(), time.Second; got != want {
+		f.RecordPeerViewAge(time.Second)
+		if got, want := f.ViewAge(), time.Second; got != want {
 			t.Errorf("after another box's word: got age %v, want %v", got, want)
 		}
 		<-ctx.Done()
--- a/internal/configuration/catchup_test.go
+++ b/internal/configuration/catchup_test.go
@@ -14,9 +14,9 @@
 // it: what other boxes told was not asked for until that question had run out.
 func TestCatchUpIsNotHeldUpByABoxThatLostItsPower(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newSilentStore(0).follower(resource.SourceConfiguration)
+		f := newOutageStore(0).follower(resource.SourceConfiguration)
 		c := resource.Change{Revision: 7, Resource: &resource.Resource{Kind: resource.KindPriority, Metadata: resource.Metadata{Name: "first"}, Spec: []byte(`{"value":9}`)}}
-		f.Ask = func(ctx context.Context, address string, _ *box.Request) (*box.Reply, error) {
+		f.Call = func(ctx context.Context, address string, _ *box.Request) (*box.Reply, error) {
 			if address == "dark" {
 				<-ctx.Done()
 				return nil, ctx.Err()
@@ -33,8 +33,8 @@
 		if err := f.CatchUp(t.Context(), "lit", newest); err != nil {
 			t.Error(err)
 		}
-		if got, most := time.Since(began), 2*catchUpLate; got > most {
-			t.Errorf("caught up after %v, want at most %v", got, most)
+		if got, limit := time.Since(began), 2*catchUpSlotTimeout; got > limit {
+			t.Errorf("caught up after %v, want at most %v", got, limit)
 		}
 		if got, want := f.view.Revisions()[resource.SourceConfiguration], int64(7); got != want {
 			t.Errorf("revision: got %d, want %d", got, want)
--- a/internal/configuration/era.go
+++ b/internal/configuration/era.go
@@ -9,56 +9,56 @@
 	"github.com/linetiller/linetiller/internal/revision"
 )
 
-// era is the store's era as a box knows it.
-type era struct {
-	mutex  sync.Mutex // guards the fields below
-	newest int64      // the highest one
-	since  time.Time  // when this box learned that the store came back from a copy; zero where it never did
+// storeEra is the store's era as a box knows it.
+type storeEra struct {
+	mutex      sync.Mutex // guards the fields below
+	newest     int64      // the highest one
+	restoredAt time.Time  // when this box learned that the store came back from a copy; zero where it never did
 }
 
-// doubtPeriod is how long after this box learned that the store came back from a copy whole
+// restoreSettlePeriod is how long after this box learned that the store came back from a copy whole
 // reads count as tentative: operators and upstreams write theirs again within that time.
-const doubtPeriod = 6 * time.Second
+const restoreSettlePeriod = 6 * time.Second
 
 // Era returns the store's era as this box knows it, and when it learned that the store came
 // back from a copy, zero where it never did. A box that starts knows only that it did so once.
-func (f *Follower) Era() (era int64, since time.Time) {
+func (f *Follower) Era() (era int64, restoredAt time.Time) {
 	f.era.mutex.Lock()
 	defer f.era.mutex.Unlock()
-	return f.era.newest, f.era.since
+	return f.era.newest, f.era.restoredAt
 }
 
-// NoteEra takes in the era of the store.
-func (f *Follower) NoteEra(n int64) {
-	before, restored := f.era.take(n)
+// RecordEra takes in the era of the store.
+func (f *Follower) RecordEra(n int64) {
+	before, restored := f.era.advance(n)
 	if !restored {
 		return
 	}
 	event.StoreRestored.Log(f.log, "era", n, "before", before)
-	if f.Restored != nil {
-		f.Restored()
+	if f.OnRestored != nil {
+		f.OnRestored()
 	}
 }
 
-// take takes in an era. It returns the one before, and whether the store came back from a
+// advance takes in an era. It returns the one before, and whether the store came back from a
 // copy since that was told.
-func (e *era) take(n int64) (before int64, restored bool) {
+func (e *storeEra) advance(n int64) (before int64, restored bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	before = e.newest
 	if n <= before {
 		return before, false
 	}
-	e.newest, e.since = n, time.Now()
+	e.newest, e.restoredAt = n, time.Now()
 	return before, true
 }
 
-// doubt marks what a read after a revision brought as tentative, where the store may have
+// markTentative marks what a read after a revision brought as tentative, where the store may have
 // told it from the copy from which it came back. What it tells as changed since within one
 // era was written in that.
-func (f *Follower) doubt(b *resource.Batch, after int64) {
-	f.noteEraOf(b)
-	if !b.Source.UsesStoreRevisions() || !f.doubts(time.Now()) {
+func (f *Follower) markTentative(b *resource.Batch, after int64) {
+	f.recordBatchEra(b)
+	if !b.Source.UsesStoreRevisions() || !f.recentlyRestored(time.Now()) {
 		return
 	}
 	if !b.Snapshot && (len(b.Changes) == 0 || revision.Era(b.NewestRevision()) == revision.Era(after)) {
@@ -70,22 +70,22 @@
 	}
 }
 
-// doubts reports whether this box learned a moment ago that the store came back from a copy.
-func (f *Follower) doubts(now time.Time) bool {
-	_, since := f.Era()
-	return !since.IsZero() && now.Sub(since) < doubtPeriod
+// recentlyRestored reports whether this box learned a moment ago that the store came back from a copy.
+func (f *Follower) recentlyRestored(now time.Time) bool {
+	_, restoredAt := f.Era()
+	return !restoredAt.IsZero() && now.Sub(restoredAt) < restoreSettlePeriod
 }
 
-// logHeld tells that changes of a batch wait where others did not before.
-func (f *Follower) logHeld(b *resource.Batch, before int) {
+// logHeldChanges tells that changes of a batch wait where others did not before.
+func (f *Follower) logHeldChanges(b *resource.Batch, before int) {
 	if n := f.view.CountHeld(b.Source); n > before {
 		event.ChangesHeld.Log(f.log, "source", string(b.Source), "era", revision.Era(b.Revision), "revision", revision.Version(b.Revision), "changes", n)
 	}
 }
 
-// noteEraOf takes in the era of a batch.
-func (f *Follower) noteEraOf(b *resource.Batch) {
+// recordBatchEra takes in the era of a batch.
+func (f *Follower) recordBatchEra(b *resource.Batch) {
 	if b.Source.UsesStoreRevisions() && b.Revision > 0 {
-		f.NoteEra(revision.Era(b.Revision))
+		f.RecordEra(revision.Era(b.Revision))
 	}
 }
--- a/internal/configuration/follower.go
+++ b/internal/configuration/follower.go
@@ -28,52 +28,52 @@
 
 // Follower keeps one view up to date. It is safe for concurrent use.
 type Follower struct {
-	// Ask sends a request to another box; a seam for tests.
-	Ask func(ctx context.Context, address string, q *box.Request) (*box.Reply, error)
+	// Call sends a request to another box; a seam for tests.
+	Call func(ctx context.Context, address string, q *box.Request) (*box.Reply, error)
 	// Reconnect has the next read of the store go over a new connection; a seam.
 	Reconnect func()
-	// Restored is told once this box has learned that the store came back from a copy; a seam.
-	Restored func()
-	// TellAway tells the hall's other boxes that the list of upstreams cannot be read, or
+	// OnRestored is told once this box has learned that the store came back from a copy; a seam.
+	OnRestored func()
+	// AnnounceListUnavailable tells the hall's other boxes that the list of upstreams cannot be read, or
 	// can be again; a seam. It does not wait.
-	TellAway func(away bool)
-	// Spread draws a number in [0, 1) by which retries are spread out.
-	Spread func() float64
+	AnnounceListUnavailable func(away bool)
+	// Jitter draws a number in [0, 1) by which retries are spread out.
+	Jitter func() float64
 
-	log        *slog.Logger
-	members    *member.Table
-	metrics    *metric.Set
-	mutex      sync.Mutex           // guards the fields below
-	answerTime atomic.Int64         // nanoseconds that the store took for its last answer
-	awayTo     map[string]time.Time // by box: until when its word counts that it cannot read the list of upstreams
-	back       chan struct{}        // closed when a source can be read again after failures
-	currentAt  moment               // when the view was known to be current, by what other boxes said
-	era        era                  // of the store, as this box knows it
-	// fedUntil is until when the view counts as kept up to date by another reader's word.
-	fedUntil    time.Time
-	silentPeers map[string]bool      // readers that did not answer when they were last asked
-	state       chan struct{}        // closed when it changes who reads, or whether the store can be read
-	unfedAt     time.Time            // when the last reader that kept the view up to date was found unable, or silent
-	unfedTill   map[string]time.Time // by box: until when it counts as a reader that cannot read the store
-	workers     sync.WaitGroup       // calls of silent readers
-	sources     []*source
-	turn        chan struct{} // holds one value while a catch-up is under way
-	view        *resource.View
+	log                  *slog.Logger
+	members              *member.Table
+	metrics              *metric.Set
+	mutex                sync.Mutex           // guards the fields below
+	responseTime         atomic.Int64         // nanoseconds that the store took for its last answer
+	listUnavailableUntil map[string]time.Time // by box: until when its word counts that it cannot read the list of upstreams
+	recovered            chan struct{}        // closed when a source can be read again after failures
+	peerCurrentAt        atomicTime           // when the view was known to be current, by what other boxes said
+	era                  storeEra             // of the store, as this box knows it
+	// followsPeerUntil is until when the view counts as kept up to date by another reader's word.
+	followsPeerUntil  time.Time
+	unresponsivePeers map[string]bool      // readers that did not answer when they were last asked
+	stateChange       chan struct{}        // closed when it changes who reads, or whether the store can be read
+	peerLostAt        time.Time            // when the last reader that kept the view up to date was found unable, or silent
+	laggingPeerUntil  map[string]time.Time // by box: until when it counts as a reader that cannot read the store
+	workers           sync.WaitGroup       // calls of silent readers
+	sources           []*source
+	catchUpSlot       chan struct{} // holds one value while a catch-up is under way
+	view              *resource.View
 }
 
 const (
-	// awayLife is how long the word that the list of upstreams cannot be read counts: a
+	// listUnavailableTTL is how long the word that the list of upstreams cannot be read counts: a
 	// reader tells it anew with each failure, which are at most 4 s apart.
-	awayLife      = 5 * time.Second
-	catchUpPeriod = 3 * time.Second // for one catch-up: a large configuration takes half a second over 10 Mbit/s
-	// catchUpLate is how long a catch-up keeps others waiting: the box that it asks may have lost
+	listUnavailableTTL = 5 * time.Second
+	catchUpTimeout     = 3 * time.Second // for one catch-up: a large configuration takes half a second over 10 Mbit/s
+	// catchUpSlotTimeout is how long a catch-up keeps others waiting: the box that it asks may have lost
 	// its power since it sent its message.
-	catchUpLate = 300 * time.Millisecond
+	catchUpSlotTimeout = 300 * time.Millisecond
 )
 
 // NewFollower returns a follower that keeps v up to date.
 func NewFollower(v *resource.View, m *member.Table, l *slog.Logger) *Follower {
-	return &Follower{awayTo: make(map[string]time.Time), back: make(chan struct{}), log: l, members: m, metrics: metric.NewSet(), Reconnect: func() {}, silentPeers: make(map[string]bool), Spread: func() float64 { return 0.5 }, state: make(chan struct{}), turn: make(chan struct{}, 1), unfedTill: make(map[string]time.Time), view: v}
+	return &Follower{listUnavailableUntil: make(map[string]time.Time), recovered: make(chan struct{}), log: l, members: m, metrics: metric.NewSet(), Reconnect: func() {}, unresponsivePeers: make(map[string]bool), Jitter: func() float64 { return 0.5 }, stateChange: make(chan struct{}), catchUpSlot: make(chan struct{}, 1), laggingPeerUntil: make(map[string]time.Time), view: v}
 }
 
 // Add adds a source before Run is called.
@@ -81,41 +81,41 @@
 	f.sources = append(f.sources, &source{name: name, read: r})
 }
 
-// Away reports whether the platform's list of upstreams could not be read lately, by
+// ListUnavailable reports whether the platform's list of upstreams could not be read lately, by
 // this box or by one of its hall's readers.
-func (f *Follower) Away() bool {
+func (f *Follower) ListUnavailable() bool {
 	for _, s := range f.sources {
-		if s.name == resource.SourceUpstreams && s.away() {
+		if s.name == resource.SourceUpstreams && s.unavailable() {
 			return true
 		}
 	}
-	return f.heardAway(time.Now())
+	return f.peerListUnavailable(time.Now())
 }
 
 // CatchUp brings the view to at least the given revisions by asking the box at
 // address. One catch-up goes at a time, so that many messages from a box that is
-// ahead make one, but no longer than catchUpLate; waiting for its turn ends with the context. Reads of the store
+// ahead make one, but no longer than catchUpSlotTimeout; waiting for its turn ends with the context. Reads of the store
 // are not held up by it, nor it by them: the view takes changes in any order.
 func (f *Follower) CatchUp(ctx context.Context, address string, r resource.Revisions) error {
 	if !f.view.Revisions().Behind(r) {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, catchUpPeriod)
+	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
 	select {
-	case f.turn <- struct{}{}:
+	case f.catchUpSlot <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	release := sync.OnceFunc(func() { <-f.turn })
+	release := sync.OnceFunc(func() { <-f.catchUpSlot })
 	defer release()
-	late := time.AfterFunc(catchUpLate, release)
-	defer late.Stop()
+	timer := time.AfterFunc(catchUpSlotTimeout, release)
+	defer timer.Stop()
 	have := f.view.Revisions()
 	if !have.Behind(r) {
 		return nil
 	}
-	p, err := f.Ask(ctx, address, &box.Request{From: f.members.Self(), Kind: box.KindChanges, Revisions: have})
+	p, err := f.Call(ctx, address, &box.Request{From: f.members.Self(), Kind: box.KindChanges, Revisions: have})
 	if err != nil {
 		return err
 	}
@@ -136,28 +136,28 @@
 	return true
 }
 
-// HeardAway takes in another box's word of whether it can read the list of upstreams. It
+// RecordPeerListUnavailable takes in another box's word of whether it can read the list of upstreams. It
 // changes nothing about the word of others: the store may serve one and not another.
-func (f *Follower) HeardAway(from string, away bool) {
+func (f *Follower) RecordPeerListUnavailable(from string, unavailable bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	now := time.Now()
-	maps.DeleteFunc(f.awayTo, func(_ string, t time.Time) bool { return !now.Before(t) })
-	if away {
-		f.awayTo[from] = now.Add(awayLife)
+	maps.DeleteFunc(f.listUnavailableUntil, func(_ string, t time.Time) bool { return !now.Before(t) })
+	if unavailable {
+		f.listUnavailableUntil[from] = now.Add(listUnavailableTTL)
 		return
 	}
-	delete(f.awayTo, from)
+	delete(f.listUnavailableUntil, from)
 }
 
-// Meter has the follower's state told by gauges of m. It is called once all sources
+// RegisterMetrics has the follower's state told by gauges of m. It is called once all sources
 // are added.
-func (f *Follower) Meter(m *metric.Set) {
+func (f *Follower) RegisterMetrics(m *metric.Set) {
 	f.metrics = m
-	f.meterAge(m)
-	m.Gauge(metric.PlatformReader, func() float64 { return number(f.rank() != rankNone) })
+	f.registerViewAge(m)
+	m.Gauge(metric.PlatformReader, func() float64 { return boolToFloat(f.role() != roleNone) })
 	for _, s := range f.sources {
-		m.GaugeOf(metric.PlatformReadFailing, "source", string(s.name), func() float64 { return number(s.failures.Load() > 0) })
+		m.GaugeOf(metric.PlatformReadFailing, "source", string(s.name), func() float64 { return boolToFloat(s.failures.Load() > 0) })
 		m.GaugeOf(metric.PlatformReadAge, "source", string(s.name), func() float64 {
 			if s.readAt.get().IsZero() {
 				return math.Inf(1)
@@ -167,9 +167,9 @@
 	}
 }
 
-// Reads reports whether this box is one of the few that read the store while all is well.
-func (f *Follower) Reads() bool {
-	return f.duty().rank != rankNone
+// ReadsStore reports whether this box is one of the few that read the store while all is well.
+func (f *Follower) ReadsStore() bool {
+	return f.assignment().role != roleNone
 }
 
 // Refresh brings the view up to date from the store, without waiting for changes.
@@ -177,9 +177,9 @@
 	return f.refresh(ctx, func(*source) bool { return true })
 }
 
-// RefreshRest brings the view up to date from the store, without waiting for changes, but
+// RefreshExceptBoxes brings the view up to date from the store, without waiting for changes, but
 // for the boxes.
-func (f *Follower) RefreshRest(ctx context.Context) error {
+func (f *Follower) RefreshExceptBoxes(ctx context.Context) error {
 	return f.refresh(ctx, func(s *source) bool { return s.name != resource.SourceBoxes })
 }
 
@@ -189,9 +189,9 @@
 	return f.refresh(ctx, func(s *source) bool { return s.name == name })
 }
 
-// Renew brings the view up to date, from a reader that answers or else from the store.
-func (f *Follower) Renew(ctx context.Context) error {
-	if f.renewFromReader(ctx) {
+// RefreshFromPeerOrStore brings the view up to date, from a reader that answers or else from the store.
+func (f *Follower) RefreshFromPeerOrStore(ctx context.Context) error {
+	if f.refreshFromPeer(ctx) {
 		return nil
 	}
 	return f.Refresh(ctx)
@@ -209,8 +209,8 @@
 
 // apply takes a batch into the view.
 func (f *Follower) apply(b *resource.Batch, from string) {
-	f.noteEraOf(b)
-	defer f.logHeld(b, f.view.CountHeld(b.Source))
+	f.recordBatchEra(b)
+	defer f.logHeldChanges(b, f.view.CountHeld(b.Source))
 	if f.view.Merge(b) {
 		event.RevisionApplied.Log(f.log, "source", string(b.Source), "era", revision.Era(b.Revision), "revision", revision.Version(b.Revision), "changes", len(b.Changes), "whole", b.Snapshot, "from", from)
 		return
@@ -239,19 +239,19 @@
 	return nil
 }
 
-// tellAway tells the hall's other boxes whether the list of upstreams cannot be read.
-func (f *Follower) tellAway(s *source, away bool) {
-	if s.name == resource.SourceUpstreams && f.TellAway != nil {
-		f.TellAway(away)
+// announceListUnavailable tells the hall's other boxes whether the list of upstreams cannot be read.
+func (f *Follower) announceListUnavailable(s *source, unavailable bool) {
+	if s.name == resource.SourceUpstreams && f.AnnounceListUnavailable != nil {
+		f.AnnounceListUnavailable(unavailable)
 	}
 }
 
-// heardAway reports whether the word of a box counts that it cannot read the list of
+// peerListUnavailable reports whether the word of a box counts that it cannot read the list of
 // upstreams.
-func (f *Follower) heardAway(now time.Time) bool {
+func (f *Follower) peerListUnavailable(now time.Time) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	for _, t := range f.awayTo {
+	for _, t := range f.listUnavailableUntil {
 		if now.Before(t) {
 			return true
 		}
@@ -259,8 +259,8 @@
 	return false
 }
 
-// number returns 1 for true.
-func number(b bool) float64 {
+// boolToFloat returns 1 for true.
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/internal/configuration/follower_test.go
+++ b/internal/configuration/follower_test.go
@@ -19,61 +19,61 @@
 	"github.com/linetiller/linetiller/internal/table"
 )
 
-// peer is one box of a schedule.
-type peer struct {
-	cut      bool // from the platform
-	follower *Follower
-	held     []func() // answers to its calls that have not come yet
-	highest  int64    // revision ever seen in force
-	stale    int64    // revision at which its reads of the table stand still, 0 for none
-	view     *resource.View
+// testBox is one box of a schedule.
+type testBox struct {
+	disconnected   bool // from the platform
+	follower       *Follower
+	delayedAnswers []func() // answers to its calls that have not come yet
+	maxRevision    int64    // revision ever seen in force
+	staleAt        int64    // revision at which its reads of the table stand still, 0 for none
+	view           *resource.View
 }
 
-// world is some boxes, a table, and what was accepted.
-type world struct {
+// cluster is some boxes, a table, and what was accepted.
+type cluster struct {
 	accepted map[string]table.Row // newest accepted row of each resource
 	history  []table.Row
-	peers    []*peer
+	boxes    []*testBox
 	table    *fakeplatform.Platform
 }
 
-func newWorld(n int) *world {
-	w := &world{accepted: make(map[string]table.Row), table: fakeplatform.New()}
+func newCluster(n int) *cluster {
+	w := &cluster{accepted: make(map[string]table.Row), table: fakeplatform.New()}
 	for i := range n {
-		w.start(i)
+		w.restart(i)
 	}
 	return w
 }
 
-// start starts box i anew: it keeps nothing.
-func (w *world) start(i int) {
-	p := &peer{view: resource.NewView()}
+// restart starts box i anew: it keeps nothing.
+func (w *cluster) restart(i int) {
+	p := &testBox{view: resource.NewView()}
 	m := member.NewTable(box.Member{Address: fmt.Sprint(i), Hall: "a", Name: fmt.Sprint(i), State: box.StateServing})
 	p.follower = NewFollower(p.view, m, slog.New(slog.DiscardHandler))
 	p.follower.Add(resource.SourceResources, ResourceReader(func(_ context.Context, _ string, after int64, _ time.Duration) (*table.Changes, error) {
 		return w.read(p, after)
 	}))
-	p.follower.Ask = func(_ context.Context, address string, q *box.Request) (*box.Reply, error) {
+	p.follower.Call = func(_ context.Context, address string, q *box.Request) (*box.Reply, error) {
 		n := 0
 		_, _ = fmt.Sscan(address, &n)
-		return &box.Reply{Changes: w.peers[n].view.Missing(q.Revisions)}, nil
+		return &box.Reply{Changes: w.boxes[n].view.Missing(q.Revisions)}, nil
 	}
-	if i < len(w.peers) {
-		w.peers[i] = p
+	if i < len(w.boxes) {
+		w.boxes[i] = p
 		return
 	}
-	w.peers = append(w.peers, p)
+	w.boxes = append(w.boxes, p)
 }
 
 // read reads the table as a box sees it: not at all, late, or as it is.
-func (w *world) read(p *peer, after int64) (*table.Changes, error) {
-	if p.cut {
+func (w *cluster) read(p *testBox, after int64) (*table.Changes, error) {
+	if p.disconnected {
 		return nil, fail.New(fail.Unavailable, fail.Origin{}, "platform_down", "cut")
 	}
 	c := &table.Changes{}
 	newest := make(map[string]table.Row)
 	for _, r := range w.history {
-		if r.Revision > after && (p.stale == 0 || r.Revision <= p.stale) {
+		if r.Revision > after && (p.staleAt == 0 || r.Revision <= p.staleAt) {
 			newest[r.Key] = r
 			c.Revision = r.Revision
 		}
@@ -85,9 +85,9 @@
 	return c, nil
 }
 
-func (w *world) write(name string, deleted bool) {
-	key := Key(resource.KindPriority, name)
-	b, _ := json.Marshal(Value{Deleted: deleted, Resource: &resource.Resource{
+func (w *cluster) write(name string, deleted bool) {
+	key := ResourceKey(resource.KindPriority, name)
+	b, _ := json.Marshal(ResourceRow{Deleted: deleted, Resource: &resource.Resource{
 		Kind: resource.KindPriority, Metadata: resource.Metadata{Name: name}, Spec: []byte(`{"value":1}`),
 	}})
 	r := w.table.Commit(&table.Transaction{Writes: []table.Write{{Key: key, Value: b}}})
@@ -103,7 +103,7 @@
 func TestConfigurationNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const boxes = 4
-		w := newWorld(boxes)
+		w := newCluster(boxes)
 		seen := make([]map[string]int64, boxes)
 		for i := range seen {
 			seen[i] = make(map[string]int64)
@@ -117,47 +117,47 @@
 				w.table.Commit(&table.Transaction{Writes: []table.Write{{Key: "request/w/k", Value: []byte("{}")}}})
 			},
 			"cut": func(t *rapid.T) {
-				p := w.peers[pick(t)]
-				p.cut = !p.cut
+				p := w.boxes[pick(t)]
+				p.disconnected = !p.disconnected
 			},
 			"stale": func(t *rapid.T) {
-				p := w.peers[pick(t)]
-				p.stale = int64(rapid.IntRange(0, len(w.history)).Draw(t, "revision"))
+				p := w.boxes[pick(t)]
+				p.staleAt = int64(rapid.IntRange(0, len(w.history)).Draw(t, "revision"))
 			},
-			"read": func(t *rapid.T) { _ = w.peers[pick(t)].follower.Refresh(context.Background()) },
+			"read": func(t *rapid.T) { _ = w.boxes[pick(t)].follower.Refresh(context.Background()) },
 			"catch up": func(t *rapid.T) {
 				a, b := pick(t), pick(t)
-				_ = w.peers[a].follower.CatchUp(context.Background(), fmt.Sprint(b), w.peers[b].view.Revisions())
+				_ = w.boxes[a].follower.CatchUp(context.Background(), fmt.Sprint(b), w.boxes[b].view.Revisions())
 			},
 			"ask": func(t *rapid.T) {
-				p := w.peers[pick(t)]
-				l := w.peers[pick(t)].view.Missing(p.view.Revisions())
-				p.held = append(p.held, func() {
+				p := w.boxes[pick(t)]
+				l := w.boxes[pick(t)].view.Missing(p.view.Revisions())
+				p.delayedAnswers = append(p.delayedAnswers, func() {
 					for i := range l {
 						p.follower.apply(&l[i], "late")
 					}
 				})
 			},
 			"late answer": func(t *rapid.T) {
-				p := w.peers[pick(t)]
-				if len(p.held) == 0 {
+				p := w.boxes[pick(t)]
+				if len(p.delayedAnswers) == 0 {
 					t.Skip("none is under way")
 				}
-				i := rapid.IntRange(0, len(p.held)-1).Draw(t, "answer")
-				p.held[i]()
-				p.held = append(p.held[:i], p.held[i+1:]...)
+				i := rapid.IntRange(0, len(p.delayedAnswers)-1).Draw(t, "answer")
+				p.delayedAnswers[i]()
+				p.delayedAnswers = append(p.delayedAnswers[:i], p.delayedAnswers[i+1:]...)
 			},
 			"start anew": func(t *rapid.T) {
 				i := pick(t)
-				w.start(i)
+				w.restart(i)
 				seen[i] = make(map[string]int64)
 			},
 			"": func(t *rapid.T) {
-				for i, p := range w.peers {
-					if got := p.view.Revision(); got < p.highest {
-						t.Fatalf("box %d: revision fell from %d to %d", i, p.highest, got)
+				for i, p := range w.boxes {
+					if got := p.view.Revision(); got < p.maxRevision {
+						t.Fatalf("box %d: revision fell from %d to %d", i, p.maxRevision, got)
 					}
-					p.highest = p.view.Revision()
+					p.maxRevision = p.view.Revision()
 					for _, r := range p.view.List("") {
 						if got, want := r.Revision(), seen[i][r.Metadata.Name]; got < want {
 							t.Fatalf("box %d: %s fell from %d to %d", i, r.Metadata.Name, want, got)
@@ -167,12 +167,12 @@
 				}
 			},
 		})
-		w.peers[0].cut, w.peers[0].stale = false, 0
-		_ = w.peers[0].follower.Refresh(context.Background())
-		for i, p := range w.peers {
-			_ = p.follower.CatchUp(context.Background(), "0", w.peers[0].view.Revisions())
+		w.boxes[0].disconnected, w.boxes[0].staleAt = false, 0
+		_ = w.boxes[0].follower.Refresh(context.Background())
+		for i, p := range w.boxes {
+			_ = p.follower.CatchUp(context.Background(), "0", w.boxes[0].view.Revisions())
 			for name, row := range w.accepted {
-				v := new(Value)
+				v := new(ResourceRow)
 				_ = json.Unmarshal(row.Value, v)
 				got := p.view.Get(resource.KindPriority, name)
 				if v.Deleted != (got == nil) || (got != nil && got.Revision() != row.Revision) {
@@ -194,7 +194,7 @@
 			l = append(l, box.Member{Hall: "a", Name: fmt.Sprint(j), State: box.StateServing})
 		}
 		m.ApplyList(l, testNow)
-		if NewFollower(resource.NewView(), m, nil).rank() != rankNone {
+		if NewFollower(resource.NewView(), m, nil).role() != roleNone {
 			readers++
 		}
 	}
@@ -211,23 +211,23 @@
 	for i := range 295 {
 		l = append(l, box.Member{Hall: fmt.Sprint("hall-", i%5), Name: fmt.Sprint(i), State: box.StateServing})
 	}
-	ranks := make(map[rank]int)
+	roles := make(map[readerRole]int)
 	peers := make(map[string]string)
 	halls := make(map[string]bool)
 	for _, self := range l {
 		m := member.NewTable(self)
 		m.ApplyList(l, testNow)
 		f := NewFollower(resource.NewView(), m, nil)
-		d := f.duty()
-		ranks[d.rank]++
-		if len(d.peers) > 0 {
-			peers[self.Name] = d.peers[0]
+		a := f.assignment()
+		roles[a.role]++
+		if len(a.peers) > 0 {
+			peers[self.Name] = a.peers[0]
 		}
-		if d.rank != rankNone {
+		if a.role != roleNone {
 			halls[self.Hall] = true
 		}
 	}
-	if got, want := fmt.Sprint(ranks), "map[first:1 none:293 standby:1]"; got != want {
+	if got, want := fmt.Sprint(roles), "map[first:1 none:293 standby:1]"; got != want {
 		t.Errorf("ranks: got %s, want %s", got, want)
 	}
 	if got, want := len(halls), 2; got != want {
--- a/internal/configuration/hedge_test.go
+++ b/internal/configuration/hedge_test.go
@@ -17,7 +17,7 @@
 // was waited for until it ran out, and those of other sources, too.
 func TestReadOfALostConnectionIsRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSilentStore(0)
+		s := newOutageStore(0)
 		f := s.follower()
 		reconnected := 0
 		f.Reconnect = func() { reconnected++ }
@@ -38,7 +38,7 @@
 			})
 			f.sources[len(f.sources)-1].after.Store(1)
 		}
-		ctx, cancel := context.WithTimeout(t.Context(), confirmPeriod+readLateAfter+10*time.Millisecond)
+		ctx, cancel := context.WithTimeout(t.Context(), confirmPeriod+minLateReadThreshold+10*time.Millisecond)
 		defer cancel()
 		f.Run(ctx)
 		for n, l := range began {
@@ -63,7 +63,7 @@
 	}{{"has begun to arrive", 1, true, 1}, {"a whole table", 0, false, 1}, {"neither", 1, false, 2}} {
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newSilentStore(0).follower()
+				f := newOutageStore(0).follower()
 				var mutex sync.Mutex
 				reads := 0
 				f.Add(resource.SourceUpstreams, func(ctx context.Context, after int64, wait time.Duration) ([]resource.Batch, int64, error) {
@@ -96,7 +96,7 @@
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
 			x := rand.New(rand.NewPCG(seed, 0))
-			f := newSilentStore(0).follower()
+			f := newOutageStore(0).follower()
 			var mutex sync.Mutex
 			ends := make(map[resource.Source]time.Time) // of the reads in progress
 			expired := 0                                // reads that brought nothing
@@ -132,7 +132,7 @@
 				if len(l) > 0 && slices.Min(l) <= confirmPeriod {
 					soon = time.Now()
 				}
-				if got, most := time.Since(soon), gatherPeriod+2*step; got > most { // between two reads of one source, seen a step late at either end
+				if got, most := time.Since(soon), readInterval+2*step; got > most { // between two reads of one source, seen a step late at either end
 					t.Fatalf("seed %d: for %v no read ended its wait within %v, want for at most %v", seed, got, confirmPeriod, most)
 				}
 			}
--- a/internal/configuration/lapse.go
+++ b/internal/configuration/lapse.go
@@ -7,19 +7,19 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// returnPeriod is how long after the store's return a removal may be that of
+// lapseWindow is how long after the store's return a removal may be that of
 // an entry which lapsed meanwhile: the platform says two seconds.
-const returnPeriod = 2500 * time.Millisecond
+const lapseWindow = 2500 * time.Millisecond
 
-// lapse keeps, for a moment, upstreams whose entries went while the store was
+// markLapsed keeps, for a moment, upstreams whose entries went while the store was
 // away: they may live and be about to come back. The view does so by itself for what the
 // store lacks since it came back from a copy.
-func (f *Follower) lapse(s *source, b *resource.Batch) {
-	if s.name != resource.SourceUpstreams || b.Tentative || time.Since(s.backAt.get()) > returnPeriod {
+func (f *Follower) markLapsed(s *source, b *resource.Batch) {
+	if s.name != resource.SourceUpstreams || b.Tentative || time.Since(s.recoveredAt.get()) > lapseWindow {
 		return
 	}
 	if b.Snapshot {
-		f.nameMissing(b)
+		f.addImpliedRemovals(b)
 	}
 	for i := range b.Changes {
 		c := &b.Changes[i]
@@ -36,14 +36,14 @@
 	}
 }
 
-// nameMissing adds to a whole batch the removals that it implies.
-func (f *Follower) nameMissing(b *resource.Batch) {
-	named := make(map[string]bool, len(b.Changes))
+// addImpliedRemovals adds to a whole batch the removals that it implies.
+func (f *Follower) addImpliedRemovals(b *resource.Batch) {
+	present := make(map[string]bool, len(b.Changes))
 	for _, c := range b.Changes {
-		named[c.Resource.Metadata.Name] = true
+		present[c.Resource.Metadata.Name] = true
 	}
 	for _, x := range f.view.List(resource.KindUpstream) {
-		if !named[x.Metadata.Name] && f.view.SourceOf(x) == b.Source {
+		if !present[x.Metadata.Name] && f.view.SourceOf(x) == b.Source {
 			b.Changes = append(b.Changes, resource.Change{Deleted: true, Resource: x, Revision: b.Revision})
 		}
 	}
--- a/internal/configuration/moment.go
+++ b/internal/configuration/moment.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// moment is a time that is safe for concurrent use. It keeps the reading of the monotonic clock:
+// atomicTime is a time that is safe for concurrent use. It keeps the reading of the monotonic clock:
 // the time of day may jump.
-type moment struct {
+type atomicTime struct {
 	at atomic.Pointer[time.Time]
 }
 
 // get returns the time, zero where none was set.
-func (m *moment) get() time.Time {
+func (m *atomicTime) get() time.Time {
 	if t := m.at.Load(); t != nil {
 		return *t
 	}
@@ -20,6 +20,6 @@
 }
 
 // set sets the time.
-func (m *moment) set(t time.Time) {
+func (m *atomicTime) set(t time.Time) {
 	m.at.Store(&t)
 }
--- a/internal/configuration/news.go
+++ b/internal/configuration/news.go
@@ -10,106 +10,106 @@
 )
 
 const (
-	// newsWait is how long a reader that is asked for news waits for some: it shows that
+	// peerWatchWait is how long a reader that is asked for news waits for some: it shows that
 	// it lives several times within the 1.5 s in which an engine may leave.
-	newsWait = 500 * time.Millisecond
-	// newsSlack is what an answer may take beside: two ways between halls, and the time
+	peerWatchWait = 500 * time.Millisecond
+	// peerWatchGrace is what an answer may take beside: two ways between halls, and the time
 	// that a small box may take to come to it.
-	newsSlack = 400 * time.Millisecond
-	// newsIdle is the time between looks whether this box has come to ask for news.
-	newsIdle = 250 * time.Millisecond
-	// newsPause is between two rounds of questions where nobody could help.
-	newsPause = 100 * time.Millisecond
+	peerWatchGrace = 400 * time.Millisecond
+	// peerWatchIdleInterval is the time between looks whether this box has come to ask for news.
+	peerWatchIdleInterval = 250 * time.Millisecond
+	// peerWatchRetryDelay is between two rounds of questions where nobody could help.
+	peerWatchRetryDelay = 100 * time.Millisecond
 )
 
-// Fed reports whether this box's view is kept up to date: by its own reads of the store,
+// FollowsStore reports whether this box's view is kept up to date: by its own reads of the store,
 // of which none failed lately, or by a box that can read it.
-func (f *Follower) Fed() bool {
-	if f.fed(time.Now()) {
+func (f *Follower) FollowsStore() bool {
+	if f.followsPeer(time.Now()) {
 		return true
 	}
 	for _, s := range f.sources {
-		if s.away() || s.unconfirmed.Load() {
+		if s.unavailable() || s.unconfirmed.Load() {
 			return false
 		}
 	}
-	r := f.rank()
-	return r != rankNone && (r != rankSubstitute || f.probedSinceFed(f.probe()))
+	r := f.role()
+	return r != roleNone && (r != roleSubstitute || f.probedSincePeerLost(f.probe()))
 }
 
-// News answers a box that asks for what it does not know yet: at once where there is
+// WatchChanges answers a box that asks for what it does not know yet: at once where there is
 // some, or where this box's own view is not kept up to date, otherwise once there is, or
 // after wait.
-func (f *Follower) News(ctx context.Context, have resource.Revisions, wait time.Duration) *box.Reply {
-	t := time.NewTimer(min(max(0, wait), newsWait))
+func (f *Follower) WatchChanges(ctx context.Context, have resource.Revisions, wait time.Duration) *box.Reply {
+	t := time.NewTimer(min(max(0, wait), peerWatchWait))
 	defer t.Stop()
 	for {
-		changed, state := f.view.Changed(), f.stateChanged()
-		fed := f.Fed()
-		if l := f.view.Missing(have); len(l) > 0 || !fed {
-			return &box.Reply{ViewAge: f.Age(), Changes: l, FollowsStore: fed}
+		changed, stateChange := f.view.Changed(), f.stateChanged()
+		follows := f.FollowsStore()
+		if l := f.view.Missing(have); len(l) > 0 || !follows {
+			return &box.Reply{ViewAge: f.ViewAge(), Changes: l, FollowsStore: follows}
 		}
 		select {
 		case <-changed:
-		case <-state:
+		case <-stateChange:
 		case <-t.C:
-			return &box.Reply{ViewAge: f.Age(), FollowsStore: true}
+			return &box.Reply{ViewAge: f.ViewAge(), FollowsStore: true}
 		case <-ctx.Done():
-			return &box.Reply{FollowsStore: fed}
+			return &box.Reply{FollowsStore: follows}
 		}
 	}
 }
 
-// RunNews asks the readers before this box for news, as long as it is to, until the
+// WatchPeers asks the readers before this box for news, as long as it is to, until the
 // context ends. Until the first answer is due the box does not read the store itself.
-func (f *Follower) RunNews(ctx context.Context) {
+func (f *Follower) WatchPeers(ctx context.Context) {
 	defer f.workers.Wait()
-	f.setFed(true)
+	f.setFollowsPeer(true)
 	for ctx.Err() == nil {
-		d := f.duty()
+		a := f.assignment()
 		switch {
-		case len(d.peers) == 0:
-			pause(ctx, newsIdle)
-		case f.askAny(ctx, d.peers, newsWait):
+		case len(a.peers) == 0:
+			pause(ctx, peerWatchIdleInterval)
+		case f.watchAnyPeer(ctx, a.peers, peerWatchWait):
 		default:
-			f.setFed(false)
-			pause(ctx, newsPause)
+			f.setFollowsPeer(false)
+			pause(ctx, peerWatchRetryDelay)
 		}
 	}
 }
 
-// askAny asks readers for news until one whose view is kept up to date has answered, which
+// watchAnyPeer asks readers for news until one whose view is kept up to date has answered, which
 // may wait for some, and reports whether one has.
-func (f *Follower) askAny(ctx context.Context, peers []string, wait time.Duration) bool {
+func (f *Follower) watchAnyPeer(ctx context.Context, peers []string, wait time.Duration) bool {
 	for _, p := range peers {
-		if f.passedOver(p, time.Now()) {
+		if f.skipPeer(p, time.Now()) {
 			continue
 		}
-		fed, err := f.askNews(ctx, p, wait)
+		follows, err := f.watchPeer(ctx, p, wait)
 		switch {
-		case fed:
-			if f.setFed(true) {
-				f.forgetFailures()
+		case follows:
+			if f.setFollowsPeer(true) {
+				f.resetFailures()
 			}
 			return true
 		case ctx.Err() != nil:
 			return false
 		case err != nil:
 			event.ReaderUnresponsive.Log(f.log, "reader", p, "error", err.Error())
-			f.setSilent(p, true)
-			f.workers.Go(func() { f.callSilent(ctx, p) })
+			f.setUnresponsive(p, true)
+			f.workers.Go(func() { f.retryUnresponsive(ctx, p) })
 		default:
-			f.passOver(p)
+			f.markLagging(p)
 		}
 	}
 	return false
 }
 
-// askNews asks a reader for news once, and reports whether its view is kept up to date.
-func (f *Follower) askNews(ctx context.Context, peer string, wait time.Duration) (fed bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+newsSlack)
+// watchPeer asks a reader for news once, and reports whether its view is kept up to date.
+func (f *Follower) watchPeer(ctx context.Context, peer string, wait time.Duration) (followsStore bool, err error) {
+	ctx, cancel := context.WithTimeout(ctx, wait+peerWatchGrace)
 	defer cancel()
-	r, err := f.Ask(ctx, f.members.Address(peer), &box.Request{
+	r, err := f.Call(ctx, f.members.Address(peer), &box.Request{
 		From: f.members.Self(), Kind: box.KindWatchChanges, Revisions: f.view.Revisions(), SentAt: time.Now(), Wait: wait,
 	})
 	if err != nil {
@@ -118,116 +118,116 @@
 	for i := range r.Changes {
 		f.apply(&r.Changes[i], "reader "+peer)
 	}
-	f.HeardAge(r.ViewAge)
+	f.RecordPeerViewAge(r.ViewAge)
 	return r.FollowsStore, nil
 }
 
-// callSilent asks a reader that did not answer again and again, until it does or is listed
+// retryUnresponsive asks a reader that did not answer again and again, until it does or is listed
 // no more: nothing waits for it meanwhile.
-func (f *Follower) callSilent(ctx context.Context, peer string) {
+func (f *Follower) retryUnresponsive(ctx context.Context, peer string) {
 	for ctx.Err() == nil && f.members.Address(peer) != "" {
-		pause(ctx, peerSilentPeriod)
-		if _, err := f.askNews(ctx, peer, 0); err == nil {
+		pause(ctx, unresponsivePeerRetryInterval)
+		if _, err := f.watchPeer(ctx, peer, 0); err == nil {
 			break
 		}
 	}
-	f.setSilent(peer, false)
+	f.setUnresponsive(peer, false)
 }
 
-// renewFromReader brings the view up to date from a reader, and reports whether there is
+// refreshFromPeer brings the view up to date from a reader, and reports whether there is
 // one whose view is.
-func (f *Follower) renewFromReader(ctx context.Context) bool {
+func (f *Follower) refreshFromPeer(ctx context.Context) bool {
 	now := time.Now()
-	l := f.duty().peers
-	if p := f.answering(f.members.Self().Hall); len(l) == 0 && p != "" && p != f.members.Self().Name {
+	l := f.assignment().peers
+	if p := f.responsiveReader(f.members.Self().Hall); len(l) == 0 && p != "" && p != f.members.Self().Name {
 		l = append(l, p)
 	}
 	for _, p := range l {
-		if f.passedOver(p, now) {
+		if f.skipPeer(p, now) {
 			continue
 		}
-		if fed, err := f.askNews(ctx, p, 0); fed && err == nil {
+		if follows, err := f.watchPeer(ctx, p, 0); follows && err == nil {
 			return true
 		}
 	}
 	return false
 }
 
-// changeState tells those that wait that it has changed who reads, or whether the store
+// signalStateChangeLocked tells those that wait that it has changed who reads, or whether the store
 // can be read; the lock is held.
-func (f *Follower) changeState() {
-	close(f.state)
-	f.state = make(chan struct{})
+func (f *Follower) signalStateChangeLocked() {
+	close(f.stateChange)
+	f.stateChange = make(chan struct{})
 }
 
-// fed reports whether a reader before this box lately said that its view is kept up to
+// followsPeer reports whether a reader before this box lately said that its view is kept up to
 // date.
-func (f *Follower) fed(now time.Time) bool {
+func (f *Follower) followsPeer(now time.Time) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return now.Before(f.fedUntil)
+	return now.Before(f.followsPeerUntil)
 }
 
-// forgetFailures takes back the word of this box's own reads that failed: what it knows is
+// resetFailures takes back the word of this box's own reads that failed: what it knows is
 // kept up to date by another reader.
-func (f *Follower) forgetFailures() {
+func (f *Follower) resetFailures() {
 	for _, s := range f.sources {
 		if s.failures.Swap(0) > 0 {
-			f.tellAway(s, false)
+			f.announceListUnavailable(s, false)
 		}
 	}
 }
 
-// passOver has a reader that cannot read the store not asked for some time.
-func (f *Follower) passOver(peer string) {
+// markLagging has a reader that cannot read the store not asked for some time.
+func (f *Follower) markLagging(peer string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.unfedTill[peer] = time.Now().Add(peerUnfedPeriod)
+	f.laggingPeerUntil[peer] = time.Now().Add(laggingPeerBackoff)
 }
 
-// passedOver reports whether a reader is not to be asked now.
-func (f *Follower) passedOver(peer string, now time.Time) bool {
+// skipPeer reports whether a reader is not to be asked now.
+func (f *Follower) skipPeer(peer string, now time.Time) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.silentPeers[peer] || now.Before(f.unfedTill[peer])
+	return f.unresponsivePeers[peer] || now.Before(f.laggingPeerUntil[peer])
 }
 
-// setFed takes in whether a reader before this box keeps its view up to date, and reports
+// setFollowsPeer takes in whether a reader before this box keeps its view up to date, and reports
 // whether one does so from now on.
-func (f *Follower) setFed(fed bool) bool {
+func (f *Follower) setFollowsPeer(follows bool) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	now := time.Now()
-	was := now.Before(f.fedUntil)
-	f.fedUntil = time.Time{}
-	if fed {
-		f.fedUntil = now.Add(newsWait + 2*newsSlack)
+	followed := now.Before(f.followsPeerUntil)
+	f.followsPeerUntil = time.Time{}
+	if follows {
+		f.followsPeerUntil = now.Add(peerWatchWait + 2*peerWatchGrace)
 	}
-	if was && !fed {
-		f.unfedAt = now
+	if followed && !follows {
+		f.peerLostAt = now
 	}
-	if fed != was {
-		f.changeState()
+	if follows != followed {
+		f.signalStateChangeLocked()
 	}
-	return fed && !was
+	return follows && !followed
 }
 
-// setSilent takes in whether a reader answers.
-func (f *Follower) setSilent(peer string, silent bool) {
+// setUnresponsive takes in whether a reader answers.
+func (f *Follower) setUnresponsive(peer string, unresponsive bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if silent {
-		f.silentPeers[peer] = true
+	if unresponsive {
+		f.unresponsivePeers[peer] = true
 		return
 	}
-	delete(f.silentPeers, peer)
+	delete(f.unresponsivePeers, peer)
 }
 
-// silent reports whether a reader did not answer when it was last asked.
-func (f *Follower) silent(peer string) bool {
+// unresponsive reports whether a reader did not answer when it was last asked.
+func (f *Follower) unresponsive(peer string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.silentPeers[peer]
+	return f.unresponsivePeers[peer]
 }
 
 // stateChanged returns a channel that is closed when it changes who reads, or whether the
@@ -235,5 +235,5 @@
 func (f *Follower) stateChanged() <-chan struct{} {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.state
+	return f.stateChange
 }
--- a/internal/configuration/outage_test.go
+++ b/internal/configuration/outage_test.go
@@ -17,24 +17,24 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// silentStore answers reads at once, but for a time in which it says nothing.
-type silentStore struct {
-	from, to time.Time // of the silence
-	mutex    sync.Mutex
-	readAt   map[resource.Source]time.Time // when the first read after the silence began
+// outageStore answers reads at once, but for a time in which it says nothing.
+type outageStore struct {
+	outageStart, outageEnd time.Time // of the silence
+	mutex                  sync.Mutex
+	readAt                 map[resource.Source]time.Time // when the first read after the silence began
 }
 
-// callTimeout is what the client of the store adds to the time that a read waits.
-const callTimeout = time.Second
+// storeCallTimeout is what the client of the store adds to the time that a read waits.
+const storeCallTimeout = time.Second
 
-// newSilentStore returns a store that will fall silent in 10 s, for some time.
-func newSilentStore(silence time.Duration) *silentStore {
-	from := time.Now().Add(10 * time.Second)
-	return &silentStore{from: from, readAt: make(map[resource.Source]time.Time), to: from.Add(silence)}
+// newOutageStore returns a store that will fall silent in 10 s, for some time.
+func newOutageStore(outage time.Duration) *outageStore {
+	outageStart := time.Now().Add(10 * time.Second)
+	return &outageStore{outageStart: outageStart, readAt: make(map[resource.Source]time.Time), outageEnd: outageStart.Add(outage)}
 }
 
 // follower returns a follower that reads sources of the store, as the one box of its hall.
-func (s *silentStore) follower(sources ...resource.Source) *Follower {
+func (s *outageStore) follower(sources ...resource.Source) *Follower {
 	f := NewFollower(resource.NewView(), member.NewTable(box.Member{Hall: "a", Name: "1", State: box.StateServing}), slog.New(slog.DiscardHandler))
 	for _, n := range sources {
 		f.Add(n, s.reader(n))
@@ -43,15 +43,15 @@
 }
 
 // reader returns a reader of one source that waits as it is asked to.
-func (s *silentStore) reader(n resource.Source) Reader {
+func (s *outageStore) reader(n resource.Source) Reader {
 	return func(ctx context.Context, after int64, wait time.Duration) ([]resource.Batch, int64, error) {
 		began := time.Now()
-		if !began.Before(s.from) && began.Before(s.to) {
-			pause(ctx, wait+callTimeout)
+		if !began.Before(s.outageStart) && began.Before(s.outageEnd) {
+			pause(ctx, wait+storeCallTimeout)
 			return nil, 0, errors.New("no answer")
 		}
 		s.mutex.Lock()
-		if s.readAt[n].IsZero() && !began.Before(s.to) {
+		if s.readAt[n].IsZero() && !began.Before(s.outageEnd) {
 			s.readAt[n] = began
 		}
 		s.mutex.Unlock()
@@ -64,17 +64,17 @@
 // answers again, the list of upstreams is read within the time that one read may take,
 // and the other sources soon after.
 func TestReturnOfASilentStoreIsNoticed(t *testing.T) {
-	for silence := 2500 * time.Millisecond; silence < 20*time.Second; silence += 700 * time.Millisecond {
+	for outage := 2500 * time.Millisecond; outage < 20*time.Second; outage += 700 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
-			s := newSilentStore(silence)
+			s := newOutageStore(outage)
 			sources := []resource.Source{resource.SourceBoxes, resource.SourceConfiguration, resource.SourceUpstreams}
 			f := s.follower(sources...)
-			ctx, cancel := context.WithDeadline(context.Background(), s.to.Add(time.Minute))
+			ctx, cancel := context.WithDeadline(context.Background(), s.outageEnd.Add(time.Minute))
 			defer cancel()
 			f.Run(ctx)
 			for _, n := range sources {
-				if got, want := s.readAt[n].Sub(s.to), shortWatchPeriod+callTimeout+backSpread; s.readAt[n].IsZero() || got > want {
-					t.Errorf("silence of %v: %s read %v after the return, want at most %v", silence, n, got, want)
+				if got, want := s.readAt[n].Sub(s.outageEnd), shortWatchPeriod+storeCallTimeout+recoveryJitter; s.readAt[n].IsZero() || got > want {
+					t.Errorf("silence of %v: %s read %v after the return, want at most %v", outage, n, got, want)
 				}
 			}
 		})
@@ -84,9 +84,9 @@
 // TestMeterTellsOfTheStore checks the gauges of a reader before, in and after a silence.
 func TestMeterTellsOfTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newSilentStore(20 * time.Second).follower(resource.SourceUpstreams)
+		f := newOutageStore(20 * time.Second).follower(resource.SourceUpstreams)
 		m := metric.NewSet()
-		f.Meter(m)
+		f.RegisterMetrics(m)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
@@ -115,21 +115,21 @@
 // upstreams again takes back its own word only, and that a word is forgotten in time.
 func TestWordOfOneReaderDoesNotCancelAnothers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newSilentStore(0).follower(resource.SourceUpstreams)
+		f := newOutageStore(0).follower(resource.SourceUpstreams)
 		check := func(when string, want bool) {
 			t.Helper()
-			if got := f.Away(); got != want {
+			if got := f.ListUnavailable(); got != want {
 				t.Errorf("%s: got away %v, want %v", when, got, want)
 			}
 		}
-		f.HeardAway("1", true)
-		f.HeardAway("2", true)
-		f.HeardAway("2", false)
+		f.RecordPeerListUnavailable("1", true)
+		f.RecordPeerListUnavailable("2", true)
+		f.RecordPeerListUnavailable("2", false)
 		check("one of two can read again", true)
-		f.HeardAway("1", false)
+		f.RecordPeerListUnavailable("1", false)
 		check("both can", false)
-		f.HeardAway("1", true)
-		time.Sleep(awayLife)
+		f.RecordPeerListUnavailable("1", true)
+		time.Sleep(listUnavailableTTL)
 		check("long after the last word", false)
 	})
 }
--- a/internal/configuration/reader.go
+++ b/internal/configuration/reader.go
@@ -32,20 +32,20 @@
 		}
 		b := resource.Batch{Source: resource.SourceBoxes}
 		for _, r := range c.Rows {
-			b.Changes = append(b.Changes, resource.Change{Deleted: r.Deleted, Revision: r.Revision, Resource: Versioned(&resource.Resource{
+			b.Changes = append(b.Changes, resource.Change{Deleted: r.Deleted, Revision: r.Revision, Resource: WithRevision(&resource.Resource{
 				Kind: resource.KindBox, Metadata: resource.Metadata{Name: r.Key}, Spec: r.Value,
 			}, r.Revision)})
 		}
-		Date(&b, c)
+		SetBatchRevision(&b, c)
 		return []resource.Batch{b}, c.Revision, nil
 	}
 }
 
-// Date sets the revision of a batch made from c.
+// SetBatchRevision sets the revision of a batch made from c.
 //
 // The store's revision rises with rows of other tables, too; a batch is dated by
 // its own rows, unless rows may have gone unseen.
-func Date(b *resource.Batch, c *table.Changes) {
+func SetBatchRevision(b *resource.Batch, c *table.Changes) {
 	b.Snapshot = c.Snapshot
 	b.Revision = b.NewestRevision()
 	if c.Snapshot {
@@ -53,8 +53,8 @@
 	}
 }
 
-// Key returns the key of a resource's row.
-func Key(k resource.Kind, name string) string {
+// ResourceKey returns the key of a resource's row.
+func ResourceKey(k resource.Kind, name string) string {
 	return TableResources + "/" + string(k) + "/" + name
 }
 
@@ -66,21 +66,21 @@
 		if err != nil {
 			return nil, 0, err
 		}
-		b := resource.Batch{Changes: fromRows(c.Rows), Source: resource.SourceResources}
-		Date(&b, c)
+		b := resource.Batch{Changes: changesFromRows(c.Rows), Source: resource.SourceResources}
+		SetBatchRevision(&b, c)
 		return []resource.Batch{b}, c.Revision, nil
 	}
 }
 
-// fromRows returns the changes that rows of declared resources hold.
-func fromRows(rows []table.Row) []resource.Change {
+// changesFromRows returns the changes that rows of declared resources hold.
+func changesFromRows(rows []table.Row) []resource.Change {
 	var l []resource.Change
 	for _, x := range rows {
-		v := new(Value)
+		v := new(ResourceRow)
 		if json.Unmarshal(x.Value, v) != nil || v.Resource == nil {
 			continue
 		}
-		l = append(l, resource.Change{Deleted: v.Deleted, Resource: Versioned(v.Resource, x.Revision), Revision: x.Revision})
+		l = append(l, resource.Change{Deleted: v.Deleted, Resource: WithRevision(v.Resource, x.Revision), Revision: x.Revision})
 	}
 	return l
 }
--- a/internal/configuration/reading.go
+++ b/internal/configuration/reading.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	// backSpread is the time over which the other sources are read again once one
+	// recoveryJitter is the time over which the other sources are read again once one
 	// could be: a quarter of a second keeps the boxes' reads apart.
-	backSpread = 250 * time.Millisecond
-	// failuresAway is how many reads in a row that fail at once tell that the store is away.
-	failuresAway = 2
-	idleEvery    = time.Second           // between looks whether this box has become a reader
-	retryAtOnce  = 20 * time.Millisecond // before the second read after one that failed at once
-	// silentPeriod is when a read that failed did so by a silence: an answer takes 4 ms.
-	silentPeriod = 500 * time.Millisecond
-	retryFirst   = 250 * time.Millisecond // of the wait after a failure, doubled at each more
-	// substituteRetryFirst is the same for boxes that read beside the first reader.
-	substituteRetryFirst = time.Second
-	// substituteStep is the time between the first reads of two substitutes: a read that
+	recoveryJitter = 250 * time.Millisecond
+	// failuresUntilUnavailable is how many reads in a row that fail at once tell that the store is away.
+	failuresUntilUnavailable = 2
+	roleCheckInterval        = time.Second           // between looks whether this box has become a reader
+	fastRetryDelay           = 20 * time.Millisecond // before the second read after one that failed at once
+	// timeoutThreshold is when a read that failed did so by a silence: an answer takes 4 ms.
+	timeoutThreshold  = 500 * time.Millisecond
+	initialRetryDelay = 250 * time.Millisecond // of the wait after a failure, doubled at each more
+	// substituteInitialRetryDelay is the same for boxes that read beside the first reader.
+	substituteInitialRetryDelay = time.Second
+	// substituteStagger is the time between the first reads of two substitutes: a read that
 	// the store answers, and a question of the next one, take some 15 ms.
-	substituteStep = 80 * time.Millisecond
+	substituteStagger = 80 * time.Millisecond
 )
 
 // backoff returns the wait after some failures in a row of a reader of some rank.
-func (f *Follower) backoff(s *source, r rank) time.Duration {
-	first := retryFirst
-	if r != rankFirst {
-		first = substituteRetryFirst
+func (f *Follower) backoff(s *source, r readerRole) time.Duration {
+	first := initialRetryDelay
+	if r != rolePrimary {
+		first = substituteInitialRetryDelay
 	}
-	n := min(max(int(s.failures.Load())-failuresAway, 0), 5)
-	wait := min(s.retryMost(r), first<<n)
-	return wait/2 + time.Duration(f.Spread()*float64(wait)/2)
+	n := min(max(int(s.failures.Load())-failuresUntilUnavailable, 0), 5)
+	wait := min(s.maxRetryDelay(r), first<<n)
+	return wait/2 + time.Duration(f.Jitter()*float64(wait)/2)
 }
 
 // follow reads one source again and again while this box is one of those that read the
@@ -44,55 +44,55 @@
 // all return at once.
 func (f *Follower) follow(ctx context.Context, s *source) {
 	for ctx.Err() == nil {
-		state := f.stateChanged()
-		n := f.rank()
-		if !f.mayRead(s, n) {
-			f.pauseIdle(ctx, state)
+		stateChange := f.stateChanged()
+		n := f.role()
+		if !f.shouldRead(s, n) {
+			f.pauseWhileIdle(ctx, stateChange)
 			continue
 		}
-		if !f.awaitTurn(ctx, s, n) {
+		if !f.awaitSubstituteTurn(ctx, s, n) {
 			continue
 		}
-		back := f.returned()
-		err := f.readWhileWanted(ctx, s, n, back)
+		recovered := f.recovery()
+		err := f.readInRole(ctx, s, n, recovered)
 		switch {
 		case err == nil:
-			pause(ctx, s.gather(n))
-		case f.rank() != n:
+			pause(ctx, s.readInterval(n))
+		case f.role() != n:
 			// what it is to do has changed
-		case s.failures.Load() == 0 && closed(back):
+		case s.failures.Load() == 0 && isClosed(recovered):
 			// its connection may have been lost
 		default:
-			f.pauseFailed(ctx, s, n, back)
+			f.pauseAfterFailure(ctx, s, n, recovered)
 		}
 	}
 }
 
-// awaitTurn waits, before the first read of a substitute, until those nearer to the store
+// awaitSubstituteTurn waits, before the first read of a substitute, until those nearer to the store
 // would have found that it serves them, and reports whether the read is still wanted.
-func (f *Follower) awaitTurn(ctx context.Context, s *source, r rank) bool {
-	if r != rankSubstitute || f.probedSinceFed(s) {
+func (f *Follower) awaitSubstituteTurn(ctx context.Context, s *source, r readerRole) bool {
+	if r != roleSubstitute || f.probedSincePeerLost(s) {
 		return true
 	}
-	before := len(f.duty().peers)
-	pause(ctx, time.Duration(max(0, before-1))*substituteStep)
-	return f.rank() == rankSubstitute
+	closer := len(f.assignment().peers)
+	pause(ctx, time.Duration(max(0, closer-1))*substituteStagger)
+	return f.role() == roleSubstitute
 }
 
-// mayRead reports whether a source is to be read by a box of that rank. While the store
+// shouldRead reports whether a source is to be read by a box of that rank. While the store
 // does not answer, only the probe is read: a call that fails is priced as others are. A
 // substitute first sees whether the store answers it at all.
-func (f *Follower) mayRead(s *source, r rank) bool {
+func (f *Follower) shouldRead(s *source, r readerRole) bool {
 	p := f.probe()
 	switch {
-	case r == rankNone:
+	case r == roleNone:
 		return false
-	case r == rankStandby && s.name == resource.SourceUpstreams:
+	case r == roleStandby && s.name == resource.SourceUpstreams:
 		return false // the list changes every second, and engines tell themselves that they leave
 	case s == p:
 		return true
-	case r == rankSubstitute:
-		return p.failures.Load() == 0 && f.probedSinceFed(p)
+	case r == roleSubstitute:
+		return p.failures.Load() == 0 && f.probedSincePeerLost(p)
 	default:
 		return p.failures.Load() == 0
 	}
@@ -117,168 +117,168 @@
 	return f.sources[len(f.sources)-1]
 }
 
-// probedSinceFed reports whether the probe was read since this box was last fed.
-func (f *Follower) probedSinceFed(p *source) bool {
+// probedSincePeerLost reports whether the probe was read since this box was last fed.
+func (f *Follower) probedSincePeerLost(p *source) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return p.readAt.get().After(f.unfedAt)
+	return p.readAt.get().After(f.peerLostAt)
 }
 
-// watch returns how long one read of a source waits. After a failure it does not wait: the
+// watchWait returns how long one read of a source waits. After a failure it does not wait: the
 // answer tells whether the store is back. The first read of a substitute does not either: the
 // other sources wait for its answer.
-func (f *Follower) watch(s *source, r rank) time.Duration {
+func (f *Follower) watchWait(s *source, r readerRole) time.Duration {
 	switch {
-	case s.failures.Load() > 0, r == rankSubstitute && s == f.probe() && !f.probedSinceFed(s):
+	case s.failures.Load() > 0, r == roleSubstitute && s == f.probe() && !f.probedSincePeerLost(s):
 		return 0
-	case r != rankStandby && !f.confirmsWithin(s, time.Now(), confirm(r)):
-		return confirm(r)
+	case r != roleStandby && !f.otherWaitEndsWithin(s, time.Now(), confirmPeriodFor(r)):
+		return confirmPeriodFor(r)
 	default:
 		return s.watchPeriod(r)
 	}
 }
 
-// confirmsWithin reports whether the read of a source other than s ends its wait within a time, so
+// otherWaitEndsWithin reports whether the read of a source other than s ends its wait within a time, so
 // that one of s need not: sources come to end their waits by turns.
-func (f *Follower) confirmsWithin(s *source, now time.Time, d time.Duration) bool {
+func (f *Follower) otherWaitEndsWithin(s *source, now time.Time, d time.Duration) bool {
 	for _, o := range f.sources {
-		if due := o.dueAt.get(); o != s && due.After(now) && !due.After(now.Add(d)) {
+		if ends := o.waitEndsAt.get(); o != s && ends.After(now) && !ends.After(now.Add(d)) {
 			return true
 		}
 	}
 	return false
 }
 
-// pauseFailed waits after a failure, but not much beyond the moment when another
+// pauseAfterFailure waits after a failure, but not much beyond the moment when another
 // source of the same store can be read again.
-func (f *Follower) pauseFailed(ctx context.Context, s *source, r rank, back <-chan struct{}) {
+func (f *Follower) pauseAfterFailure(ctx context.Context, s *source, r readerRole, recovered <-chan struct{}) {
 	if s.failures.Load() == 1 {
-		pause(ctx, retryAtOnce)
+		pause(ctx, fastRetryDelay)
 		return
 	}
 	select {
 	case <-ctx.Done():
-	case <-back:
-		pause(ctx, time.Duration(f.Spread()*float64(backSpread)))
+	case <-recovered:
+		pause(ctx, time.Duration(f.Jitter()*float64(recoveryJitter)))
 	case <-time.After(f.backoff(s, r)):
 	}
 }
 
-// pauseIdle waits until this box may have come to read.
-func (f *Follower) pauseIdle(ctx context.Context, state <-chan struct{}) {
+// pauseWhileIdle waits until this box may have come to read.
+func (f *Follower) pauseWhileIdle(ctx context.Context, stateChange <-chan struct{}) {
 	select {
 	case <-ctx.Done():
-	case <-state:
-	case <-time.After(idleEvery):
+	case <-stateChange:
+	case <-time.After(roleCheckInterval):
 	}
 }
 
-// readFailed takes in that a read ended with err, after a silence or at once; after is
+// recordReadFailure takes in that a read ended with err, after a silence or at once; after is
 // the revision held. A read that failed at once, as where its connection was reset, is
 // tried again before the store is taken to be away.
-func (f *Follower) readFailed(s *source, after int64, err error, silence bool) {
+func (f *Follower) recordReadFailure(s *source, after int64, err error, timedOut bool) {
 	count := int64(1)
-	if silence {
-		count = failuresAway
+	if timedOut {
+		count = failuresUntilUnavailable
 	}
 	n := s.failures.Add(count)
 	if n == count {
 		event.PlatformUnreachable.Log(f.log, "source", string(s.name), "step", fail.Step(err), "error", err.Error(), "era", revision.Era(after), "held", revision.Version(after))
 	}
-	if n < failuresAway {
+	if n < failuresUntilUnavailable {
 		return
 	}
-	if n < failuresAway+count {
-		f.tellState()
+	if n < failuresUntilUnavailable+count {
+		f.signalStateChange()
 	}
-	f.tellAway(s, true)
+	f.announceListUnavailable(s, true)
 }
 
 // readOnce reads one source and takes in what it holds. A read that the context ended
 // does not count as failed.
 func (f *Follower) readOnce(ctx context.Context, s *source, wait time.Duration) error {
 	after := f.position(s)
-	silentAt := time.Now().Add(wait + silentPeriod)
+	timeoutAt := time.Now().Add(wait + timeoutThreshold)
 	a := f.read(ctx, s, after, wait)
 	if a.err != nil {
 		if ctx.Err() == nil {
-			f.readFailed(s, after, a.err, time.Now().After(silentAt))
+			f.recordReadFailure(s, after, a.err, time.Now().After(timeoutAt))
 		}
 		return a.err
 	}
-	f.readSucceeded(s)
+	f.recordReadSuccess(s)
 	s.after.Store(a.next)
 	for i := range a.batches {
-		f.doubt(&a.batches[i], after)
-		f.lapse(s, &a.batches[i])
+		f.markTentative(&a.batches[i], after)
+		f.markLapsed(s, &a.batches[i])
 		f.apply(&a.batches[i], "platform")
 	}
 	return nil
 }
 
-// readWhileWanted reads one source by a box of a rank. The store's return, seen by another
+// readInRole reads one source by a box of a rank. The store's return, seen by another
 // source, ends a read that may have been lost before; and a standby that becomes a
 // substitute reads anew, to tell others at once that it can.
-func (f *Follower) readWhileWanted(ctx context.Context, s *source, r rank, back <-chan struct{}) error {
+func (f *Follower) readInRole(ctx context.Context, s *source, r readerRole, recovered <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		for ctx.Err() == nil {
-			state := f.stateChanged()
-			if r == rankStandby && f.rank() == rankSubstitute {
+			stateChange := f.stateChanged()
+			if r == roleStandby && f.role() == roleSubstitute {
 				cancel()
 			}
 			select {
-			case <-back:
+			case <-recovered:
 				cancel()
-			case <-state:
+			case <-stateChange:
 			case <-ctx.Done():
 			}
 		}
 	}()
-	return f.readOnce(ctx, s, f.watch(s, r))
+	return f.readOnce(ctx, s, f.watchWait(s, r))
 }
 
-// readSucceeded takes in that a source could be read, perhaps again after failures.
-func (f *Follower) readSucceeded(s *source) {
+// recordReadSuccess takes in that a source could be read, perhaps again after failures.
+func (f *Follower) recordReadSuccess(s *source) {
 	s.readAt.set(time.Now())
 	n := s.failures.Swap(0)
-	if s == f.probe() && (n > 0 || f.rank() == rankSubstitute) {
-		f.tellState() // the other sources may wait for it
+	if s == f.probe() && (n > 0 || f.role() == roleSubstitute) {
+		f.signalStateChange() // the other sources may wait for it
 	}
 	if n == 0 {
 		return
 	}
-	s.backAt.set(time.Now())
-	f.tellBack()
-	f.tellAway(s, false)
+	s.recoveredAt.set(time.Now())
+	f.signalRecovery()
+	f.announceListUnavailable(s, false)
 	event.PlatformReachable.Log(f.log, "source", string(s.name), "failures", n)
 }
 
-// returned returns a channel that is closed when a source can be read again.
-func (f *Follower) returned() <-chan struct{} {
+// recovery returns a channel that is closed when a source can be read again.
+func (f *Follower) recovery() <-chan struct{} {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.back
+	return f.recovered
 }
 
-// tellBack tells those that wait after a failure that the store can be read again.
-func (f *Follower) tellBack() {
+// signalRecovery tells those that wait after a failure that the store can be read again.
+func (f *Follower) signalRecovery() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	close(f.back)
-	f.back = make(chan struct{})
+	close(f.recovered)
+	f.recovered = make(chan struct{})
 }
 
-// tellState tells those that wait that it has changed whether the store can be read.
-func (f *Follower) tellState() {
+// signalStateChange tells those that wait that it has changed whether the store can be read.
+func (f *Follower) signalStateChange() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.changeState()
+	f.signalStateChangeLocked()
 }
 
-// closed reports whether a channel is closed that nothing is sent to.
-func closed(c <-chan struct{}) bool {
+// isClosed reports whether a channel is closed that nothing is sent to.
+func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
 		return true
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -112,7 +112,7 @@
 		s.refuse(w, http.StatusConflict, &Problem{Code: "resource_used", Message: "still named by " + strings.Join(l, ", ")})
 		return
 	}
-	s.write(w, r, row, &configuration.Value{Deleted: true, Resource: old})
+	s.write(w, r, row, &configuration.ResourceRow{Deleted: true, Resource: old})
 }
 
 func (s *Server) getList(w http.ResponseWriter, r *http.Request) {
@@ -213,7 +213,7 @@
 		}
 		x.Metadata.Generation++
 	}
-	s.write(w, r, row, &configuration.Value{Resource: x})
+	s.write(w, r, row, &configuration.ResourceRow{Resource: x})
 }
 
 func (s *Server) refuse(w http.ResponseWriter, status int, p *Problem) {
@@ -246,13 +246,13 @@
 
 // write commits v over row, which was read, and answers with what now stands. That read may
 // have told this box that the store came back from a copy.
-func (s *Server) write(w http.ResponseWriter, r *http.Request, row *table.Row, v *configuration.Value) {
+func (s *Server) write(w http.ResponseWriter, r *http.Request, row *table.Row, v *configuration.ResourceRow) {
 	era, since := s.Era()
 	if !since.IsZero() && time.Since(since) < settlePeriod {
 		s.refuseTable(w, errRestored(fail.Unavailable, "the store was restored, and what it lost is being written again"))
 		return
 	}
-	v.Write = rand.Text()
+	v.WriteID = rand.Text()
 	v.Resource.Status = nil
 	v.Resource.Metadata.ResourceVersion = ""
 	other, at, err := s.commit(r.Context(), row.Key, row.Revision, v)
@@ -264,18 +264,18 @@
 		return
 	}
 	if other != nil {
-		o := new(configuration.Value)
+		o := new(configuration.ResourceRow)
 		_ = json.Unmarshal(other.Value, o)
 		p := &Problem{Code: "raced", Message: "another write came first"}
 		if o.Resource != nil && !o.Deleted {
-			p.Current = configuration.Versioned(o.Resource, other.Revision)
+			p.Current = configuration.WithRevision(o.Resource, other.Revision)
 		}
 		s.refuse(w, http.StatusConflict, p)
 		return
 	}
 	event.ResourceWritten.Log(s.log, "kind", v.Resource.Kind, "name", v.Resource.Metadata.Name, "revision", revision.Version(at), "deleted", v.Deleted)
 	_ = s.Refresh(r.Context())
-	writeJSON(w, http.StatusOK, configuration.Versioned(v.Resource, at))
+	writeJSON(w, http.StatusOK, configuration.WithRevision(v.Resource, at))
 }
 
 // errRestored returns the error of a write around the moment at which the store comes back from
--- a/internal/operator/table.go
+++ b/internal/operator/table.go
@@ -17,7 +17,7 @@
 // commit writes a row whose last revision is known. Where the answer is lost,
 // it sends the same write again: the condition then fails if the first took
 // effect, and the row tells whose write it was.
-func (s *Server) commit(ctx context.Context, key string, revision int64, v *configuration.Value) (*table.Row, int64, error) {
+func (s *Server) commit(ctx context.Context, key string, revision int64, v *configuration.ResourceRow) (*table.Row, int64, error) {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return nil, 0, err
@@ -32,7 +32,7 @@
 		case err == nil && r.Committed:
 			return nil, r.Revision, nil
 		case err == nil:
-			return lostRace(r, v.Write)
+			return lostRace(r, v.WriteID)
 		case try == settleTries || !unsettled(err, try):
 			return nil, 0, err
 		}
@@ -46,7 +46,7 @@
 
 // current returns the row of a resource, and what it holds unless that was deleted.
 func (s *Server) current(ctx context.Context, k resource.Kind, name string) (*table.Row, *resource.Resource, error) {
-	key := configuration.Key(k, name)
+	key := configuration.ResourceKey(k, name)
 	row, err := s.Get(ctx, key)
 	if err != nil {
 		return nil, nil, err
@@ -54,14 +54,14 @@
 	if row == nil {
 		return &table.Row{Key: key}, nil, nil
 	}
-	v := new(configuration.Value)
+	v := new(configuration.ResourceRow)
 	if err := json.Unmarshal(row.Value, v); err != nil {
 		return nil, nil, fail.Wrap(fail.Unknown, fail.Origin{Peer: "platform", Step: "read resource"}, "platform_garbled", err)
 	}
 	if v.Deleted {
 		return row, nil, nil
 	}
-	return row, configuration.Versioned(v.Resource, row.Revision), nil
+	return row, configuration.WithRevision(v.Resource, row.Revision), nil
 }
 
 // lostRace tells a transaction that was refused because an earlier send of it
@@ -83,6 +83,6 @@
 }
 
 func writtenBy(r *table.Row, write string) bool {
-	v := new(configuration.Value)
-	return json.Unmarshal(r.Value, v) == nil && v.Write == write
+	v := new(configuration.ResourceRow)
+	return json.Unmarshal(r.Value, v) == nil && v.WriteID == write
 }
--- a/internal/relay/rig_test.go
+++ b/internal/relay/rig_test.go
@@ -64,7 +64,7 @@
 		options = append([]relay.Option{relay.WithRetryBudget(0.2, 50, 10*time.Second, func() int { return 1 })}, options...)
 		r.relay = relay.New(r.view, tracker, policy.NewLengths(), "a", r.metrics, slog.New(r.logs), options...)
 		calls := platform.NewEngines(platform.WithEnginesTransport(r.link))
-		r.relay.Upstreams = relay.UpstreamCalls{ProcessEnded: calls.Gone, Migrate: calls.Migrate, Release: calls.Release, Send: calls.Send}
+		r.relay.Upstreams = relay.UpstreamCalls{ProcessEnded: calls.ProcessEnded, Migrate: calls.Migrate, Release: calls.Release, Send: calls.Send}
 		r.relay.RefreshViews = func(context.Context) { r.refreshViews() }
 		r.relay.Place = r.place
 		r.relay.ChooseLocally = r.firstFree
--- a/join.go
+++ b/join.go
@@ -60,9 +60,9 @@
 	var g sync.WaitGroup
 	g.Go(func() { b.learnFromNeighbours(ctx) })
 	b.start(func() { b.heartbeats(b.running) }) // boxes that are gone must not hold up the start
-	b.start(func() { b.follower.RunNews(b.running) })
-	if b.follower.Reads() || !b.listenForNews(ctx) {
-		_ = b.follower.RefreshRest(ctx) // as above
+	b.start(func() { b.follower.WatchPeers(b.running) })
+	if b.follower.ReadsStore() || !b.listenForNews(ctx) {
+		_ = b.follower.RefreshExceptBoxes(ctx) // as above
 	}
 	b.listMembers()
 	g.Wait()
--- a/linetiller.go
+++ b/linetiller.go
@@ -207,7 +207,7 @@
 // loops returns what runs as long as the box does.
 func (b *Box) loops() []func(context.Context) {
 	l := []func(context.Context){
-		b.follower.Run, b.follower.RunAge, b.owners.Run, b.tracker.Run, b.relay.Run, b.runHeartbeats, b.runMembers, b.runBeat, b.runPush, b.runRegister,
+		b.follower.Run, b.follower.MonitorViewAge, b.owners.Run, b.tracker.Run, b.relay.Run, b.runHeartbeats, b.runMembers, b.runBeat, b.runPush, b.runRegister,
 	}
 	if b.hasEntry() {
 		l = append(l, b.runKeeper)
--- a/rewrite.go
+++ b/rewrite.go
@@ -23,11 +23,11 @@
 func (b *Box) rewrite(ctx context.Context, c *resource.Change) error {
 	x := *c.Resource
 	x.Metadata.ResourceVersion = ""
-	v, err := json.Marshal(&configuration.Value{Deleted: c.Deleted, Resource: &x, Write: rand.Text()})
+	v, err := json.Marshal(&configuration.ResourceRow{Deleted: c.Deleted, Resource: &x, WriteID: rand.Text()})
 	if err != nil {
 		return err
 	}
-	key := configuration.Key(x.Kind, x.Metadata.Name)
+	key := configuration.ResourceKey(x.Kind, x.Metadata.Name)
 	row, err := b.store.Get(ctx, key)
 	if err != nil {
 		return err
@@ -64,7 +64,7 @@
 func (b *Box) runRewrite(ctx context.Context) {
 	for {
 		c := b.view.Changed()
-		if len(b.view.PossiblyLost(resource.SourceResources)) == 0 || !b.follower.Reads() {
+		if len(b.view.PossiblyLost(resource.SourceResources)) == 0 || !b.follower.ReadsStore() {
 			select {
 			case <-ctx.Done():
 				return
--- a/routed_store_test.go
+++ b/routed_store_test.go
@@ -72,7 +72,7 @@
 			r.platform.SetFaults(fakeplatform.Faults{Down: x.down})
 			time.Sleep(x.wait)
 			for n, b := range r.boxes {
-				if got := b.follower.Away(); got != x.down {
+				if got := b.follower.ListUnavailable(); got != x.down {
 					t.Errorf("%s: store down %v, %v later: got away %v", n, x.down, x.wait, got)
 				}
 			}
--- a/silence_test.go
+++ b/silence_test.go
@@ -316,7 +316,7 @@
 		for range 20 {
 			time.Sleep(time.Second)
 			for n, b := range r.boxes {
-				if got := b.follower.Age(); got == 0 || got > calm {
+				if got := b.follower.ViewAge(); got == 0 || got > calm {
 					t.Errorf("%s: got a view of age %v, want at most %v", n, got, calm)
 				}
 			}
@@ -327,7 +327,7 @@
 		}
 		time.Sleep(silence)
 		for n, b := range r.boxes {
-			if got, want := b.follower.Age(), silence-calm; got < want {
+			if got, want := b.follower.ViewAge(), silence-calm; got < want {
 				t.Errorf("%s: got a view of age %v in a silence, want at least %v", n, got, want)
 			}
 		}
