--- a/internal/configuration/age.go
+++ b/internal/configuration/age.go
@@ -11,41 +11,21 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// ViewStaleAfter is from which age on a view is not known to be current: a read, the news of one
-// and the heartbeats of a hall take less together.
+// ViewStaleAfter is the age from which a view is not known to be current. A read of the store,
+// passing its result on to another reader and the heartbeats within a hall take less than this
+// together.
 const ViewStaleAfter = 6 * time.Second
 
 const (
-	// minLateReadThreshold is how long after the end of its wait a read counts as late while the store
-	// answers within some milliseconds.
+	// minLateReadThreshold is how long after the end of its wait a read counts as late while the
+	// store responds within a few milliseconds.
 	minLateReadThreshold = 250 * time.Millisecond
-	// viewAgeCheckInterval is between two looks at the age of the view.
+	// viewAgeCheckInterval is the time between two checks of the age of the view.
 	viewAgeCheckInterval = time.Second
 )
 
-// ViewAge returns how long ago the view is known to have held all that the platform's store had
-// acknowledged, 0 where it never was.
-func (f *Follower) ViewAge() time.Duration {
-	at := f.peerCurrentAt.get()
-	if own := f.lastFullReadAt(); own.After(at) {
-		at = own
-	}
-	if at.IsZero() {
-		return 0
-	}
-	return max(1, time.Since(at))
-}
-
-// RecordPeerViewAge records the age of the view of a box with whose revisions this one has caught up; 0
-// is none.
-func (f *Follower) RecordPeerViewAge(age time.Duration) {
-	if at := time.Now().Add(-age); age > 0 && at.After(f.peerCurrentAt.get()) {
-		f.peerCurrentAt.set(at)
-	}
-}
-
-// MonitorViewAge logs when the view is no longer known to be current, and when it is again, until the
-// context ends.
+// MonitorViewAge logs when the view is no longer known to be current, and when it is known to be
+// current again, until the context ends.
 func (f *Follower) MonitorViewAge(ctx context.Context) {
 	stale := false
 	periodic.Run(ctx, viewAgeCheckInterval, func(context.Context) {
@@ -62,24 +42,30 @@
 	})
 }
 
-// registerViewAge has the age of the view told by a gauge of m.
-func (f *Follower) registerViewAge(m *metric.Set) {
-	m.Gauge(metric.ViewAge, func() float64 {
-		if age := f.ViewAge(); age > 0 {
-			return age.Seconds()
-		}
-		return math.Inf(1)
-	})
+// RecordPeerViewAge records the age of the view of another box. The caller has merged that box's
+// revisions into this view. An age of 0 means that it is unknown.
+func (f *Follower) RecordPeerViewAge(age time.Duration) {
+	if at := time.Now().Add(-age); age > 0 && at.After(f.peerCurrentAt.get()) {
+		f.peerCurrentAt.set(at)
+	}
 }
 
-// recordLateRead logs that a read which began at a time has not been answered in time.
-func (f *Follower) recordLateRead(s *source, began time.Time) {
-	f.metrics.Count(metric.PlatformLateReads, "source", string(s.name))
-	event.ReadLate.Log(f.log, "source", string(s.name), "waited_ms", time.Since(began).Milliseconds())
+// ViewAge returns the time since the view was last known to hold everything that the platform's
+// store had acknowledged, or 0 if it was never known to.
+func (f *Follower) ViewAge() time.Duration {
+	at := f.peerCurrentAt.get()
+	if own := f.lastFullReadAt(); own.After(at) {
+		at = own
+	}
+	if at.IsZero() {
+		return 0
+	}
+	return max(1, time.Since(at))
 }
 
-// lastFullReadAt returns when this box last had an answer of the store about each source by which
-// requests are decided, zero where one is lacking.
+// lastFullReadAt returns the time by which this box had a response from the store for every source
+// that decides about requests: the oldest of their last reads. It is zero if one of them was never
+// read. The list of boxes does not count.
 func (f *Follower) lastFullReadAt() time.Time {
 	var oldest time.Time
 	for _, s := range f.sources {
@@ -96,3 +82,19 @@
 	}
 	return oldest
 }
+
+// recordLateRead counts and logs a read, begun at the given time, that is overdue.
+func (f *Follower) recordLateRead(s *source, began time.Time) {
+	f.metrics.Count(metric.PlatformLateReads, "source", string(s.name))
+	event.ReadLate.Log(f.log, "source", string(s.name), "waited_ms", time.Since(began).Milliseconds())
+}
+
+// registerViewAge adds a gauge of the view's age to m. It is infinite while the age is unknown.
+func (f *Follower) registerViewAge(m *metric.Set) {
+	m.Gauge(metric.ViewAge, func() float64 {
+		if age := f.ViewAge(); age > 0 {
+			return age.Seconds()
+		}
+		return math.Inf(1)
+	})
+}
--- a/internal/configuration/age_test.go
+++ b/internal/configuration/age_test.go
@@ -13,8 +13,9 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// TestAgeOfAViewThatNobodyConfirms has the store say nothing for a time: a reader's view ages, the
-// log says so once and says when it is over, and a box that hears from one that is younger goes by that.
+// TestAgeOfAViewThatNobodyConfirms stops the store from responding for a while. The view of a
+// reader ages, one log event reports that it is stale and one that it is current again, and the age
+// of another box's younger view is adopted.
 func TestAgeOfAViewThatNobodyConfirms(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const outage = 20 * time.Second
@@ -34,22 +35,22 @@
 			t.Errorf("while the store answers: got age %v, want at most %v", got, ViewStaleAfter)
 		}
 		time.Sleep(time.Until(s.outageEnd))
-		if got, want := f.ViewAge(), outage-shortWatchPeriod; got < want { // a read may have been under way
-			t.Errorf("after the silence: got age %v, want at least %v", got, want)
+		if got, want := f.ViewAge(), outage-shortWatchPeriod; got < want { // a read may have been in flight
+			t.Errorf("after the outage: got age %v, want at least %v", got, want)
 		}
 		f.RecordPeerViewAge(time.Second)
 		if got, want := f.ViewAge(), time.Second; got != want {
-			t.Errorf("after another box's word: got age %v, want %v", got, want)
+			t.Errorf("after another box reported its age: got age %v, want %v", got, want)
 		}
 		<-ctx.Done()
 		synctest.Wait()
 		for _, e := range []event.Event{event.ViewStale, event.ViewCurrent} {
 			if got, want := strings.Count(b.String(), e.Name), 1; got != want {
-				t.Errorf("lines %q: got %d, want %d", e.Name, got, want)
+				t.Errorf("log lines %q: got %d, want %d", e.Name, got, want)
 			}
 		}
 		if got := strings.Count(b.String(), event.ReadLate.Name); got == 0 {
-			t.Errorf("lines %q: got none", event.ReadLate.Name)
+			t.Errorf("log lines %q: got none", event.ReadLate.Name)
 		}
 	})
 }
--- a/internal/configuration/moment.go
+++ b/internal/configuration/atomictime.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// atomicTime is a time that is safe for concurrent use. It keeps the reading of the monotonic clock:
-// the time of day may jump.
+// atomicTime is a time that is safe for concurrent use. It keeps the monotonic clock reading, since
+// the wall clock may jump.
 type atomicTime struct {
 	at atomic.Pointer[time.Time]
 }
 
-// get returns the time, zero where none was set.
+// get returns the time, or the zero time if none was set.
 func (m *atomicTime) get() time.Time {
 	if t := m.at.Load(); t != nil {
 		return *t
@@ -19,7 +19,6 @@
 	return time.Time{}
 }
 
-// set sets the time.
 func (m *atomicTime) set(t time.Time) {
 	m.at.Store(&t)
 }
--- a/internal/configuration/catchup_test.go
+++ b/internal/configuration/catchup_test.go
@@ -10,8 +10,8 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// TestCatchUpIsNotHeldUpByABoxThatLostItsPower has a box tell of a change and not answer the question for
-// it: what other boxes told was not asked for until that question had run out.
+// TestCatchUpIsNotHeldUpByABoxThatLostItsPower has a box announce a change and then not respond to
+// the request for it. Catch-ups from other boxes must not wait until that request times out.
 func TestCatchUpIsNotHeldUpByABoxThatLostItsPower(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newOutageStore(0).follower(resource.SourceConfiguration)
--- a/internal/configuration/follower.go
+++ b/internal/configuration/follower.go
@@ -1,5 +1,5 @@
-// Package configuration keeps a box's view of the resources up to date, from
-// the platform's store or from boxes that are ahead.
+// Package configuration keeps a box's view of the resources up to date, from the platform's store
+// or from boxes that have newer data.
 package configuration
 
 import (
@@ -19,55 +19,57 @@
 	"github.com/linetiller/linetiller/internal/revision"
 )
 
-// Reader waits up to wait for changes of one source, and of those that are read with
-// it, after a revision of the store; where that is 0, or the history since then is
-// gone, it returns all of them. They are to be taken in order, the source's own last,
-// so that a view which is at its revision knows the others up to there. It also returns
-// the revision after which to go on.
+// Reader waits up to wait for changes of one source, and of the sources that are read with it,
+// after a revision of the store. If after is 0, or the history since then is no longer available,
+// it returns complete snapshots at once. The batches must be applied in order, that of the source
+// itself last, so that a view at its revision also has the others up to there. next is the revision
+// from which to continue.
 type Reader func(ctx context.Context, after int64, wait time.Duration) (l []resource.Batch, next int64, err error)
 
 // Follower keeps one view up to date. It is safe for concurrent use.
 type Follower struct {
-	// Call sends a request to another box; a seam for tests.
+	// Call sends a request to another box. It can be replaced in tests.
 	Call func(ctx context.Context, address string, q *box.Request) (*box.Reply, error)
-	// Reconnect has the next read of the store go over a new connection; a seam.
+	// Reconnect makes the next read of the store use a new connection.
 	Reconnect func()
-	// OnRestored is told once this box has learned that the store came back from a copy; a seam.
+	// OnRestored is called when this box has learned that the store was restored from a backup. It
+	// may be nil.
 	OnRestored func()
-	// AnnounceListUnavailable tells the hall's other boxes that the list of upstreams cannot be read, or
-	// can be again; a seam. It does not wait.
-	AnnounceListUnavailable func(away bool)
-	// Jitter draws a number in [0, 1) by which retries are spread out.
+	// AnnounceListUnavailable tells the other boxes of the hall that this box cannot read the list
+	// of upstreams, or can read it again. It does not block. It may be nil.
+	AnnounceListUnavailable func(unavailable bool)
+	// Jitter returns a random number in [0, 1) by which retries are spread.
 	Jitter func() float64
 
 	log                  *slog.Logger
 	members              *member.Table
 	metrics              *metric.Set
-	mutex                sync.Mutex           // guards the fields below
-	responseTime         atomic.Int64         // nanoseconds that the store took for its last answer
-	listUnavailableUntil map[string]time.Time // by box: until when its word counts that it cannot read the list of upstreams
+	mutex                sync.Mutex           // guards those of the fields below that change and are not safe for concurrent use by themselves
+	responseTime         atomic.Int64         // how long the store took for its last response, in nanoseconds
+	listUnavailableUntil map[string]time.Time // by box: until when its report counts that it cannot read the list of upstreams
 	recovered            chan struct{}        // closed when a source can be read again after failures
-	peerCurrentAt        atomicTime           // when the view was known to be current, by what other boxes said
-	era                  storeEra             // of the store, as this box knows it
-	// followsPeerUntil is until when the view counts as kept up to date by another reader's word.
+	peerCurrentAt        atomicTime           // the latest time at which the view was current according to other boxes
+	era                  storeEra             // of the store, as known to this box
+	// followsPeerUntil is the time until which the view counts as kept up to date by another
+	// reader.
 	followsPeerUntil  time.Time
-	unresponsivePeers map[string]bool      // readers that did not answer when they were last asked
-	stateChange       chan struct{}        // closed when it changes who reads, or whether the store can be read
-	peerLostAt        time.Time            // when the last reader that kept the view up to date was found unable, or silent
-	laggingPeerUntil  map[string]time.Time // by box: until when it counts as a reader that cannot read the store
-	workers           sync.WaitGroup       // calls of silent readers
+	unresponsivePeers map[string]bool      // readers that did not respond to the last call
+	stateChange       chan struct{}        // closed when the roles change, or whether the store can be read
+	peerLostAt        time.Time            // when the last reader that kept the view up to date stopped doing so
+	laggingPeerUntil  map[string]time.Time // by box: until when it counts as a reader that cannot follow the store
+	workers           sync.WaitGroup       // calls to unresponsive readers
 	sources           []*source
-	catchUpSlot       chan struct{} // holds one value while a catch-up is under way
+	catchUpSlot       chan struct{} // holds a value while a catch-up is in progress
 	view              *resource.View
 }
 
 const (
-	// listUnavailableTTL is how long the word that the list of upstreams cannot be read counts: a
-	// reader tells it anew with each failure, which are at most 4 s apart.
+	// listUnavailableTTL is how long another box's report counts that it cannot read the list of
+	// upstreams. A reader repeats the report with each failed read; these are at most 4 s apart.
 	listUnavailableTTL = 5 * time.Second
-	catchUpTimeout     = 3 * time.Second // for one catch-up: a large configuration takes half a second over 10 Mbit/s
-	// catchUpSlotTimeout is how long a catch-up keeps others waiting: the box that it asks may have lost
-	// its power since it sent its message.
+	catchUpTimeout     = 3 * time.Second // of one catch-up; a large configuration takes half a second over 10 Mbit/s
+	// catchUpSlotTimeout is how long a catch-up keeps others waiting. The box that it calls may
+	// have lost power since it sent its message.
 	catchUpSlotTimeout = 300 * time.Millisecond
 )
 
@@ -76,26 +78,16 @@
 	return &Follower{listUnavailableUntil: make(map[string]time.Time), recovered: make(chan struct{}), log: l, members: m, metrics: metric.NewSet(), Reconnect: func() {}, unresponsivePeers: make(map[string]bool), Jitter: func() float64 { return 0.5 }, stateChange: make(chan struct{}), catchUpSlot: make(chan struct{}, 1), laggingPeerUntil: make(map[string]time.Time), view: v}
 }
 
-// Add adds a source before Run is called.
+// Add adds a source. It must not be called after Run.
 func (f *Follower) Add(name resource.Source, r Reader) {
 	f.sources = append(f.sources, &source{name: name, read: r})
 }
 
-// ListUnavailable reports whether the platform's list of upstreams could not be read lately, by
-// this box or by one of its hall's readers.
-func (f *Follower) ListUnavailable() bool {
-	for _, s := range f.sources {
-		if s.name == resource.SourceUpstreams && s.unavailable() {
-			return true
-		}
-	}
-	return f.peerListUnavailable(time.Now())
-}
-
-// CatchUp brings the view to at least the given revisions by asking the box at
-// address. One catch-up goes at a time, so that many messages from a box that is
-// ahead make one, but no longer than catchUpSlotTimeout; waiting for its turn ends with the context. Reads of the store
-// are not held up by it, nor it by them: the view takes changes in any order.
+// CatchUp brings the view to at least the given revisions by requesting the changes from the box at
+// address. Catch-ups run one at a time, so that many messages from a box with newer data cause a
+// single one, but each keeps the others waiting for at most catchUpSlotTimeout; the wait ends with
+// the context. Catch-ups and reads of the store do not wait for each other: the view accepts
+// changes in any order.
 func (f *Follower) CatchUp(ctx context.Context, address string, r resource.Revisions) error {
 	if !f.view.Revisions().Behind(r) {
 		return nil
@@ -125,7 +117,7 @@
 	return nil
 }
 
-// Complete reports whether something is known of every source.
+// Complete reports whether the view has data of every source.
 func (f *Follower) Complete() bool {
 	r := f.view.Revisions()
 	for _, s := range f.sources {
@@ -136,8 +128,24 @@
 	return true
 }
 
-// RecordPeerListUnavailable takes in another box's word of whether it can read the list of upstreams. It
-// changes nothing about the word of others: the store may serve one and not another.
+// ListUnavailable reports whether recent reads of the platform's list of upstreams failed, at this
+// box or, by its report, at another reader of its hall.
+func (f *Follower) ListUnavailable() bool {
+	for _, s := range f.sources {
+		if s.name == resource.SourceUpstreams && s.unavailable() {
+			return true
+		}
+	}
+	return f.peerListUnavailable(time.Now())
+}
+
+// ReadsStore reports whether this box is one of the few that read the store in normal operation.
+func (f *Follower) ReadsStore() bool {
+	return f.assignment().role != roleNone
+}
+
+// RecordPeerListUnavailable records another box's report of whether it can read the list of
+// upstreams. Reports of other boxes stay as they are: the store may serve one box and not another.
 func (f *Follower) RecordPeerListUnavailable(from string, unavailable bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -150,46 +158,19 @@
 	delete(f.listUnavailableUntil, from)
 }
 
-// RegisterMetrics has the follower's state told by gauges of m. It is called once all sources
-// are added.
-func (f *Follower) RegisterMetrics(m *metric.Set) {
-	f.metrics = m
-	f.registerViewAge(m)
-	m.Gauge(metric.PlatformReader, func() float64 { return boolToFloat(f.role() != roleNone) })
-	for _, s := range f.sources {
-		m.GaugeOf(metric.PlatformReadFailing, "source", string(s.name), func() float64 { return boolToFloat(s.failures.Load() > 0) })
-		m.GaugeOf(metric.PlatformReadAge, "source", string(s.name), func() float64 {
-			if s.readAt.get().IsZero() {
-				return math.Inf(1)
-			}
-			return time.Since(s.readAt.get()).Seconds()
-		})
-	}
-}
-
-// ReadsStore reports whether this box is one of the few that read the store while all is well.
-func (f *Follower) ReadsStore() bool {
-	return f.assignment().role != roleNone
-}
-
-// Refresh brings the view up to date from the store, without waiting for changes.
+// Refresh brings the view up to date from the store without waiting for changes.
 func (f *Follower) Refresh(ctx context.Context) error {
 	return f.refresh(ctx, func(*source) bool { return true })
 }
 
-// RefreshExceptBoxes brings the view up to date from the store, without waiting for changes, but
-// for the boxes.
+// RefreshExceptBoxes brings all sources but the list of boxes up to date from the store without
+// waiting for changes.
 func (f *Follower) RefreshExceptBoxes(ctx context.Context) error {
 	return f.refresh(ctx, func(s *source) bool { return s.name != resource.SourceBoxes })
 }
 
-// RefreshSource brings one source up to date from the store, without waiting for
-// changes.
-func (f *Follower) RefreshSource(ctx context.Context, name resource.Source) error {
-	return f.refresh(ctx, func(s *source) bool { return s.name == name })
-}
-
-// RefreshFromPeerOrStore brings the view up to date, from a reader that answers or else from the store.
+// RefreshFromPeerOrStore brings the view up to date from a reader, or from the store if no reader
+// that follows the store responds.
 func (f *Follower) RefreshFromPeerOrStore(ctx context.Context) error {
 	if f.refreshFromPeer(ctx) {
 		return nil
@@ -197,8 +178,29 @@
 	return f.Refresh(ctx)
 }
 
-// Run follows every source while this box is one of those that read the store, until
-// the context ends.
+// RefreshSource brings one source up to date from the store without waiting for changes.
+func (f *Follower) RefreshSource(ctx context.Context, name resource.Source) error {
+	return f.refresh(ctx, func(s *source) bool { return s.name == name })
+}
+
+// RegisterMetrics adds gauges of the follower's state to m, which then receives its counters, too.
+// It must be called after all sources were added.
+func (f *Follower) RegisterMetrics(m *metric.Set) {
+	f.metrics = m
+	f.registerViewAge(m)
+	m.Gauge(metric.PlatformReader, func() float64 { return boolToFloat(f.role() != roleNone) })
+	for _, s := range f.sources {
+		m.GaugeOf(metric.PlatformReadFailing, "source", string(s.name), func() float64 { return boolToFloat(s.failures.Load() > 0) })
+		m.GaugeOf(metric.PlatformReadAge, "source", string(s.name), func() float64 {
+			if s.readAt.get().IsZero() {
+				return math.Inf(1)
+			}
+			return time.Since(s.readAt.get()).Seconds()
+		})
+	}
+}
+
+// Run follows every source, as far as the role of this box requires it, until the context ends.
 func (f *Follower) Run(ctx context.Context) {
 	var g sync.WaitGroup
 	for _, s := range f.sources {
@@ -207,7 +209,15 @@
 	g.Wait()
 }
 
-// apply takes a batch into the view.
+// announceListUnavailable tells the other boxes of the hall whether this box can read the list of
+// upstreams. It does nothing for other sources.
+func (f *Follower) announceListUnavailable(s *source, unavailable bool) {
+	if s.name == resource.SourceUpstreams && f.AnnounceListUnavailable != nil {
+		f.AnnounceListUnavailable(unavailable)
+	}
+}
+
+// apply merges a batch into the view. An outdated snapshot is counted and logged.
 func (f *Follower) apply(b *resource.Batch, from string) {
 	f.recordBatchEra(b)
 	defer f.logHeldChanges(b, f.view.CountHeld(b.Source))
@@ -221,7 +231,8 @@
 	}
 }
 
-// refresh reads the sources for which wanted is true, at once.
+// refresh reads the sources that are wanted concurrently, without waiting for changes. It returns
+// the first error in the order of the sources.
 func (f *Follower) refresh(ctx context.Context, wanted func(*source) bool) error {
 	var g sync.WaitGroup
 	errs := make([]error, len(f.sources))
@@ -239,15 +250,8 @@
 	return nil
 }
 
-// announceListUnavailable tells the hall's other boxes whether the list of upstreams cannot be read.
-func (f *Follower) announceListUnavailable(s *source, unavailable bool) {
-	if s.name == resource.SourceUpstreams && f.AnnounceListUnavailable != nil {
-		f.AnnounceListUnavailable(unavailable)
-	}
-}
-
-// peerListUnavailable reports whether the word of a box counts that it cannot read the list of
-// upstreams.
+// peerListUnavailable reports whether another box has recently reported that it cannot read the
+// list of upstreams.
 func (f *Follower) peerListUnavailable(now time.Time) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -259,7 +263,7 @@
 	return false
 }
 
-// boolToFloat returns 1 for true.
+// boolToFloat returns 1 for true and 0 for false.
 func boolToFloat(b bool) float64 {
 	if b {
 		return 1
--- a/internal/configuration/follower_test.go
+++ b/internal/configuration/follower_test.go
@@ -19,19 +19,19 @@
 	"github.com/linetiller/linetiller/internal/table"
 )
 
-// testBox is one box of a schedule.
+// testBox is one box of a random schedule.
 type testBox struct {
-	disconnected   bool // from the platform
+	disconnected   bool // from the store
 	follower       *Follower
-	delayedAnswers []func() // answers to its calls that have not come yet
-	maxRevision    int64    // revision ever seen in force
-	staleAt        int64    // revision at which its reads of the table stand still, 0 for none
+	delayedAnswers []func() // responses to its calls that have not arrived yet
+	maxRevision    int64    // the highest revision that its view ever had
+	staleAt        int64    // the revision at which its reads of the table are stuck, 0 if they are not
 	view           *resource.View
 }
 
-// cluster is some boxes, a table, and what was accepted.
+// cluster is a set of boxes, the table that they read, and the writes that were accepted.
 type cluster struct {
-	accepted map[string]table.Row // newest accepted row of each resource
+	accepted map[string]table.Row // by name: the newest accepted row of a resource
 	history  []table.Row
 	boxes    []*testBox
 	table    *fakeplatform.Platform
@@ -45,7 +45,7 @@
 	return w
 }
 
-// restart starts box i anew: it keeps nothing.
+// restart starts box i without any state.
 func (w *cluster) restart(i int) {
 	p := &testBox{view: resource.NewView()}
 	m := member.NewTable(box.Member{Address: fmt.Sprint(i), Hall: "a", Name: fmt.Sprint(i), State: box.StateServing})
@@ -65,7 +65,7 @@
 	w.boxes = append(w.boxes, p)
 }
 
-// read reads the table as a box sees it: not at all, late, or as it is.
+// read reads the table as a box sees it: not at all, in a stale state, or as it is.
 func (w *cluster) read(p *testBox, after int64) (*table.Changes, error) {
 	if p.disconnected {
 		return nil, fail.New(fail.Unavailable, fail.Origin{}, "platform_down", "cut")
@@ -96,10 +96,10 @@
 	w.accepted[name] = row
 }
 
-// TestConfigurationNeverReverts runs random schedules of writes, reads that fail
-// or are stale, answers that come late and crossed, boxes that catch up from each other, and boxes that start anew,
-// and checks after each step that no box's revision and no resource's falls; in
-// the end, once all are joined again, every box has all that was accepted.
+// TestConfigurationNeverReverts runs random schedules of writes, reads that fail or return stale
+// data, responses that arrive late and out of order, boxes that catch up from each other, and boxes
+// that restart. After each step, no revision of a box and of a resource may have decreased. In the
+// end, once all boxes are connected again, each must have every accepted write.
 func TestConfigurationNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const boxes = 4
@@ -141,7 +141,7 @@
 			"late answer": func(t *rapid.T) {
 				p := w.boxes[pick(t)]
 				if len(p.delayedAnswers) == 0 {
-					t.Skip("none is under way")
+					t.Skip("no response is delayed")
 				}
 				i := rapid.IntRange(0, len(p.delayedAnswers)-1).Draw(t, "answer")
 				p.delayedAnswers[i]()
@@ -155,12 +155,12 @@
 			"": func(t *rapid.T) {
 				for i, p := range w.boxes {
 					if got := p.view.Revision(); got < p.maxRevision {
-						t.Fatalf("box %d: revision fell from %d to %d", i, p.maxRevision, got)
+						t.Fatalf("box %d: revision decreased from %d to %d", i, p.maxRevision, got)
 					}
 					p.maxRevision = p.view.Revision()
 					for _, r := range p.view.List("") {
 						if got, want := r.Revision(), seen[i][r.Metadata.Name]; got < want {
-							t.Fatalf("box %d: %s fell from %d to %d", i, r.Metadata.Name, want, got)
+							t.Fatalf("box %d: revision of %s decreased from %d to %d", i, r.Metadata.Name, want, got)
 						}
 						seen[i][r.Metadata.Name] = r.Revision()
 					}
@@ -183,7 +183,7 @@
 	})
 }
 
-// TestReadersAreFew checks how many boxes of a hall of 300 read the table.
+// TestReadersAreFew checks how many of the 300 boxes of a hall read the store.
 func TestReadersAreFew(t *testing.T) {
 	readers := 0
 	for i := range 300 {
@@ -203,9 +203,9 @@
 	}
 }
 
-// TestReadersAreFewOverAllHalls checks that of 295 boxes in five halls two read the store
-// while all is well, in two halls, and that every other hall has two boxes that ask for
-// news, each of a box nearer to the store.
+// TestReadersAreFewOverAllHalls checks that of 295 boxes in five halls two, in different halls,
+// read the store in normal operation. Every other reader must watch a reader closer to the store,
+// so that each hall but the first has two boxes that watch others.
 func TestReadersAreFewOverAllHalls(t *testing.T) {
 	var l []box.Member
 	for i := range 295 {
@@ -228,13 +228,13 @@
 		}
 	}
 	if got, want := fmt.Sprint(roles), "map[first:1 none:293 standby:1]"; got != want {
-		t.Errorf("ranks: got %s, want %s", got, want)
+		t.Errorf("roles: got %s, want %s", got, want)
 	}
 	if got, want := len(halls), 2; got != want {
 		t.Errorf("halls with readers: got %d, want %d", got, want)
 	}
 	if got, want := len(peers), 2*5-1; got != want {
-		t.Errorf("boxes that ask for news: got %d, want %d", got, want)
+		t.Errorf("boxes that watch others: got %d, want %d", got, want)
 	}
 	for n := range peers {
 		for i := 0; peers[n] != ""; i++ {
--- a/internal/configuration/hedge.go
+++ b/internal/configuration/hedge.go
@@ -10,21 +10,21 @@
 	"github.com/linetiller/linetiller/internal/table"
 )
 
-// readResult is what one read of a source brought.
+// readResult is the result of one read of a source.
 type readResult struct {
 	batches []resource.Batch
 	err     error
-	next    int64
-	hedged  bool // it is the answer to the second read
+	next    int64 // the revision from which to continue
+	hedged  bool  // it is the result of the second read
 }
 
-// hedgedRead is one read of a source, which a second one hedges where its answer is late. It is used by one
-// goroutine.
+// hedgedRead is a read of a source that is hedged by a second one if its response is late. It must
+// be used by one goroutine only.
 type hedgedRead struct {
 	after           int64
 	results         chan readResult
 	began           time.Time
-	responseStarted chan struct{} // closed once an answer has begun to arrive
+	responseStarted chan struct{} // closed once a response has begun to arrive
 	follower        *Follower
 	onResponseStart func()
 	source          *source
@@ -32,15 +32,16 @@
 }
 
 const (
-	// unconfirmedTimeout is how long the second read may take before the view counts as unconfirmed.
+	// unconfirmedTimeout is how long the second read may take before the view counts as
+	// unconfirmed.
 	unconfirmedTimeout = 250 * time.Millisecond
-	// lateResponseFactor is how many times as long as the last answer the next one may take.
+	// lateResponseFactor is how many times as long as the last response the next one may take.
 	lateResponseFactor = 2
 )
 
-// read reads a source after a revision, waiting for changes. A connection can go silent without
-// being closed: where the answer is late, the read is hedged by a second one on another connection,
-// and the first answer counts.
+// read reads a source after a revision, waiting for changes. A connection can stop carrying data
+// without being closed: if the response is late, the read is hedged by a second one on another
+// connection, and the first result is used.
 func (f *Follower) read(ctx context.Context, s *source, after int64, wait time.Duration) readResult {
 	ctx, cancel := context.WithCancel(ctx)
 	r := &hedgedRead{after: after, results: make(chan readResult, 2), began: time.Now(), responseStarted: make(chan struct{}), follower: f, source: s}
@@ -66,20 +67,8 @@
 	}
 }
 
-// start reads the source once.
-func (r *hedgedRead) start(ctx context.Context, wait time.Duration, hedged bool) {
-	began := time.Now()
-	onResponseStart := sync.OnceFunc(func() {
-		r.follower.recordResponseTime(time.Since(began) - wait)
-		r.onResponseStart()
-	})
-	r.workers.Go(func() {
-		l, next, err := r.source.read(table.WithAnswerStarted(ctx, onResponseStart), r.after, wait)
-		r.results <- readResult{batches: l, err: err, next: next, hedged: hedged}
-	})
-}
-
-// await returns the next answer; where none comes soon, the view counts as unconfirmed.
+// await returns the next result. The source counts as unconfirmed if none arrives within
+// unconfirmedTimeout.
 func (r *hedgedRead) await() readResult {
 	timer := time.NewTimer(unconfirmedTimeout)
 	defer timer.Stop()
@@ -92,8 +81,8 @@
 	}
 }
 
-// hedge reads the source once more, without waiting for changes, and returns the first answer.
-// What is read as a whole may take long and is not hedged.
+// hedge reads the source once more on a new connection, without waiting for changes, and returns
+// the first successful result. Snapshot reads may take long and are not hedged.
 func (r *hedgedRead) hedge(ctx context.Context) readResult {
 	f := r.follower
 	f.recordLateRead(r.source, r.began)
@@ -109,27 +98,40 @@
 	}
 	if a.err == nil && a.hedged {
 		event.ReadHedged.Log(f.log, "source", string(r.source.name), "waited_ms", time.Since(r.began).Milliseconds())
-		f.signalRecovery() // other reads that wait may have lost their connections, too
+		f.signalRecovery() // the connections of other waiting reads may be lost, too
 	}
 	return a
 }
 
-// lateReadThreshold returns how long after the end of its wait a read counts as late: longer while the
-// store is slow to answer, so that not every read is hedged then.
+// start begins a read of the source.
+func (r *hedgedRead) start(ctx context.Context, wait time.Duration, hedged bool) {
+	began := time.Now()
+	onResponseStart := sync.OnceFunc(func() {
+		r.follower.recordResponseTime(time.Since(began) - wait)
+		r.onResponseStart()
+	})
+	r.workers.Go(func() {
+		l, next, err := r.source.read(table.WithAnswerStarted(ctx, onResponseStart), r.after, wait)
+		r.results <- readResult{batches: l, err: err, next: next, hedged: hedged}
+	})
+}
+
+// lateReadThreshold returns how long after the end of its wait a read counts as late. It grows with
+// the store's response time, so that a slow store does not cause every read to be hedged.
 func (f *Follower) lateReadThreshold() time.Duration {
 	return max(minLateReadThreshold, lateResponseFactor*time.Duration(f.responseTime.Load()))
 }
 
-// recordResponseTime records how long the store took for an answer; one that came before the end of the
-// wait brought a change, and is no measure.
+// recordResponseTime records how long after the end of a read's wait the store responded. A
+// response before the end of the wait returned a change, and says nothing about the response time.
 func (f *Follower) recordResponseTime(d time.Duration) {
 	if d >= 0 {
 		f.responseTime.Store(int64(d))
 	}
 }
 
-// setUnconfirmed records whether both reads of a source lack an answer: this box cannot know
-// whether its view of the source is current.
+// setUnconfirmed records whether a read of a source and its hedge are both without a response, in
+// which case this box cannot know whether its view of the source is current.
 func (f *Follower) setUnconfirmed(s *source, unconfirmed bool) {
 	if s.unconfirmed.Swap(unconfirmed) != unconfirmed {
 		f.signalStateChange()
--- a/internal/configuration/hedge_test.go
+++ b/internal/configuration/hedge_test.go
@@ -13,8 +13,9 @@
 	"github.com/linetiller/linetiller/internal/table"
 )
 
-// TestReadOfALostConnectionIsRepeated has the connection of a waiting read carry nothing more: the read
-// was waited for until it ran out, and those of other sources, too.
+// TestReadOfALostConnectionIsRepeated has the connection of a waiting read stop carrying data. The
+// read must be repeated, as must those of other sources, rather than be waited for until it times
+// out.
 func TestReadOfALostConnectionIsRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newOutageStore(0)
@@ -30,7 +31,7 @@
 				first := len(began[n]) == 1
 				mutex.Unlock()
 				if first {
-					<-ctx.Done() // as a connection that carries nothing more
+					<-ctx.Done() // like a connection that carries no more data
 					return nil, 0, ctx.Err()
 				}
 				pause(ctx, wait)
@@ -52,8 +53,9 @@
 	})
 }
 
-// TestLongAnswerIsNotAskedForTwice has answers that take long to arrive, as a large configuration does
-// over a narrow link, and reads of a whole table, which may: a second one would slow down the first.
+// TestLongAnswerIsNotAskedForTwice has responses take long, as for a large configuration over a
+// narrow link, and snapshot reads, which may take long. They must not be hedged: a second read
+// would slow down the first.
 func TestLongAnswerIsNotAskedForTwice(t *testing.T) {
 	for _, x := range []struct {
 		name  string
@@ -89,17 +91,17 @@
 	}
 }
 
-// TestSomeReadEndsItsWaitSoon has changes of three sources at random, and checks that at any time some
-// read of the first reader ends its wait within the period by which a loss is to be noticed, and that
-// few reads bring nothing.
+// TestSomeReadEndsItsWaitSoon has three sources change at random. At any time some read of the
+// primary must be about to end its wait within the period in which a lost connection is to be
+// detected, and few reads may return no change.
 func TestSomeReadEndsItsWaitSoon(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
 			x := rand.New(rand.NewPCG(seed, 0))
 			f := newOutageStore(0).follower()
 			var mutex sync.Mutex
-			ends := make(map[resource.Source]time.Time) // of the reads in progress
-			expired := 0                                // reads that brought nothing
+			ends := make(map[resource.Source]time.Time) // of the waits of the reads in progress
+			expired := 0                                // reads that returned no change
 			for _, n := range []resource.Source{resource.SourceBoxes, resource.SourceConfiguration, resource.SourceUpstreams} {
 				f.Add(n, func(ctx context.Context, after int64, wait time.Duration) ([]resource.Batch, int64, error) {
 					mutex.Lock()
@@ -132,14 +134,14 @@
 				if len(l) > 0 && slices.Min(l) <= confirmPeriod {
 					soon = time.Now()
 				}
-				if got, most := time.Since(soon), readInterval+2*step; got > most { // between two reads of one source, seen a step late at either end
+				if got, most := time.Since(soon), readInterval+2*step; got > most { // the time between two reads of one source, each end of which is noticed up to a step late
 					t.Fatalf("seed %d: for %v no read ended its wait within %v, want for at most %v", seed, got, confirmPeriod, most)
 				}
 			}
 			cancel()
 			g.Wait()
 			if got, most := expired, 75; got > most {
-				t.Errorf("seed %d: got %d reads in a minute that brought nothing, want at most %d", seed, got, most)
+				t.Errorf("seed %d: got %d reads in a minute that returned no change, want at most %d", seed, got, most)
 			}
 		})
 	}
--- a/internal/configuration/lapse.go
+++ b/internal/configuration/lapse.go
@@ -7,13 +7,27 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// lapseWindow is how long after the store's return a removal may be that of
-// an entry which lapsed meanwhile: the platform says two seconds.
+// lapseWindow is how long after an outage of the store a removed entry may have been removed
+// because it expired during the outage. The platform specifies two seconds.
 const lapseWindow = 2500 * time.Millisecond
 
-// markLapsed keeps, for a moment, upstreams whose entries went while the store was
-// away: they may live and be about to come back. The view does so by itself for what the
-// store lacks since it came back from a copy.
+// addImpliedRemovals adds to a snapshot the removals of the upstreams that it lacks.
+func (f *Follower) addImpliedRemovals(b *resource.Batch) {
+	present := make(map[string]bool, len(b.Changes))
+	for _, c := range b.Changes {
+		present[c.Resource.Metadata.Name] = true
+	}
+	for _, x := range f.view.List(resource.KindUpstream) {
+		if !present[x.Metadata.Name] && f.view.SourceOf(x) == b.Source {
+			b.Changes = append(b.Changes, resource.Change{Deleted: true, Resource: x, Revision: b.Revision})
+		}
+	}
+}
+
+// markLapsed replaces removals of upstreams just after an outage of the store by lapsed entries,
+// which stay in use for a while: the entries expired during the outage, and their upstreams may be
+// alive and about to write them again. Removals in tentative batches, after a restore, are handled
+// by the view.
 func (f *Follower) markLapsed(s *source, b *resource.Batch) {
 	if s.name != resource.SourceUpstreams || b.Tentative || time.Since(s.recoveredAt.get()) > lapseWindow {
 		return
@@ -35,16 +49,3 @@
 		*c = resource.Change{Resource: x, Revision: c.Revision}
 	}
 }
-
-// addImpliedRemovals adds to a whole batch the removals that it implies.
-func (f *Follower) addImpliedRemovals(b *resource.Batch) {
-	present := make(map[string]bool, len(b.Changes))
-	for _, c := range b.Changes {
-		present[c.Resource.Metadata.Name] = true
-	}
-	for _, x := range f.view.List(resource.KindUpstream) {
-		if !present[x.Metadata.Name] && f.view.SourceOf(x) == b.Source {
-			b.Changes = append(b.Changes, resource.Change{Deleted: true, Resource: x, Revision: b.Revision})
-		}
-	}
-}
--- a/internal/configuration/outage_test.go
+++ b/internal/configuration/outage_test.go
@@ -17,23 +17,23 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// outageStore answers reads at once, but for a time in which it says nothing.
+// outageStore responds to reads except during an outage, in which they time out.
 type outageStore struct {
-	outageStart, outageEnd time.Time // of the silence
+	outageStart, outageEnd time.Time
 	mutex                  sync.Mutex
-	readAt                 map[resource.Source]time.Time // when the first read after the silence began
+	readAt                 map[resource.Source]time.Time // by source: when the first read after the outage began
 }
 
-// storeCallTimeout is what the client of the store adds to the time that a read waits.
+// storeCallTimeout is how much longer than its wait the client of the store lets a read take.
 const storeCallTimeout = time.Second
 
-// newOutageStore returns a store that will fall silent in 10 s, for some time.
+// newOutageStore returns a store with an outage of the given length that begins in 10 s.
 func newOutageStore(outage time.Duration) *outageStore {
 	outageStart := time.Now().Add(10 * time.Second)
 	return &outageStore{outageStart: outageStart, readAt: make(map[resource.Source]time.Time), outageEnd: outageStart.Add(outage)}
 }
 
-// follower returns a follower that reads sources of the store, as the one box of its hall.
+// follower returns a follower of the given sources in the only box of its hall.
 func (s *outageStore) follower(sources ...resource.Source) *Follower {
 	f := NewFollower(resource.NewView(), member.NewTable(box.Member{Hall: "a", Name: "1", State: box.StateServing}), slog.New(slog.DiscardHandler))
 	for _, n := range sources {
@@ -42,7 +42,7 @@
 	return f
 }
 
-// reader returns a reader of one source that waits as it is asked to.
+// reader returns a reader of one source whose reads always wait for as long as requested.
 func (s *outageStore) reader(n resource.Source) Reader {
 	return func(ctx context.Context, after int64, wait time.Duration) ([]resource.Batch, int64, error) {
 		began := time.Now()
@@ -60,9 +60,9 @@
 	}
 }
 
-// TestReturnOfASilentStoreIsNoticed has the store say nothing for some time. Once it
-// answers again, the list of upstreams is read within the time that one read may take,
-// and the other sources soon after.
+// TestReturnOfASilentStoreIsNoticed has the store stop responding for a while. When it responds
+// again, the list of upstreams must be read within the time that a single read may take, and the
+// other sources soon after.
 func TestReturnOfASilentStoreIsNoticed(t *testing.T) {
 	for outage := 2500 * time.Millisecond; outage < 20*time.Second; outage += 700 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
@@ -74,14 +74,14 @@
 			f.Run(ctx)
 			for _, n := range sources {
 				if got, want := s.readAt[n].Sub(s.outageEnd), shortWatchPeriod+storeCallTimeout+recoveryJitter; s.readAt[n].IsZero() || got > want {
-					t.Errorf("silence of %v: %s read %v after the return, want at most %v", outage, n, got, want)
+					t.Errorf("outage of %v: %s read %v after its end, want at most %v", outage, n, got, want)
 				}
 			}
 		})
 	}
 }
 
-// TestMeterTellsOfTheStore checks the gauges of a reader before, in and after a silence.
+// TestMeterTellsOfTheStore checks the gauges of a reader before, during and after an outage.
 func TestMeterTellsOfTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newOutageStore(20 * time.Second).follower(resource.SourceUpstreams)
@@ -104,7 +104,7 @@
 			}
 		}
 		check("before", 5*time.Second, "linetiller_platform_reader 1", `linetiller_platform_away{source="upstreams"} 0`)
-		check("in the silence", 20*time.Second, `linetiller_platform_away{source="upstreams"} 1`, `linetiller_platform_read_age_seconds{source="upstreams"} 1`)
+		check("during the outage", 20*time.Second, `linetiller_platform_away{source="upstreams"} 1`, `linetiller_platform_read_age_seconds{source="upstreams"} 1`)
 		check("after", 20*time.Second, `linetiller_platform_away{source="upstreams"} 0`, `linetiller_platform_read_age_seconds{source="upstreams"} `)
 		cancel()
 		<-done
@@ -112,24 +112,24 @@
 }
 
 // TestWordOfOneReaderDoesNotCancelAnothers checks that a reader which can read the list of
-// upstreams again takes back its own word only, and that a word is forgotten in time.
+// upstreams again withdraws its own report only, and that reports expire.
 func TestWordOfOneReaderDoesNotCancelAnothers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newOutageStore(0).follower(resource.SourceUpstreams)
 		check := func(when string, want bool) {
 			t.Helper()
 			if got := f.ListUnavailable(); got != want {
-				t.Errorf("%s: got away %v, want %v", when, got, want)
+				t.Errorf("%s: got list unavailable %v, want %v", when, got, want)
 			}
 		}
 		f.RecordPeerListUnavailable("1", true)
 		f.RecordPeerListUnavailable("2", true)
 		f.RecordPeerListUnavailable("2", false)
-		check("one of two can read again", true)
+		check("one of two readers recovered", true)
 		f.RecordPeerListUnavailable("1", false)
-		check("both can", false)
+		check("both readers recovered", false)
 		f.RecordPeerListUnavailable("1", true)
 		time.Sleep(listUnavailableTTL)
-		check("long after the last word", false)
+		check("after the last report expired", false)
 	})
 }
--- a/internal/configuration/news.go
+++ b/internal/configuration/peerwatch.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// peerWatchWait is how long a reader that is asked for news waits for some: it shows that
-	// it lives several times within the 1.5 s in which an engine may leave.
+	// peerWatchWait is how long a reader that is watched waits for changes before it responds. Its
+	// responses show several times within 1.5 s, the notice that a leaving engine gives, that it is
+	// alive.
 	peerWatchWait = 500 * time.Millisecond
-	// peerWatchGrace is what an answer may take beside: two ways between halls, and the time
-	// that a small box may take to come to it.
+	// peerWatchGrace is how much longer than its wait a response may take: the round trip between
+	// halls, and the time until a small box gets to process the request.
 	peerWatchGrace = 400 * time.Millisecond
-	// peerWatchIdleInterval is the time between looks whether this box has come to ask for news.
+	// peerWatchIdleInterval is the time between two checks whether this box has peers to watch.
 	peerWatchIdleInterval = 250 * time.Millisecond
-	// peerWatchRetryDelay is between two rounds of questions where nobody could help.
+	// peerWatchRetryDelay is the delay before the next round of calls after no peer could help.
 	peerWatchRetryDelay = 100 * time.Millisecond
 )
 
 // FollowsStore reports whether this box's view is kept up to date: by its own reads of the store,
-// of which none failed lately, or by a box that can read it.
+// none of which failed recently, or by a reader that follows the store.
 func (f *Follower) FollowsStore() bool {
 	if f.followsPeer(time.Now()) {
 		return true
@@ -37,9 +38,9 @@
 	return r != roleNone && (r != roleSubstitute || f.probedSincePeerLost(f.probe()))
 }
 
-// WatchChanges answers a box that asks for what it does not know yet: at once where there is
-// some, or where this box's own view is not kept up to date, otherwise once there is, or
-// after wait.
+// WatchChanges returns the changes that the calling box lacks. It returns at once if there are any,
+// or if this box's own view is not kept up to date; otherwise as soon as there are some, or after
+// wait, which is limited to peerWatchWait.
 func (f *Follower) WatchChanges(ctx context.Context, have resource.Revisions, wait time.Duration) *box.Reply {
 	t := time.NewTimer(min(max(0, wait), peerWatchWait))
 	defer t.Stop()
@@ -60,8 +61,9 @@
 	}
 }
 
-// WatchPeers asks the readers before this box for news, as long as it is to, until the
-// context ends. Until the first answer is due the box does not read the store itself.
+// WatchPeers watches the readers that this box is assigned for changes until the context ends.
+// Until the first response is due, the box counts as following a peer, and does not read the store
+// itself.
 func (f *Follower) WatchPeers(ctx context.Context) {
 	defer f.workers.Wait()
 	f.setFollowsPeer(true)
@@ -78,8 +80,39 @@
 	}
 }
 
-// watchAnyPeer asks readers for news until one whose view is kept up to date has answered, which
-// may wait for some, and reports whether one has.
+// refreshFromPeer brings the view up to date from a reader. It reports whether a reader that
+// follows the store responded.
+func (f *Follower) refreshFromPeer(ctx context.Context) bool {
+	now := time.Now()
+	l := f.assignment().peers
+	if p := f.responsiveReader(f.members.Self().Hall); len(l) == 0 && p != "" && p != f.members.Self().Name {
+		l = append(l, p)
+	}
+	for _, p := range l {
+		if f.skipPeer(p, now) {
+			continue
+		}
+		if follows, err := f.watchPeer(ctx, p, 0); follows && err == nil {
+			return true
+		}
+	}
+	return false
+}
+
+// retryUnresponsive calls an unresponsive reader periodically until it responds or is no longer
+// listed as a member. Nothing else waits for these calls.
+func (f *Follower) retryUnresponsive(ctx context.Context, peer string) {
+	for ctx.Err() == nil && f.members.Address(peer) != "" {
+		pause(ctx, unresponsivePeerRetryInterval)
+		if _, err := f.watchPeer(ctx, peer, 0); err == nil {
+			break
+		}
+	}
+	f.setUnresponsive(peer, false)
+}
+
+// watchAnyPeer watches the readers one after the other until one that follows the store has
+// responded, which may take it up to wait, and reports whether one has.
 func (f *Follower) watchAnyPeer(ctx context.Context, peers []string, wait time.Duration) bool {
 	for _, p := range peers {
 		if f.skipPeer(p, time.Now()) {
@@ -105,7 +138,8 @@
 	return false
 }
 
-// watchPeer asks a reader for news once, and reports whether its view is kept up to date.
+// watchPeer requests changes from a reader once, merges them, and reports whether the reader
+// follows the store.
 func (f *Follower) watchPeer(ctx context.Context, peer string, wait time.Duration) (followsStore bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+peerWatchGrace)
 	defer cancel()
@@ -122,78 +156,34 @@
 	return r.FollowsStore, nil
 }
 
-// retryUnresponsive asks a reader that did not answer again and again, until it does or is listed
-// no more: nothing waits for it meanwhile.
-func (f *Follower) retryUnresponsive(ctx context.Context, peer string) {
-	for ctx.Err() == nil && f.members.Address(peer) != "" {
-		pause(ctx, unresponsivePeerRetryInterval)
-		if _, err := f.watchPeer(ctx, peer, 0); err == nil {
-			break
-		}
-	}
-	f.setUnresponsive(peer, false)
-}
-
-// refreshFromPeer brings the view up to date from a reader, and reports whether there is
-// one whose view is.
-func (f *Follower) refreshFromPeer(ctx context.Context) bool {
-	now := time.Now()
-	l := f.assignment().peers
-	if p := f.responsiveReader(f.members.Self().Hall); len(l) == 0 && p != "" && p != f.members.Self().Name {
-		l = append(l, p)
-	}
-	for _, p := range l {
-		if f.skipPeer(p, now) {
-			continue
-		}
-		if follows, err := f.watchPeer(ctx, p, 0); follows && err == nil {
-			return true
-		}
-	}
-	return false
-}
-
-// signalStateChangeLocked tells those that wait that it has changed who reads, or whether the store
-// can be read; the lock is held.
-func (f *Follower) signalStateChangeLocked() {
-	close(f.stateChange)
-	f.stateChange = make(chan struct{})
-}
-
-// followsPeer reports whether a reader before this box lately said that its view is kept up to
-// date.
+// followsPeer reports whether a reader that this box watches has recently reported that it follows
+// the store.
 func (f *Follower) followsPeer(now time.Time) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return now.Before(f.followsPeerUntil)
 }
 
-// resetFailures takes back the word of this box's own reads that failed: what it knows is
-// kept up to date by another reader.
-func (f *Follower) resetFailures() {
-	for _, s := range f.sources {
-		if s.failures.Swap(0) > 0 {
-			f.announceListUnavailable(s, false)
-		}
-	}
-}
-
-// markLagging has a reader that cannot read the store not asked for some time.
+// markLagging excludes a reader that cannot follow the store from being watched for
+// laggingPeerBackoff.
 func (f *Follower) markLagging(peer string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.laggingPeerUntil[peer] = time.Now().Add(laggingPeerBackoff)
 }
 
-// skipPeer reports whether a reader is not to be asked now.
-func (f *Follower) skipPeer(peer string, now time.Time) bool {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	return f.unresponsivePeers[peer] || now.Before(f.laggingPeerUntil[peer])
+// resetFailures clears the failures of this box's own reads, and withdraws its report of them: its
+// view is kept up to date by another reader.
+func (f *Follower) resetFailures() {
+	for _, s := range f.sources {
+		if s.failures.Swap(0) > 0 {
+			f.announceListUnavailable(s, false)
+		}
+	}
 }
 
-// setFollowsPeer takes in whether a reader before this box keeps its view up to date, and reports
-// whether one does so from now on.
+// setFollowsPeer records whether another reader keeps this box's view up to date. It reports
+// whether that has just begun.
 func (f *Follower) setFollowsPeer(follows bool) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -212,7 +202,7 @@
 	return follows && !followed
 }
 
-// setUnresponsive takes in whether a reader answers.
+// setUnresponsive records whether a reader failed to respond.
 func (f *Follower) setUnresponsive(peer string, unresponsive bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -223,17 +213,31 @@
 	delete(f.unresponsivePeers, peer)
 }
 
-// unresponsive reports whether a reader did not answer when it was last asked.
-func (f *Follower) unresponsive(peer string) bool {
+// signalStateChangeLocked wakes those that wait for a change of the roles or of whether the store
+// can be read. The mutex must be held.
+func (f *Follower) signalStateChangeLocked() {
+	close(f.stateChange)
+	f.stateChange = make(chan struct{})
+}
+
+// skipPeer reports whether a reader must not be called now, since it is unresponsive or lagging.
+func (f *Follower) skipPeer(peer string, now time.Time) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.unresponsivePeers[peer]
+	return f.unresponsivePeers[peer] || now.Before(f.laggingPeerUntil[peer])
 }
 
-// stateChanged returns a channel that is closed when it changes who reads, or whether the
+// stateChanged returns a channel that is closed at the next change of the roles or of whether the
 // store can be read.
 func (f *Follower) stateChanged() <-chan struct{} {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.stateChange
 }
+
+// unresponsive reports whether a reader did not respond to the last call.
+func (f *Follower) unresponsive(peer string) bool {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return f.unresponsivePeers[peer]
+}
--- a/internal/configuration/reader.go
+++ b/internal/configuration/reader.go
@@ -9,21 +9,21 @@
 	"github.com/linetiller/linetiller/internal/table"
 )
 
-// The tables of the product's own rows.
+// The tables of linetiller's own rows.
 const (
 	TableBoxes     = "box"
 	TableResources = "resource"
 )
 
-// changesFunc reads changes of one table of the store.
+// changesFunc reads the changes of one table of the store after a revision.
 type changesFunc func(ctx context.Context, name string, after int64, wait time.Duration) (*table.Changes, error)
 
-// BoxKey returns the key of a box's row.
+// BoxKey returns the key of the row in which a box publishes its address.
 func BoxKey(name string) string {
 	return TableBoxes + "/" + name
 }
 
-// BoxReader reads where boxes wrote that they are.
+// BoxReader returns a reader of the rows in which boxes publish their addresses.
 func BoxReader(changes changesFunc) Reader {
 	return func(ctx context.Context, after int64, wait time.Duration) ([]resource.Batch, int64, error) {
 		c, err := changes(ctx, TableBoxes, after, wait)
@@ -41,10 +41,11 @@
 	}
 }
 
-// SetBatchRevision sets the revision of a batch made from c.
+// SetBatchRevision sets the revision of a batch that was made from c, and whether it is a snapshot.
 //
-// The store's revision rises with rows of other tables, too; a batch is dated by
-// its own rows, unless rows may have gone unseen.
+// The store's revision also increases with rows of other tables. A batch therefore has the newest
+// revision of its own rows, except for a snapshot: removals that were not seen may be as new as the
+// store's revision.
 func SetBatchRevision(b *resource.Batch, c *table.Changes) {
 	b.Snapshot = c.Snapshot
 	b.Revision = b.NewestRevision()
@@ -58,8 +59,8 @@
 	return TableResources + "/" + string(k) + "/" + name
 }
 
-// ResourceReader reads what operators declared by the operator interface.
-// A removed resource keeps its row, so that what is absent is lost.
+// ResourceReader returns a reader of the resources that operators declare through the operator
+// interface. A removed resource keeps its row, so a row that is absent was lost.
 func ResourceReader(changes changesFunc) Reader {
 	return func(ctx context.Context, after int64, wait time.Duration) ([]resource.Batch, int64, error) {
 		c, err := changes(ctx, TableResources, after, wait)
@@ -72,7 +73,8 @@
 	}
 }
 
-// changesFromRows returns the changes that rows of declared resources hold.
+// changesFromRows decodes the rows of declared resources into changes. Rows that cannot be decoded
+// are skipped.
 func changesFromRows(rows []table.Row) []resource.Change {
 	var l []resource.Change
 	for _, x := range rows {
--- a/internal/configuration/reading.go
+++ b/internal/configuration/reading.go
@@ -11,24 +11,26 @@
 )
 
 const (
-	// recoveryJitter is the time over which the other sources are read again once one
-	// could be: a quarter of a second keeps the boxes' reads apart.
+	// recoveryJitter is the period over which reads of the other sources are spread once one source
+	// could be read again. A quarter of a second keeps the reads of the boxes apart.
 	recoveryJitter = 250 * time.Millisecond
-	// failuresUntilUnavailable is how many reads in a row that fail at once tell that the store is away.
+	// failuresUntilUnavailable is the number of consecutive reads that must fail at once before the
+	// store counts as unavailable.
 	failuresUntilUnavailable = 2
-	roleCheckInterval        = time.Second           // between looks whether this box has become a reader
+	roleCheckInterval        = time.Second           // between two checks whether this box has become a reader
 	fastRetryDelay           = 20 * time.Millisecond // before the second read after one that failed at once
-	// timeoutThreshold is when a read that failed did so by a silence: an answer takes 4 ms.
+	// timeoutThreshold is how long beyond its wait a read must have taken for its failure to count
+	// as a time-out. A response takes 4 ms.
 	timeoutThreshold  = 500 * time.Millisecond
-	initialRetryDelay = 250 * time.Millisecond // of the wait after a failure, doubled at each more
-	// substituteInitialRetryDelay is the same for boxes that read beside the first reader.
+	initialRetryDelay = 250 * time.Millisecond // after a failure, doubled after each further one
+	// substituteInitialRetryDelay is the same for readers other than the primary.
 	substituteInitialRetryDelay = time.Second
-	// substituteStagger is the time between the first reads of two substitutes: a read that
-	// the store answers, and a question of the next one, take some 15 ms.
+	// substituteStagger is the time between the first reads of two substitutes. A read that the
+	// store answers and the next substitute's call that learns of it take about 15 ms.
 	substituteStagger = 80 * time.Millisecond
 )
 
-// backoff returns the wait after some failures in a row of a reader of some rank.
+// backoff returns the delay after consecutive failed reads of a source in a role, with jitter.
 func (f *Follower) backoff(s *source, r readerRole) time.Duration {
 	first := initialRetryDelay
 	if r != rolePrimary {
@@ -39,9 +41,8 @@
 	return wait/2 + time.Duration(f.Jitter()*float64(wait)/2)
 }
 
-// follow reads one source again and again while this box is one of those that read the
-// store. After a failure it waits longer each time, spread out, so that boxes do not
-// all return at once.
+// follow reads one source repeatedly while this box is one of those that read the store. After
+// failures it backs off exponentially, with jitter, so that the boxes do not all return at once.
 func (f *Follower) follow(ctx context.Context, s *source) {
 	for ctx.Err() == nil {
 		stateChange := f.stateChanged()
@@ -59,17 +60,17 @@
 		case err == nil:
 			pause(ctx, s.readInterval(n))
 		case f.role() != n:
-			// what it is to do has changed
+			// the role has changed
 		case s.failures.Load() == 0 && isClosed(recovered):
-			// its connection may have been lost
+			// the store is reachable: this read's connection may have been lost
 		default:
 			f.pauseAfterFailure(ctx, s, n, recovered)
 		}
 	}
 }
 
-// awaitSubstituteTurn waits, before the first read of a substitute, until those nearer to the store
-// would have found that it serves them, and reports whether the read is still wanted.
+// awaitSubstituteTurn delays the first read of a substitute until the readers closer to the store
+// would have found out whether it serves them. It reports whether the read is still needed.
 func (f *Follower) awaitSubstituteTurn(ctx context.Context, s *source, r readerRole) bool {
 	if r != roleSubstitute || f.probedSincePeerLost(s) {
 		return true
@@ -79,27 +80,8 @@
 	return f.role() == roleSubstitute
 }
 
-// shouldRead reports whether a source is to be read by a box of that rank. While the store
-// does not answer, only the probe is read: a call that fails is priced as others are. A
-// substitute first sees whether the store answers it at all.
-func (f *Follower) shouldRead(s *source, r readerRole) bool {
-	p := f.probe()
-	switch {
-	case r == roleNone:
-		return false
-	case r == roleStandby && s.name == resource.SourceUpstreams:
-		return false // the list changes every second, and engines tell themselves that they leave
-	case s == p:
-		return true
-	case r == roleSubstitute:
-		return p.failures.Load() == 0 && f.probedSincePeerLost(p)
-	default:
-		return p.failures.Load() == 0
-	}
-}
-
-// position returns the store's revision up to which a source is known: read by this box, or
-// heard from another.
+// position returns the store's revision up to which a source is known from this box's own reads or
+// from other boxes.
 func (f *Follower) position(s *source) int64 {
 	if !s.name.UsesStoreRevisions() {
 		return s.after.Load()
@@ -107,7 +89,8 @@
 	return max(s.after.Load(), f.view.Revisions()[s.name])
 }
 
-// probe returns the source by which it is noticed that the store is silent, or back.
+// probe returns the source whose reads detect that the store has stopped or resumed responding: the
+// list of upstreams, or the last source if that is not read.
 func (f *Follower) probe() *source {
 	for _, s := range f.sources {
 		if s.name == resource.SourceUpstreams {
@@ -117,16 +100,36 @@
 	return f.sources[len(f.sources)-1]
 }
 
-// probedSincePeerLost reports whether the probe was read since this box was last fed.
+// probedSincePeerLost reports whether the probe was read since another reader last kept the view up
+// to date.
 func (f *Follower) probedSincePeerLost(p *source) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return p.readAt.get().After(f.peerLostAt)
 }
 
-// watchWait returns how long one read of a source waits. After a failure it does not wait: the
-// answer tells whether the store is back. The first read of a substitute does not either: the
-// other sources wait for its answer.
+// shouldRead reports whether a source is to be read by a box in a role. While the store does not
+// respond, only the probe is read, since failed calls are billed like others. A substitute reads
+// the probe first to find out whether the store serves it at all.
+func (f *Follower) shouldRead(s *source, r readerRole) bool {
+	p := f.probe()
+	switch {
+	case r == roleNone:
+		return false
+	case r == roleStandby && s.name == resource.SourceUpstreams:
+		return false // the list changes every second, and engines announce by themselves that they are leaving
+	case s == p:
+		return true
+	case r == roleSubstitute:
+		return p.failures.Load() == 0 && f.probedSincePeerLost(p)
+	default:
+		return p.failures.Load() == 0
+	}
+}
+
+// watchWait returns how long the next read of a source waits for changes. It is 0 after a failure,
+// since the response shows whether the store is back, and for the first read of the probe by a
+// substitute, since the reads of the other sources wait for the result.
 func (f *Follower) watchWait(s *source, r readerRole) time.Duration {
 	switch {
 	case s.failures.Load() > 0, r == roleSubstitute && s == f.probe() && !f.probedSincePeerLost(s):
@@ -138,8 +141,8 @@
 	}
 }
 
-// otherWaitEndsWithin reports whether the read of a source other than s ends its wait within a time, so
-// that one of s need not: sources come to end their waits by turns.
+// otherWaitEndsWithin reports whether the wait of another source's read ends within a period, so
+// that a read of s need not end its wait in it. The sources thus take turns.
 func (f *Follower) otherWaitEndsWithin(s *source, now time.Time, d time.Duration) bool {
 	for _, o := range f.sources {
 		if ends := o.waitEndsAt.get(); o != s && ends.After(now) && !ends.After(now.Add(d)) {
@@ -149,8 +152,8 @@
 	return false
 }
 
-// pauseAfterFailure waits after a failure, but not much beyond the moment when another
-// source of the same store can be read again.
+// pauseAfterFailure waits after a failed read for the back-off, or until shortly after another
+// source can be read again.
 func (f *Follower) pauseAfterFailure(ctx context.Context, s *source, r readerRole, recovered <-chan struct{}) {
 	if s.failures.Load() == 1 {
 		pause(ctx, fastRetryDelay)
@@ -164,7 +167,7 @@
 	}
 }
 
-// pauseWhileIdle waits until this box may have come to read.
+// pauseWhileIdle waits until this box may have become a reader.
 func (f *Follower) pauseWhileIdle(ctx context.Context, stateChange <-chan struct{}) {
 	select {
 	case <-ctx.Done():
@@ -173,29 +176,31 @@
 	}
 }
 
-// recordReadFailure takes in that a read ended with err, after a silence or at once; after is
-// the revision held. A read that failed at once, as where its connection was reset, is
-// tried again before the store is taken to be away.
-func (f *Follower) recordReadFailure(s *source, after int64, err error, timedOut bool) {
-	count := int64(1)
-	if timedOut {
-		count = failuresUntilUnavailable
-	}
-	n := s.failures.Add(count)
-	if n == count {
-		event.PlatformUnreachable.Log(f.log, "source", string(s.name), "step", fail.Step(err), "error", err.Error(), "era", revision.Era(after), "held", revision.Version(after))
-	}
-	if n < failuresUntilUnavailable {
-		return
-	}
-	if n < failuresUntilUnavailable+count {
-		f.signalStateChange()
-	}
-	f.announceListUnavailable(s, true)
+// readInRole reads one source in a role. The read is cancelled if another source finds the store
+// responding again, since its connection may be lost; and if a standby becomes a substitute, which
+// reads afresh so that it can report to others at once that the store serves it.
+func (f *Follower) readInRole(ctx context.Context, s *source, r readerRole, recovered <-chan struct{}) error {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	go func() {
+		for ctx.Err() == nil {
+			stateChange := f.stateChanged()
+			if r == roleStandby && f.role() == roleSubstitute {
+				cancel()
+			}
+			select {
+			case <-recovered:
+				cancel()
+			case <-stateChange:
+			case <-ctx.Done():
+			}
+		}
+	}()
+	return f.readOnce(ctx, s, f.watchWait(s, r))
 }
 
-// readOnce reads one source and takes in what it holds. A read that the context ended
-// does not count as failed.
+// readOnce reads one source and applies the result. A read that was cancelled by the context does
+// not count as failed.
 func (f *Follower) readOnce(ctx context.Context, s *source, wait time.Duration) error {
 	after := f.position(s)
 	timeoutAt := time.Now().Add(wait + timeoutThreshold)
@@ -216,35 +221,33 @@
 	return nil
 }
 
-// readInRole reads one source by a box of a rank. The store's return, seen by another
-// source, ends a read that may have been lost before; and a standby that becomes a
-// substitute reads anew, to tell others at once that it can.
-func (f *Follower) readInRole(ctx context.Context, s *source, r readerRole, recovered <-chan struct{}) error {
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	go func() {
-		for ctx.Err() == nil {
-			stateChange := f.stateChanged()
-			if r == roleStandby && f.role() == roleSubstitute {
-				cancel()
-			}
-			select {
-			case <-recovered:
-				cancel()
-			case <-stateChange:
-			case <-ctx.Done():
-			}
-		}
-	}()
-	return f.readOnce(ctx, s, f.watchWait(s, r))
+// recordReadFailure records that a read failed with err, at once or by a time-out; after is the
+// revision from which it read. A read that failed at once, for example since its connection was
+// reset, is retried before the store counts as unavailable.
+func (f *Follower) recordReadFailure(s *source, after int64, err error, timedOut bool) {
+	count := int64(1)
+	if timedOut {
+		count = failuresUntilUnavailable
+	}
+	n := s.failures.Add(count)
+	if n == count {
+		event.PlatformUnreachable.Log(f.log, "source", string(s.name), "step", fail.Step(err), "error", err.Error(), "era", revision.Era(after), "held", revision.Version(after))
+	}
+	if n < failuresUntilUnavailable {
+		return
+	}
+	if n < failuresUntilUnavailable+count {
+		f.signalStateChange()
+	}
+	f.announceListUnavailable(s, true)
 }
 
-// recordReadSuccess takes in that a source could be read, perhaps again after failures.
+// recordReadSuccess records that a source was read, which may end an outage.
 func (f *Follower) recordReadSuccess(s *source) {
 	s.readAt.set(time.Now())
 	n := s.failures.Swap(0)
 	if s == f.probe() && (n > 0 || f.role() == roleSubstitute) {
-		f.signalStateChange() // the other sources may wait for it
+		f.signalStateChange() // reads of the other sources may wait for the probe
 	}
 	if n == 0 {
 		return
@@ -255,14 +258,14 @@
 	event.PlatformReachable.Log(f.log, "source", string(s.name), "failures", n)
 }
 
-// recovery returns a channel that is closed when a source can be read again.
+// recovery returns a channel that is closed when a source can be read again after failures.
 func (f *Follower) recovery() <-chan struct{} {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.recovered
 }
 
-// signalRecovery tells those that wait after a failure that the store can be read again.
+// signalRecovery wakes the reads that wait after a failure: the store can be read again.
 func (f *Follower) signalRecovery() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -270,14 +273,15 @@
 	f.recovered = make(chan struct{})
 }
 
-// signalStateChange tells those that wait that it has changed whether the store can be read.
+// signalStateChange wakes those that wait for a change of the roles or of whether the store can be
+// read.
 func (f *Follower) signalStateChange() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.signalStateChangeLocked()
 }
 
-// isClosed reports whether a channel is closed that nothing is sent to.
+// isClosed reports whether a channel to which nothing is sent is closed.
 func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
@@ -287,7 +291,7 @@
 	}
 }
 
-// pause waits for a time, or until the context ends.
+// pause waits for a period or until the context ends.
 func pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/configuration/value.go
+++ b/internal/configuration/resourcerow.go
@@ -6,15 +6,15 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// ResourceRow is what a resource's row holds. A deleted resource keeps its row, with
-// Deleted set, so that a reader that was away sees the removal.
+// ResourceRow is the value of a resource's row in the store. The row of a deleted resource is kept,
+// with Deleted set, so that a reader that missed the removal sees it later.
 type ResourceRow struct {
 	Deleted  bool               `json:"deleted,omitempty"`
 	Resource *resource.Resource `json:"resource"`
-	WriteID  string             `json:"write"` // names the write, so that a lost answer can be settled
+	WriteID  string             `json:"write"` // identifies the write, so that its outcome can be determined after a lost response
 }
 
-// WithRevision returns a copy of r that carries the revision of its row.
+// WithRevision returns a copy of r without its status that carries the revision of its row.
 func WithRevision(r *resource.Resource, revision int64) *resource.Resource {
 	c := *r
 	c.Metadata.ResourceVersion = strconv.FormatInt(revision, 10)
--- a/internal/configuration/source.go
+++ b/internal/configuration/source.go
@@ -7,64 +7,53 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// source is one source that the follower reads.
+// source is a source that the follower reads.
 type source struct {
 	after       atomic.Int64 // the store's revision up to which this box has read
-	recoveredAt atomicTime   // of the return of the store after an outage
-	unconfirmed atomic.Bool  // a read and the one that hedges it have no answer yet
-	waitEndsAt  atomicTime   // when the wait of the read in progress ends, zero where there is none
-	failures    atomic.Int64 // reads that failed in a row
+	recoveredAt atomicTime   // when the source could be read again after an outage of the store
+	unconfirmed atomic.Bool  // neither the current read nor its hedge has had a response yet
+	waitEndsAt  atomicTime   // when the wait of the read in progress ends; zero if there is none
+	failures    atomic.Int64 // consecutive failed reads; one that timed out counts as several
 	name        resource.Source
 	read        Reader
-	readAt      atomicTime // of the last read that went well
+	readAt      atomicTime // time of the last successful read
 }
 
 const (
-	// readInterval is between two reads of the first reader: changes come in
-	// groups, and reads are priced.
+	// readInterval is the pause between two reads by any reader but the standby. Changes come in
+	// groups, and reads are billed.
 	readInterval = 80 * time.Millisecond
-	// standbyReadInterval is the same for the standby, whose word counts only where the
-	// first reader's reads stand still unnoticed; a change is to be in force within 2 s.
+	// standbyReadInterval is the same for the standby, whose results matter only while the
+	// primary's reads stall without being noticed. A change must take effect within 2 s.
 	standbyReadInterval = 500 * time.Millisecond
-	// maxRetryDelay bounds the wait after a failure. Other sources' return ends it.
+	// maxRetryDelay limits the delay after a failure. It ends early when another source recovers.
 	maxRetryDelay = 2 * time.Second
-	// probeMaxRetryDelay is the same for the first reader's probe, the list of upstreams, by
-	// which the store's return is noticed: entries that lapsed are back within 2 s of it.
+	// probeMaxRetryDelay is the same for the primary's reads of the probe, the list of upstreams,
+	// which detect that the store responds again. Entries that expired during an outage return
+	// within 2 s of its end.
 	probeMaxRetryDelay = time.Second
-	// substituteMaxRetryDelay is the same for boxes that read since the first reader cannot:
-	// the store may serve them and not it, but mostly it serves nobody, and they hear at
-	// once when the first reader can read again.
+	// substituteMaxRetryDelay is the same for readers other than the primary. The store may serve
+	// them and not the primary, but mostly it serves nobody, and they learn at once when the
+	// primary can read again.
 	substituteMaxRetryDelay = 3 * time.Second
-	// boxesWatchPeriod is how long one read waits for changes. Reads are priced, and one
-	// that is lost in a silence too short to be noticed otherwise ends only after it.
+	// boxesWatchPeriod is how long a read of the list of boxes waits for changes. Reads are billed.
+	// A read whose connection is lost for too short a time to be detected otherwise ends only after
+	// this period.
 	boxesWatchPeriod = 15 * time.Second
-	// shortWatchPeriod is the same for the sources by which requests are decided: it bounds how
-	// late the loss of a single answer is noticed.
+	// shortWatchPeriod is the same for the sources that decide about requests. It limits how late
+	// the loss of a single response is detected.
 	shortWatchPeriod = 2 * time.Second
 	// standbyWatchPeriod is the same for the standby.
 	standbyWatchPeriod = 7 * time.Second
-	// confirmPeriod is within which time some read of the first reader ends its wait: it bounds
-	// how late it is noticed that its connections carry nothing more.
+	// confirmPeriod is the time within which some read of the primary must end its wait. It limits
+	// how late it is detected that its connections no longer carry data.
 	confirmPeriod = time.Second
-	// substituteConfirmPeriod is the same for boxes that read since the first reader cannot: two
-	// or more do at a time.
+	// substituteConfirmPeriod is the same for substitutes, of which there are two or more at a
+	// time.
 	substituteConfirmPeriod = 1200 * time.Millisecond
 )
 
-// unavailable reports whether reads of the source failed lately, and not only one at once.
-func (s *source) unavailable() bool {
-	return s.failures.Load() >= failuresUntilUnavailable
-}
-
-// readInterval returns the time between two reads by a reader of that rank.
-func (s *source) readInterval(r readerRole) time.Duration {
-	if r == roleStandby {
-		return standbyReadInterval
-	}
-	return readInterval
-}
-
-// maxRetryDelay returns the longest wait after a failure of a reader of that rank.
+// maxRetryDelay returns the longest delay after a failed read in a role.
 func (s *source) maxRetryDelay(r readerRole) time.Duration {
 	switch {
 	case r != rolePrimary:
@@ -76,7 +65,21 @@
 	}
 }
 
-// confirmPeriodFor returns within which time some read of a reader of that rank ends its wait.
+// readInterval returns the pause between two reads in a role.
+func (s *source) readInterval(r readerRole) time.Duration {
+	if r == roleStandby {
+		return standbyReadInterval
+	}
+	return readInterval
+}
+
+// unavailable reports whether recent reads of the source failed, not counting a single one that
+// failed at once.
+func (s *source) unavailable() bool {
+	return s.failures.Load() >= failuresUntilUnavailable
+}
+
+// confirmPeriodFor returns the time within which some read in a role must end its wait.
 func confirmPeriodFor(r readerRole) time.Duration {
 	if r == roleSubstitute {
 		return substituteConfirmPeriod
@@ -84,7 +87,7 @@
 	return confirmPeriod
 }
 
-// boxesWatchPeriod returns how long one read of the source by a reader of that rank waits at most.
+// watchPeriod returns the longest time that a read of the source in a role waits for changes.
 func (s *source) watchPeriod(r readerRole) time.Duration {
 	switch {
 	case s.name == resource.SourceBoxes:
