--- a/answer.go
+++ b/answer.go
@@ -7,59 +7,59 @@
 	"github.com/linetiller/linetiller/internal/box"
 )
 
-// answer answers one request of another box, once this one serves: it listens before its parts are
+// handleRequest answers one request of another box, once this one serves: it listens before its parts are
 // there.
-func (b *Box) answer(ctx context.Context, q *box.Request, answer func(*box.Reply) error) {
+func (b *Box) handleRequest(ctx context.Context, q *box.Request, send func(*box.Reply) error) {
 	if !b.awaitServing(ctx) {
 		return
 	}
-	b.heard(ctx, q)
-	reply := answer
-	answer = func(r *box.Reply) error {
+	b.recordContact(ctx, q)
+	sendPlain := send
+	send = func(r *box.Reply) error {
 		r.Revisions = b.view.Revisions()
 		r.SentAt = time.Now()
 		r.State = b.members.Self().State
-		return reply(r)
+		return sendPlain(r)
 	}
 	switch q.Kind {
 	case box.KindPlacement:
-		b.owners.Ask(ctx, q.Placement, answer)
+		b.owners.Ask(ctx, q.Placement, send)
 	case box.KindListUnreadable, box.KindLeaving, box.KindServed:
-		b.noteAnnouncement(q)
-		_ = answer(&box.Reply{})
+		b.recordAnnouncement(q)
+		_ = send(&box.Reply{})
 	case box.KindChanges:
-		_ = answer(&box.Reply{Changes: b.view.Missing(q.Revisions)})
+		_ = send(&box.Reply{Changes: b.view.Missing(q.Revisions)})
 	case box.KindCleared, box.KindReportCrashes, box.KindListCrashes:
-		_ = answer(b.answerCrashes(q))
+		_ = send(b.handleCrashes(q))
 	case box.KindHeartbeat:
 		now := time.Now()
-		_ = answer(&box.Reply{ViewAge: b.follower.ViewAge(), LimitsDigest: b.relay.Limits().Digest(now), Loads: b.owners.Loads(), CrashesDigest: b.relay.Quarantine().Digest(now)})
+		_ = send(&box.Reply{ViewAge: b.follower.ViewAge(), LimitsDigest: b.relay.Limits().Digest(now), Loads: b.owners.Loads(), CrashesDigest: b.relay.Quarantine().Digest(now)})
 	case box.KindInForce:
-		_ = answer(&box.Reply{Halls: b.inForceHere(ctx, q.Forward)})
+		_ = send(&box.Reply{Halls: b.inForceLocal(ctx, q.Forward)})
 	case box.KindLimits, box.KindPermit:
-		_ = answer(b.answerLimits(ctx, q))
+		_ = send(b.handleLimits(ctx, q))
 	case box.KindMembers:
-		_ = answer(&box.Reply{Members: b.members.Members()})
+		_ = send(&box.Reply{Members: b.members.Members()})
 	case box.KindWatchChanges:
-		_ = answer(b.follower.WatchChanges(ctx, q.Revisions, q.Wait))
+		_ = send(b.follower.WatchChanges(ctx, q.Revisions, q.Wait))
 	case box.KindMoveSlot:
-		b.answerTurn(ctx, q.MoveSlot, answer)
+		b.handleMoveSlot(ctx, q.MoveSlot, send)
 	case box.KindProgress:
-		_ = answer(b.owners.Update(q.Progress))
+		_ = send(b.owners.Update(q.Progress))
 	default:
-		_ = answer(&box.Reply{Error: "bad_message"})
+		_ = send(&box.Reply{Error: "bad_message"})
 	}
 }
 
-// answerTurn tells a caller that its run's turn has come, and holds the turn until
+// handleMoveSlot tells a caller that its run's turn has come, and holds the turn until
 // the caller hangs up.
-func (b *Box) answerTurn(ctx context.Context, t *box.MoveSlotRequest, answer func(*box.Reply) error) {
-	release, err := b.turns.Acquire(ctx, t.Upstream, t.Inbound, &t.Run)
+func (b *Box) handleMoveSlot(ctx context.Context, t *box.MoveSlotRequest, send func(*box.Reply) error) {
+	release, err := b.moveTurns.Acquire(ctx, t.Upstream, t.Inbound, &t.Run)
 	if err != nil {
 		return
 	}
 	defer release()
-	if answer(&box.Reply{MoveSlot: &box.MoveSlotReply{Granted: true}}) == nil {
+	if send(&box.Reply{MoveSlot: &box.MoveSlotReply{Granted: true}}) == nil {
 		<-ctx.Done()
 	}
 }
@@ -74,22 +74,22 @@
 	}
 }
 
-// request fills in what every request carries.
-func (b *Box) request(q box.Request) *box.Request {
+// newRequest fills in what every request carries.
+func (b *Box) newRequest(q box.Request) *box.Request {
 	q.From = b.members.Self()
 	q.Revisions = b.view.Revisions()
 	q.SentAt = time.Now()
 	return &q
 }
 
-// noteAnnouncement records what another box announces of the platform's list, of an upstream or of what
+// recordAnnouncement records what another box announces of the platform's list, of an upstream or of what
 // it served.
-func (b *Box) noteAnnouncement(q *box.Request) {
+func (b *Box) recordAnnouncement(q *box.Request) {
 	switch q.Kind { //nolint:exhaustive // The others are answered elsewhere.
 	case box.KindListUnreadable:
 		b.follower.RecordPeerListUnavailable(q.From.Name, q.ListUnreadable)
 	case box.KindLeaving:
-		b.noteLeaving(q.LeavingUpstream, q.Born, q.From.Name)
+		b.recordLeaving(q.LeavingUpstream, q.Born, q.From.Name)
 	case box.KindServed:
 		b.addRuns(q.Served)
 	}
--- a/ask.go
+++ b/ask.go
@@ -9,18 +9,18 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-const askPeriod = time.Second // for an owner's first answer
+const placementTimeout = time.Second // for an owner's first answer
 
-// callAsk makes an ask of another box and passes its replies on until the last.
-func (b *Box) callAsk(ctx context.Context, owner string, a *box.PlacementRequest, answer func(*box.Reply) error) error {
-	c, err := b.links.Call(ctx, b.members.Address(owner), b.request(box.Request{Placement: a, Kind: box.KindPlacement}))
+// requestPlacement makes an ask of another box and passes its replies on until the last.
+func (b *Box) requestPlacement(ctx context.Context, owner string, a *box.PlacementRequest, onReply func(*box.Reply) error) error {
+	c, err := b.links.Call(ctx, b.members.Address(owner), b.newRequest(box.Request{Placement: a, Kind: box.KindPlacement}))
 	if err != nil {
 		return err
 	}
 	defer func() { _ = c.Close() }()
 	for first := true; ; first = false {
 		if first {
-			c.SetReadDeadline(time.Now().Add(askPeriod))
+			c.SetReadDeadline(time.Now().Add(placementTimeout))
 		} else {
 			c.SetReadDeadline(a.Work.Deadline)
 		}
@@ -31,30 +31,30 @@
 		if r.State == box.StateLeaving {
 			b.members.MarkLeaving(owner)
 		}
-		if err := answer(r); err != nil || (r.Answer != nil && r.Answer.Verdict != policy.VerdictQueue) {
+		if err := onReply(r); err != nil || (r.Answer != nil && r.Answer.Verdict != policy.VerdictQueue) {
 			return err
 		}
 	}
 }
 
-// takeTurn takes the turn to move a run away from an upstream, or there, at its owner.
+// acquireMoveTurn takes the turn to move a run away from an upstream, or there, at its owner.
 // The owner is found from u itself: an engine that leaves may be listed no more.
-func (b *Box) takeTurn(ctx context.Context, u *resource.Upstream, arriving bool, r *policy.Run) (func(), error) {
+func (b *Box) acquireMoveTurn(ctx context.Context, u *resource.Upstream, inbound bool, r *policy.Run) (func(), error) {
 	o := policy.First(u.Name, b.members.Alive(u.Spec.Hall))
 	if o == b.settings.Box {
-		return b.turns.Acquire(ctx, u.Name, arriving, r)
+		return b.moveTurns.Acquire(ctx, u.Name, inbound, r)
 	}
 	// The wait ends with ctx; the turn, once it has come, only with its release.
-	call, hangUp := context.WithCancel(context.WithoutCancel(ctx))
-	stop := context.AfterFunc(ctx, hangUp)
-	c, err := b.links.Call(call, b.members.Address(o), b.request(box.Request{Kind: box.KindMoveSlot, MoveSlot: &box.MoveSlotRequest{Inbound: arriving, Run: *r, Upstream: u.Name}}))
+	callCtx, cancelCall := context.WithCancel(context.WithoutCancel(ctx))
+	stop := context.AfterFunc(ctx, cancelCall)
+	c, err := b.links.Call(callCtx, b.members.Address(o), b.newRequest(box.Request{Kind: box.KindMoveSlot, MoveSlot: &box.MoveSlotRequest{Inbound: inbound, Run: *r, Upstream: u.Name}}))
 	if err != nil {
-		hangUp()
+		cancelCall()
 		return nil, err
 	}
 	release := func() {
 		_ = c.Close()
-		hangUp()
+		cancelCall()
 	}
 	if _, err := c.Next(); err != nil {
 		release()
@@ -64,8 +64,8 @@
 	return release, nil
 }
 
-// sendUpdate sends an update to the owner of its upstream.
-func (b *Box) sendUpdate(ctx context.Context, u *box.ProgressReport) (*box.Reply, error) {
+// sendProgress sends an update to the owner of its upstream.
+func (b *Box) sendProgress(ctx context.Context, u *box.ProgressReport) (*box.Reply, error) {
 	x := b.view.Upstream(u.Upstream)
 	if x == nil {
 		return &box.Reply{}, nil
@@ -74,5 +74,5 @@
 	if o == b.settings.Box {
 		return b.owners.Update(u), nil
 	}
-	return b.links.CallOnce(ctx, b.members.Address(o), b.request(box.Request{Kind: box.KindProgress, Progress: u}))
+	return b.links.CallOnce(ctx, b.members.Address(o), b.newRequest(box.Request{Kind: box.KindProgress, Progress: u}))
 }
--- a/assemble.go
+++ b/assemble.go
@@ -33,8 +33,8 @@
 
 // Bounds of the connections from clients, operators and the balancer.
 const (
-	headerPeriod = 10 * time.Second // for a request's header to arrive whole
-	idlePeriod   = time.Minute      // that a connection without a request is kept, where operators say nothing
+	headerTimeout     = 10 * time.Second // for a request's header to arrive whole
+	clientIdleTimeout = time.Minute      // that a connection without a request is kept, where operators say nothing
 )
 
 // assemble makes the parts and joins them by their seams.
@@ -46,31 +46,31 @@
 		platform.WithStoreRestoreObserver(func(era int64) { b.follower.RecordEra(era) }),
 		platform.WithStoreCallObserver(func(step, outcome string) { b.metrics.CountTwo(metric.PlatformCalls, "step", step, "outcome", outcome) }))
 	b.store = store.Table()
-	b.engines = upstream.NewClient(engineCallPeriod, upstream.WithTransport(b.engineTransport))
-	b.routed = platform.NewEngines(platform.WithEnginesTransport(b.routedTransport))
+	b.engines = upstream.NewClient(engineCallTimeout, upstream.WithTransport(b.engineTransport))
+	b.routedEngines = platform.NewEngines(platform.WithEnginesTransport(b.routedTransport))
 	b.keys = requestkey.New(b.store, b.metrics)
 	b.assembleFollower(store)
 	b.keys.Era = b.follower.Era
-	b.limits = newLimits()
-	b.limits.limiter.RequestPermits = b.askPermit
-	b.rests = health.NewBackoffs(b.view)
+	b.limits = newLimitState()
+	b.limits.limiter.RequestPermits = b.requestPermit
+	b.backoffs = health.NewBackoffs(b.view)
 
 	b.owners = ownership.New(b.view, b.members, lengths, b.metrics, b.log,
 		ownership.WithColdStartLimits(ownership.ColdStartLimits(s.Cold)), ownership.WithMaxQueued(s.Limits.Queued), ownership.WithReportInterval(s.Timeouts.Report.Duration))
 	b.owners.PlatformUnavailable = b.follower.ListUnavailable
 	b.owners.OnLeaving = func(u *resource.Upstream) { b.announceLeaving(u, "its report") }
-	b.owners.BackedOff = func(n string) bool { return !b.rests.Until(n, time.Now()).IsZero() }
+	b.owners.BackedOff = func(n string) bool { return !b.backoffs.Until(n, time.Now()).IsZero() }
 	b.owners.ReadLoad = b.readLoad
 
 	b.reserved = placement.NewReserved(b.view, b.members, lengths, b.metrics, seed)
 	b.reserved.AskLocal = b.owners.Ask
-	b.reserved.Call = b.callAsk
-	b.tracker = placement.NewTracker(b.learn)
-	b.tracker.Send = b.sendUpdate
+	b.reserved.Call = b.requestPlacement
+	b.tracker = placement.NewTracker(b.recordLoad)
+	b.tracker.Send = b.sendProgress
 
 	b.deliverer = delivery.New(b.engines, b.keys, b.tracker, b.view, b.metrics, b.log,
-		delivery.WithMaxInProgress(s.Limits.Streams), delivery.WithBackoffs(b.rests), delivery.WithStallTimeout(s.Timeouts.Silence.Duration))
-	b.deliverer.RefreshViews = b.fresh
+		delivery.WithMaxInProgress(s.Limits.Streams), delivery.WithBackoffs(b.backoffs), delivery.WithStallTimeout(s.Timeouts.Silence.Duration))
+	b.deliverer.RefreshViews = b.refreshAfterPause
 	b.deliverer.Place = b.reserved.Place
 	if s.Policy == settings.PolicyNaive {
 		b.naive = placement.NewNaive(b.view, s.Timeouts.Report.Duration, seed)
@@ -109,12 +109,12 @@
 	b.follower.Call = b.links.CallOnce
 	b.follower.Reconnect = func() { _ = s.Close() }
 	b.follower.OnRestored = b.keys.StoreRestored
-	b.follower.AnnounceListUnavailable = b.announceAway
+	b.follower.AnnounceListUnavailable = b.announceListUnreadable
 	b.follower.Jitter = rand.Float64
 	b.follower.Add(resource.SourceBoxes, configuration.BoxReader(s.Changes))
 	if b.hasEntry() {
 		b.follower.Add(resource.SourceConfiguration, platform.ConfigurationReader(s))
-		b.follower.Add(resource.SourceUpstreams, platform.UpstreamReader(s, b.noteIgnoredRow))
+		b.follower.Add(resource.SourceUpstreams, platform.UpstreamReader(s, b.recordIgnoredRow))
 	} else {
 		b.follower.Add(resource.SourceResources, configuration.ResourceReader(s.Changes))
 	}
@@ -136,27 +136,27 @@
 func (b *Box) assembleRelay(l *policy.Lengths) {
 	g := b.settings.Budget
 	b.relay = relay.New(b.view, b.tracker, l, b.settings.Hall, b.metrics, b.log,
-		relay.WithRetryBudget(g.Ratio, g.Extra, g.Window.Duration, b.members.Count), relay.WithCold(b.coldBears, b.coldMost), relay.WithLimiter(b.limits.limiter), relay.WithBackoffs(b.rests))
+		relay.WithRetryBudget(g.Ratio, g.Extra, g.Window.Duration, b.members.Count), relay.WithCold(b.coldCapacity, b.coldShare), relay.WithLimiter(b.limits.limiter), relay.WithBackoffs(b.backoffs))
 	b.relay.AnnounceCleared = func(p policy.Fingerprint) {
 		b.broadcast("", box.Request{Kind: box.KindCleared, Fingerprints: []policy.Fingerprint{p}})
 	}
 	b.relay.AnnounceCrashes = b.announceCrashes
-	b.relay.RefreshViews = b.fresh
+	b.relay.RefreshViews = b.refreshAfterPause
 	b.relay.ChooseLocally = b.reserved.Guess
 	b.relay.AnnounceLimit = b.announceLimit
 	b.relay.RecordLeaving = func(u *resource.Upstream) { b.announceLeaving(u, "its answer") }
 	b.relay.Place = b.reserved.Place
-	b.relay.HasOtherBoxes = b.hasOthers
-	b.relay.Turn = b.takeTurn
+	b.relay.HasOtherBoxes = b.hasOtherBoxes
+	b.relay.Turn = b.acquireMoveTurn
 	b.relay.ViewAge = b.follower.ViewAge
-	b.relay.Upstreams = relay.UpstreamCalls{ProcessEnded: b.routed.ProcessEnded, Migrate: b.routed.Migrate, Release: b.routed.Release, Send: b.routed.Send}
+	b.relay.Upstreams = relay.UpstreamCalls{ProcessEnded: b.routedEngines.ProcessEnded, Migrate: b.routedEngines.Migrate, Release: b.routedEngines.Release, Send: b.routedEngines.Send}
 }
 
 func (b *Box) assembleServers() {
 	s := b.settings
 	services := service.NewRouter(b.view, b.keys, b.metrics)
 	services.Do = b.engines.Call
-	services.Backoffs = b.rests
+	services.Backoffs = b.backoffs
 	c := client.New(b.view, b.metrics, client.WithBodyBytes(s.Limits.BodyBytes), client.WithDeadline(s.Timeouts.Request.Duration))
 	c.CallService = services.Call
 	c.Generate = b.deliverer.Generate
@@ -176,8 +176,8 @@
 // httpServer returns a server that answers by h, within the bounds of the settings.
 func (b *Box) httpServer(h http.Handler) *http.Server {
 	return &http.Server{
-		ErrorLog: quiet(b.log), Handler: h, IdleTimeout: idlePeriod,
-		MaxHeaderBytes: b.settings.Limits.HeaderBytes, ReadHeaderTimeout: headerPeriod,
+		ErrorLog: serverErrorLog(b.log), Handler: h, IdleTimeout: clientIdleTimeout,
+		MaxHeaderBytes: b.settings.Limits.HeaderBytes, ReadHeaderTimeout: headerTimeout,
 	}
 }
 
@@ -191,5 +191,5 @@
 	if !b.hasEntry() {
 		return b.engines.Load(ctx, address)
 	}
-	return b.routed.Load(ctx, address)
+	return b.routedEngines.Load(ctx, address)
 }
--- a/broadcast.go
+++ b/broadcast.go
@@ -14,16 +14,16 @@
 		if hall != "" && m.Hall != hall {
 			continue
 		}
-		b.start(func() {
-			ctx, cancel := context.WithDeadline(b.running, time.Now().Add(heartbeatPeriod))
+		b.startWorker(func() {
+			ctx, cancel := context.WithDeadline(b.serveContext, time.Now().Add(heartbeatTimeout))
 			defer cancel()
-			_, _ = b.links.CallOnce(ctx, m.Address, b.request(q)) // repeated later, or by others
+			_, _ = b.links.CallOnce(ctx, m.Address, b.newRequest(q)) // repeated later, or by others
 		})
 	}
 }
 
-// announceAway announces to the boxes of the hall that the platform's list of upstreams cannot be
+// announceListUnreadable announces to the boxes of the hall that the platform's list of upstreams cannot be
 // read, or can be again: those that do not read it themselves own upstreams, too.
-func (b *Box) announceAway(away bool) {
-	b.broadcast(b.settings.Hall, box.Request{ListUnreadable: away, Kind: box.KindListUnreadable})
+func (b *Box) announceListUnreadable(unreadable bool) {
+	b.broadcast(b.settings.Hall, box.Request{ListUnreadable: unreadable, Kind: box.KindListUnreadable})
 }
--- a/cold.go
+++ b/cold.go
@@ -7,9 +7,9 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// coldBears returns how many requests a second a plain upstream, which has no owner, bears from all
+// coldCapacity returns how many requests a second a plain upstream, which has no owner, bears from all
 // boxes while it is cold; 0 is no bound.
-func (b *Box) coldBears(u *resource.Upstream) float64 {
+func (b *Box) coldCapacity(u *resource.Upstream) float64 {
 	n := u.ColdPerSecond()
 	if n <= 0 {
 		return 0
@@ -18,9 +18,9 @@
 	return n*c.Overage + c.Slack
 }
 
-// coldMost returns how many of them this box may send.
-func (b *Box) coldMost(u *resource.Upstream) int {
-	n := b.coldBears(u)
+// coldShare returns how many of them this box may send.
+func (b *Box) coldShare(u *resource.Upstream) int {
+	n := b.coldCapacity(u)
 	if n <= 0 {
 		return math.MaxInt
 	}
--- a/ignored.go
+++ b/ignored.go
@@ -18,17 +18,17 @@
 // maxIgnoredRows bounds the rows that are remembered; beyond it they are counted anew.
 const maxIgnoredRows = 1024
 
-// noteIgnoredRow counts and logs a row of the list of upstreams that names none.
-func (b *Box) noteIgnoredRow(r platform.IgnoredRow) {
-	if !b.ignored.note(r.Key, r.Revision) {
+// recordIgnoredRow counts and logs a row of the list of upstreams that names none.
+func (b *Box) recordIgnoredRow(r platform.IgnoredRow) {
+	if !b.ignored.add(r.Key, r.Revision) {
 		return
 	}
 	b.metrics.Count(metric.RowsIgnored, "reason", string(r.Reason))
 	event.RowIgnored.Log(b.log, "key", r.Key, "revision", r.Revision, "reason", string(r.Reason))
 }
 
-// note records a row and reports whether it was not known at this revision.
-func (i *ignoredRows) note(key string, revision int64) bool {
+// add records a row and reports whether it was not known at this revision.
+func (i *ignoredRows) add(key string, revision int64) bool {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	if last, ok := i.revisions[key]; ok && last == revision {
--- a/inforce.go
+++ b/inforce.go
@@ -11,21 +11,21 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// inForceCalls bounds the boxes that are asked at once.
-const inForceCalls = 64
+// maxInForceCalls bounds the boxes that are asked at once.
+const maxInForceCalls = 64
 
 // inForce tells which revisions the boxes of every hall have in force: its own
 // hall's boxes are asked one by one, of each other hall one box is asked for all.
 func (b *Box) inForce(ctx context.Context) []box.HallRevisions {
 	var mutex sync.Mutex
-	l := b.inForceHere(ctx, true)
+	l := b.inForceLocal(ctx, true)
 	var g errgroup.Group
 	for _, h := range b.members.Halls() {
 		if h == b.settings.Hall {
 			continue
 		}
 		g.Go(func() error {
-			x := b.inForceHall(ctx, h)
+			x := b.inForceRemote(ctx, h)
 			mutex.Lock()
 			defer mutex.Unlock()
 			l = append(l, x...)
@@ -36,11 +36,11 @@
 	return l
 }
 
-// inForceHall asks a box of another hall for that hall's revisions.
-func (b *Box) inForceHall(ctx context.Context, hall string) []box.HallRevisions {
+// inForceRemote asks a box of another hall for that hall's revisions.
+func (b *Box) inForceRemote(ctx context.Context, hall string) []box.HallRevisions {
 	boxes := b.members.Alive(hall)
 	for _, n := range policy.Rank(b.settings.Box, boxes) {
-		r, err := b.links.CallOnce(ctx, b.members.Address(n), b.request(box.Request{Forward: true, Kind: box.KindInForce}))
+		r, err := b.links.CallOnce(ctx, b.members.Address(n), b.newRequest(box.Request{Forward: true, Kind: box.KindInForce}))
 		if err == nil {
 			return r.Halls
 		}
@@ -51,24 +51,24 @@
 	return []box.HallRevisions{{Hall: hall, Unanswered: max(1, len(boxes))}}
 }
 
-// inForceHere returns this box's revision, and where all is set those of the
+// inForceLocal returns this box's revision, and where all is set those of the
 // other boxes of its hall.
-func (b *Box) inForceHere(ctx context.Context, all bool) []box.HallRevisions {
+func (b *Box) inForceLocal(ctx context.Context, wholeHall bool) []box.HallRevisions {
 	h := box.HallRevisions{Hall: b.settings.Hall, Revisions: []int64{b.view.Revision()}}
-	if !all {
+	if !wholeHall {
 		return []box.HallRevisions{h}
 	}
-	ctx, cancel := context.WithTimeout(ctx, heartbeatPeriod)
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	var mutex sync.Mutex
 	var g errgroup.Group
-	g.SetLimit(inForceCalls)
+	g.SetLimit(maxInForceCalls)
 	for _, m := range b.members.Members()[1:] {
 		if m.Hall != b.settings.Hall || m.State == box.StateLeaving {
 			continue
 		}
 		g.Go(func() error {
-			r, err := b.links.CallOnce(ctx, m.Address, b.request(box.Request{Kind: box.KindInForce}))
+			r, err := b.links.CallOnce(ctx, m.Address, b.newRequest(box.Request{Kind: box.KindInForce}))
 			mutex.Lock()
 			defer mutex.Unlock()
 			if err != nil {
--- a/internal/cmd/servecmd.go
+++ b/internal/cmd/servecmd.go
@@ -65,7 +65,7 @@
 		<-signals
 		b.Leave()
 		<-signals
-		left <- b.Held()
+		left <- b.InProgress()
 		cancel()
 	}()
 	err = b.Serve(ctx)
--- a/join.go
+++ b/join.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	// joinPeriod bounds all of it: a box that could not learn anything serves what it can.
-	joinPeriod = 3 * time.Second
-	// listenPeriod is how long a box that starts waits for its neighbours' word before it
+	// joinTimeout bounds all of it: a box that could not learn anything serves what it can.
+	joinTimeout = 3 * time.Second
+	// neighbourWait is how long a box that starts waits for its neighbours' word before it
 	// reads everything from the store itself: where all boxes start at once, those that
 	// read have it within some 100 ms and pass it on in three or four steps.
-	listenPeriod = 700 * time.Millisecond
-	// listenSpread is by how much that differs between boxes: the first that gives up
+	neighbourWait = 700 * time.Millisecond
+	// neighbourWaitJitter is by how much that differs between boxes: the first that gives up
 	// listening passes on what it reads.
-	listenSpread = 800 * time.Millisecond
-	// settlePeriod is how long a box that the store does not list yet waits, once it has
+	neighbourWaitJitter = 800 * time.Millisecond
+	// boxRowsWait is how long a box that the store does not list yet waits, once it has
 	// written its own row, for those of boxes that start with it: on the users' platform all start
 	// within 0.3 s of each other. Without their rows each box takes itself for one of those
 	// that read everything.
-	settlePeriod = 400 * time.Millisecond
-	// settleSpread is by how much that differs between boxes of a system that starts for the
+	boxRowsWait = 400 * time.Millisecond
+	// boxRowsWaitJitter is by how much that differs between boxes of a system that starts for the
 	// first time: the first to read the rows tells the others, which then need not.
-	settleSpread = 1200 * time.Millisecond
+	boxRowsWaitJitter = 1200 * time.Millisecond
 )
 
-// askPeers learns of other boxes and of their configuration from the peers that the
+// contactPeers learns of other boxes and of their configuration from the peers that the
 // settings name. One that does not answer is passed over.
-func (b *Box) askPeers(ctx context.Context) {
+func (b *Box) contactPeers(ctx context.Context) {
 	for _, a := range b.settings.Peers {
-		r, err := b.links.CallOnce(ctx, a, b.request(box.Request{Kind: box.KindMembers}))
+		r, err := b.links.CallOnce(ctx, a, b.newRequest(box.Request{Kind: box.KindMembers}))
 		if err != nil {
 			continue
 		}
@@ -50,27 +50,27 @@
 // of the store: at 300 boxes with a list of 3,000 upstreams a read by each box cost
 // 0.03 of the worth served.
 func (b *Box) join(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, joinPeriod)
+	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	b.askPeers(ctx)
+	b.contactPeers(ctx)
 	if !b.settings.FirstStart || !b.awaitBoxes(ctx) {
 		b.readBoxes(ctx)
 	}
-	b.listMembers()
+	b.updateMembers()
 	var g sync.WaitGroup
-	g.Go(func() { b.learnFromNeighbours(ctx) })
-	b.start(func() { b.heartbeats(b.running) }) // boxes that are gone must not hold up the start
-	b.start(func() { b.follower.WatchPeers(b.running) })
-	if b.follower.ReadsStore() || !b.listenForNews(ctx) {
+	g.Go(func() { b.fetchFromNeighbours(ctx) })
+	b.startWorker(func() { b.sendHeartbeats(b.serveContext) }) // boxes that are gone must not hold up the start
+	b.startWorker(func() { b.follower.WatchPeers(b.serveContext) })
+	if b.follower.ReadsStore() || !b.awaitNeighbours(ctx) {
 		_ = b.follower.RefreshExceptBoxes(ctx) // as above
 	}
-	b.listMembers()
+	b.updateMembers()
 	g.Wait()
-	b.beat.Store(int64(time.Since(b.started)))
+	b.lastTick.Store(int64(time.Since(b.started)))
 }
 
-// listMembers records the boxes that wrote where they are.
-func (b *Box) listMembers() {
+// updateMembers records the boxes that wrote where they are.
+func (b *Box) updateMembers() {
 	var l []box.Member
 	for _, x := range b.view.Boxes() {
 		l = append(l, box.Member{Address: x.Spec.Address, Hall: x.Spec.Hall, Name: x.Name, State: box.StateServing})
@@ -78,10 +78,10 @@
 	b.members.ApplyList(l, time.Now())
 }
 
-// listenForNews waits until the neighbours have told something of every source, and
+// awaitNeighbours waits until the neighbours have told something of every source, and
 // reports whether they have.
-func (b *Box) listenForNews(ctx context.Context) bool {
-	t := time.NewTimer(listenPeriod + rand.N(listenSpread))
+func (b *Box) awaitNeighbours(ctx context.Context) bool {
+	t := time.NewTimer(neighbourWait + rand.N(neighbourWaitJitter))
 	defer t.Stop()
 	for {
 		c := b.view.Changed()
@@ -110,7 +110,7 @@
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(settlePeriod):
+	case <-time.After(boxRowsWait):
 	}
 	_ = b.follower.RefreshSource(ctx, resource.SourceBoxes) // as above
 }
@@ -119,7 +119,7 @@
 // to tell of them. It reports whether one has: all but the first few need not read the rows.
 func (b *Box) awaitBoxes(ctx context.Context) bool {
 	_ = b.register(ctx) // as in readBoxes
-	t := time.NewTimer(settlePeriod + rand.N(settleSpread))
+	t := time.NewTimer(boxRowsWait + rand.N(boxRowsWaitJitter))
 	defer t.Stop()
 	for {
 		c := b.view.Changed()
@@ -140,7 +140,7 @@
 func (b *Box) runMembers(ctx context.Context) {
 	for {
 		c := b.view.Changed()
-		b.listMembers()
+		b.updateMembers()
 		select {
 		case <-ctx.Done():
 			return
--- a/kept_test.go
+++ b/kept_test.go
@@ -318,14 +318,14 @@
 // and that they are read as they were written.
 func TestKeptRowsAreBounded(t *testing.T) {
 	at := time.UnixMilli(1 << 41)
-	k := newKeeper()
+	k := newRecorder()
 	k.setRead(at, at)
 	var runs []policy.CompletedRun
-	for i := range runsMost {
+	for i := range maxRuns {
 		runs = append(runs, policy.CompletedRun{At: at, Fingerprint: ^policy.Fingerprint(i), Times: 1 << 31})
 	}
 	var crashes []policy.Crash
-	for i := range quarantinedMost {
+	for i := range maxQuarantined {
 		s := policy.Suspect{Cleared: true, Events: 1 << 31, Fingerprint: ^policy.Fingerprint(i), Trials: 3}
 		crashes = append(crashes, policy.Crash{At: at, StartedAtMS: 1 << 41, LastReturnAt: at, Suspects: []policy.Suspect{s}, Upstream: fmt.Sprintf("%200d", i)})
 	}
@@ -355,11 +355,11 @@
 func TestClockOfTheBoxThatWritesRows(t *testing.T) {
 	now, storeAt := time.Now(), time.UnixMilli(5000)
 	for _, ahead := range []time.Duration{-time.Hour, time.Hour} {
-		writer, reader := newKeeper(), newKeeper()
+		writer, reader := newRecorder(), newRecorder()
 		writer.setRead(now.Add(ahead), storeAt)
 		reader.setRead(now, storeAt)
 		ranAt := now.Add(-time.Second)
-		got, past := reader.local(writer.storeMS(ranAt.Add(ahead)))
+		got, past := reader.localTime(writer.storeMS(ranAt.Add(ahead)))
 		if d := got.Sub(ranAt).Abs(); d > time.Millisecond || !past {
 			t.Errorf("%v ahead: got %v, past %v, want %v, past true", ahead, got, past, ranAt)
 		}
@@ -370,7 +370,7 @@
 // anew since: its runs would count as of now, and clear a poison request of the crashes before.
 func TestClockOfTheStoreThatStartsAnew(t *testing.T) {
 	now := time.Now()
-	k := newKeeper()
+	k := newRecorder()
 	k.setRead(now, time.UnixMilli(1_000_000))
 	v := encodeRow(k.runEntries([]policy.CompletedRun{{At: now.Add(-time.Minute), Fingerprint: 1, Times: 5}}))
 	if got, want := len(k.decodeRuns(v)), 1; got != want {
@@ -386,7 +386,7 @@
 // write of it they read back.
 func FuzzKeptRow(f *testing.F) {
 	now := time.UnixMilli(1 << 41)
-	k := newKeeper()
+	k := newRecorder()
 	k.setRead(now, time.UnixMilli(5000))
 	f.Add([]byte(encodeRow(k.runEntries([]policy.CompletedRun{{At: now, Fingerprint: 1, Times: 2}}))))
 	f.Add([]byte(encodeRow(k.crashEntries([]policy.Crash{{At: now, Suspects: []policy.Suspect{{Fingerprint: 1}}, Upstream: "u"}}))))
@@ -406,10 +406,10 @@
 				t.Errorf("a crash is ahead: got %v, %v, want at most %v", c.At, c.LastReturnAt, now)
 			}
 		}
-		if l := q.QuarantinedCrashes(quarantinedMost, now); len(decodeRow[crashEntry](encodeRow(k.crashEntries(l)))) != len(l) {
+		if l := q.QuarantinedCrashes(maxQuarantined, now); len(decodeRow[crashEntry](encodeRow(k.crashEntries(l)))) != len(l) {
 			t.Errorf("read back: want %d crashes", len(l))
 		}
-		if l := m.Top(runsMost, now); len(decodeRow[runEntry](encodeRow(k.runEntries(l)))) != len(l) {
+		if l := m.Top(maxRuns, now); len(decodeRow[runEntry](encodeRow(k.runEntries(l)))) != len(l) {
 			t.Errorf("read back: want %d runs", len(l))
 		}
 	})
--- a/leaving.go
+++ b/leaving.go
@@ -7,25 +7,25 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// learn records the load of an upstream, as its owner reported it.
-func (b *Box) learn(l *policy.Load) {
+// recordLoad records the load of an upstream, as its owner reported it.
+func (b *Box) recordLoad(l *policy.Load) {
 	b.reserved.RecordLoad(l)
 	if l != nil && l.Leaving {
-		b.noteLeaving(l.Upstream, l.StartedAtMS, "its owner")
+		b.recordLeaving(l.Upstream, l.StartedAtMS, "its owner")
 	}
 }
 
-// learnAll records the loads of upstreams, as their owner reported them.
-func (b *Box) learnAll(l []policy.Load) {
+// recordLoads records the loads of upstreams, as their owner reported them.
+func (b *Box) recordLoads(l []policy.Load) {
 	for i := range l {
-		b.learn(&l[i])
+		b.recordLoad(&l[i])
 	}
 }
 
-// noteLeaving records the shutdown notice of an upstream which was born at a time, and
+// recordLeaving records the shutdown notice of an upstream which was born at a time, and
 // reports whether that is news.
-func (b *Box) noteLeaving(upstream string, born int64, from string) bool {
-	if !b.view.NoteLeaving(upstream, born) {
+func (b *Box) recordLeaving(upstream string, startedAtMS int64, from string) bool {
+	if !b.view.NoteLeaving(upstream, startedAtMS) {
 		return false
 	}
 	event.LeavingNoticeReceived.Log(b.log, "upstream", upstream, "from", from)
@@ -37,7 +37,7 @@
 // reach for long, and each box would go on sending there until an answer said so, too. An
 // announcement costs a message to each box.
 func (b *Box) announceLeaving(u *resource.Upstream, from string) {
-	if !b.noteLeaving(u.Name, u.Spec.Born, from) {
+	if !b.recordLeaving(u.Name, u.Spec.Born, from) {
 		return
 	}
 	b.broadcast("", box.Request{Born: u.Spec.Born, Kind: box.KindLeaving, LeavingUpstream: u.Name}) // owners' loads repeat it
--- a/limits.go
+++ b/limits.go
@@ -13,65 +13,65 @@
 	"github.com/linetiller/linetiller/internal/ratelimit"
 )
 
-// limits is this box's part in keeping to the rate limits of upstreams: one box allocates the permits
+// limitState is this box's part in keeping to the rate limits of upstreams: one box allocates the permits
 // to send to each, and all boxes know which have one.
-type limits struct {
+type limitState struct {
 	allocator *ratelimit.Allocator
 	limiter   *ratelimit.Limiter
 
-	mutex     sync.Mutex
-	announces bool // changes are about to be announced
-	announced time.Time
-	pending   map[string]ratelimit.Limit // not announced yet, by upstream
-	silent    map[string]silence         // of boxes that did not answer an ask
+	mutex           sync.Mutex
+	announcementDue bool // changes are about to be announced
+	announcedAt     time.Time
+	pending         map[string]ratelimit.Limit    // not announced yet, by upstream
+	unresponsive    map[string]unresponsivePeriod // of boxes that did not answer an ask
 }
 
-// silence is of a box that did not answer an ask.
-type silence struct {
+// unresponsivePeriod is of a box that did not answer an ask.
+type unresponsivePeriod struct {
 	since time.Time // it did not answer any
 	until time.Time // it is passed over
 }
 
 const (
-	// announceEvery is the least time between two announcements of limits: an upstream may name one
+	// announceInterval is the least time between two announcements of limits: an upstream may name one
 	// in every other answer. What boxes have missed they fetch after a heartbeat.
-	announceEvery = 200 * time.Millisecond
-	// forwardPeriod bounds an ask that is passed on to the box which should allocate the permits, and
-	// permitPeriod any ask, so that the asking box hears of it in time.
-	forwardPeriod = 40 * time.Millisecond
-	permitPeriod  = 300 * time.Millisecond
-	// hallAllocators is how many boxes of an upstream's hall go before those of other halls.
-	hallAllocators = 2
-	// permitBoxes is how many boxes are asked for a permit, one after another.
-	permitBoxes = 3
-	// rateChange is the share by which a limit has to change for its allocator to hear of it before
+	announceInterval = 200 * time.Millisecond
+	// forwardTimeout bounds an ask that is passed on to the box which should allocate the permits, and
+	// permitTimeout any ask, so that the asking box hears of it in time.
+	forwardTimeout = 40 * time.Millisecond
+	permitTimeout  = 300 * time.Millisecond
+	// preferredHallAllocators is how many boxes of an upstream's hall go before those of other halls.
+	preferredHallAllocators = 2
+	// maxPermitAttempts is how many boxes are asked for a permit, one after another.
+	maxPermitAttempts = 3
+	// notifyThreshold is the share by which a limit has to change for its allocator to hear of it before
 	// the next ask.
-	rateChange = 0.1
-	// silentLeast and silentMost are how long a box that did not answer an ask is passed over: as long
+	notifyThreshold = 0.1
+	// minUnresponsivePeriod and maxUnresponsivePeriod are how long a box that did not answer an ask is passed over: as long
 	// as it has been silent.
-	silentLeast = time.Second
-	silentMost  = 8 * time.Second
+	minUnresponsivePeriod = time.Second
+	maxUnresponsivePeriod = 8 * time.Second
 )
 
-// newLimits returns a box's part in the limits of no upstream.
-func newLimits() *limits {
-	return &limits{
+// newLimitState returns a box's part in the limits of no upstream.
+func newLimitState() *limitState {
+	return &limitState{
 		allocator: ratelimit.NewAllocator(), limiter: ratelimit.NewLimiter(ratelimit.NewLimits()),
-		pending: make(map[string]ratelimit.Limit), silent: make(map[string]silence),
+		pending: make(map[string]ratelimit.Limit), unresponsive: make(map[string]unresponsivePeriod),
 	}
 }
 
-// allocatorOf returns the box that allocates the permits of an upstream, and whether it is the one that
+// allocatorFor returns the box that allocates the permits of an upstream, and whether it is the one that
 // should: boxes that were silent a moment ago are passed over. It is one of the upstream's data hall, so
 // that a hall which is cut off goes on, and where two of them are silent one of another hall: theirs may
 // be lost as a whole.
-func (b *Box) allocatorOf(upstream string, now time.Time) (name string, first bool) {
+func (b *Box) allocatorFor(upstream string, now time.Time) (name string, preferred bool) {
 	l := rankAllocators(upstream, b.members.Alive(b.hallOfUpstream(upstream)), b.members.Alive(""))
 	s := b.limits
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for i, n := range l {
-		if !now.Before(s.silent[n].until) {
+		if !now.Before(s.unresponsive[n].until) {
 			return n, i == 0
 		}
 	}
@@ -79,7 +79,7 @@
 }
 
 // allocate allocates permits for a box, as the one that should or not.
-func (b *Box) allocate(from string, q *ratelimit.PermitRequest, first bool) *ratelimit.Grant {
+func (b *Box) allocate(from string, q *ratelimit.PermitRequest, preferred bool) *ratelimit.Grant {
 	now := time.Now()
 	if !q.Limit.ReportedAt.IsZero() {
 		b.relay.RecordLimit(q.Limit, from)
@@ -94,7 +94,7 @@
 		q.Limit.ReportedAt = time.Time{}
 	}
 	share := 1.0
-	if !first {
+	if !preferred {
 		share = ratelimit.FallbackShare
 	}
 	g := b.limits.allocator.Allocate(q, share, b.members.Count(), now)
@@ -105,7 +105,7 @@
 // that has only changed, the box hears that allocates its permits.
 func (b *Box) announceLimit(c *ratelimit.Change) {
 	if !c.NeedsAnnouncement() {
-		if d := c.After.PerSecond - c.Before.PerSecond; d > rateChange*c.Before.PerSecond || -d > rateChange*c.Before.PerSecond {
+		if d := c.After.PerSecond - c.Before.PerSecond; d > notifyThreshold*c.Before.PerSecond || -d > notifyThreshold*c.Before.PerSecond {
 			b.notifyAllocator(c.After)
 		}
 		return
@@ -114,55 +114,55 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.pending[c.After.Upstream] = c.After
-	if s.announces {
+	if s.announcementDue {
 		return
 	}
-	s.announces = true
-	wait := time.Until(s.announced.Add(announceEvery))
-	b.start(func() {
+	s.announcementDue = true
+	wait := time.Until(s.announcedAt.Add(announceInterval))
+	b.startWorker(func() {
 		select {
-		case <-b.running.Done(): // nobody is told any more
+		case <-b.serveContext.Done(): // nobody is told any more
 		case <-time.After(wait):
 		}
 		b.broadcast("", box.Request{Kind: box.KindLimits, Limits: s.takePending()})
 	})
 }
 
-// answerLimits answers a box that tells of limits, asks for a permit, or asks which limits there are.
-func (b *Box) answerLimits(ctx context.Context, q *box.Request) *box.Reply {
+// handleLimits answers a box that tells of limits, asks for a permit, or asks which limits there are.
+func (b *Box) handleLimits(ctx context.Context, q *box.Request) *box.Reply {
 	if q.Kind == box.KindPermit {
-		return &box.Reply{Grant: b.answerPermit(ctx, q.From.Name, q.Permit)}
+		return &box.Reply{Grant: b.handlePermit(ctx, q.From.Name, q.Permit)}
 	}
-	b.noteLimits(q.Limits, q.From.Name)
+	b.recordLimits(q.Limits, q.From.Name)
 	return &box.Reply{Limits: b.limits.limiter.Limits().All(time.Now())}
 }
 
-// answerPermit allocates permits for another box, or passes its ask on to the box that does.
-func (b *Box) answerPermit(ctx context.Context, from string, q *ratelimit.PermitRequest) *ratelimit.Grant {
-	o, first := b.allocatorOf(q.Limit.Upstream, time.Now())
+// handlePermit allocates permits for another box, or passes its ask on to the box that does.
+func (b *Box) handlePermit(ctx context.Context, from string, q *ratelimit.PermitRequest) *ratelimit.Grant {
+	o, preferred := b.allocatorFor(q.Limit.Upstream, time.Now())
 	switch {
 	case o == b.settings.Box:
-		return b.allocate(from, q, first)
+		return b.allocate(from, q, preferred)
 	case q.NoForward:
 		return b.allocate(from, q, false)
 	}
 	q.NoForward = true
-	if g := b.callPermit(ctx, o, q, forwardPeriod); g != nil {
+	if g := b.callPermit(ctx, o, q, forwardTimeout); g != nil {
 		return g
 	}
 	return b.allocate(from, q, false)
 }
 
-// askPermit asks the box that allocates the permits of an upstream for some, and, where it does not
+// requestPermit asks the box that allocates the permits of an upstream for some, and, where it does not
 // answer, the next ones.
-func (b *Box) askPermit(ctx context.Context, q *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
-	for range permitBoxes {
-		o, first := b.allocatorOf(q.Limit.Upstream, time.Now())
+func (b *Box) requestPermit(ctx context.Context, q *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
+	for range maxPermitAttempts {
+		o, preferred := b.allocatorFor(q.Limit.Upstream, time.Now())
 		if o == b.settings.Box {
-			return b.allocate(o, q, first), nil
+			return b.allocate(o, q, preferred), nil
 		}
-		q.NoForward = !first
-		if g := b.callPermit(ctx, o, q, permitPeriod); g != nil {
+		q.NoForward = !preferred
+		if g := b.callPermit(ctx, o, q, permitTimeout); g != nil {
 			return g, nil
 		}
 		if ctx.Err() != nil {
@@ -174,22 +174,22 @@
 
 // callPermit asks a box for permits. It returns nil where that does not answer in time, which is then
 // passed over for a while.
-func (b *Box) callPermit(ctx context.Context, name string, q *ratelimit.PermitRequest, limit time.Duration) *ratelimit.Grant {
-	call, cancel := context.WithTimeout(ctx, limit)
+func (b *Box) callPermit(ctx context.Context, name string, q *ratelimit.PermitRequest, timeout time.Duration) *ratelimit.Grant {
+	call, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	began := time.Now()
-	r, err := b.links.CallOnce(call, b.members.Address(name), b.request(box.Request{Kind: box.KindPermit, Permit: q}))
+	r, err := b.links.CallOnce(call, b.members.Address(name), b.newRequest(box.Request{Kind: box.KindPermit, Permit: q}))
 	now := time.Now()
 	if err == nil && r.Grant != nil {
-		b.limits.heard(name)
+		b.limits.markResponsive(name)
 		return r.Grant
 	}
 	refused := call.Err() == nil && fail.Reason(err) == box.ReasonUnreachable
 	if refused && b.members.RecordFailure(name, began, now) {
 		event.PeerUnreachable.Log(b.log, "box", name, "error", err.Error())
 	}
-	if ctx.Err() == nil || now.Sub(began) >= forwardPeriod { // or its caller has gone
-		b.limits.passOver(name, now)
+	if ctx.Err() == nil || now.Sub(began) >= forwardTimeout { // or its caller has gone
+		b.limits.markUnresponsive(name, now)
 	}
 	return nil
 }
@@ -199,11 +199,11 @@
 	if digest == b.limits.limiter.Limits().Digest(time.Now()) {
 		return
 	}
-	r, err := b.links.CallOnce(ctx, m.Address, b.request(box.Request{Kind: box.KindLimits}))
+	r, err := b.links.CallOnce(ctx, m.Address, b.newRequest(box.Request{Kind: box.KindLimits}))
 	if err != nil {
 		return // the next heartbeat tries again
 	}
-	b.noteLimits(r.Limits, m.Name)
+	b.recordLimits(r.Limits, m.Name)
 }
 
 // hallOfUpstream returns the data hall of an upstream, "" where it is not listed.
@@ -214,8 +214,8 @@
 	return ""
 }
 
-// noteLimits records what another box knows of limits.
-func (b *Box) noteLimits(l []ratelimit.Limit, from string) {
+// recordLimits records what another box knows of limits.
+func (b *Box) recordLimits(l []ratelimit.Limit, from string) {
 	for _, x := range l {
 		b.relay.RecordLimit(x, from)
 	}
@@ -223,47 +223,47 @@
 
 // notifyAllocator sends an upstream's new limit to the box that allocates its permits.
 func (b *Box) notifyAllocator(l ratelimit.Limit) {
-	o, _ := b.allocatorOf(l.Upstream, time.Now())
+	o, _ := b.allocatorFor(l.Upstream, time.Now())
 	if o == b.settings.Box {
 		return
 	}
-	b.start(func() {
-		ctx, cancel := context.WithTimeout(b.running, heartbeatPeriod)
+	b.startWorker(func() {
+		ctx, cancel := context.WithTimeout(b.serveContext, heartbeatTimeout)
 		defer cancel()
-		_, _ = b.links.CallOnce(ctx, b.members.Address(o), b.request(box.Request{Kind: box.KindLimits, Limits: []ratelimit.Limit{l}})) // the next ask tells it, too
+		_, _ = b.links.CallOnce(ctx, b.members.Address(o), b.newRequest(box.Request{Kind: box.KindLimits, Limits: []ratelimit.Limit{l}})) // the next ask tells it, too
 	})
 }
 
-// heard records that a box answers.
-func (s *limits) heard(name string) {
+// markResponsive records that a box answers.
+func (s *limitState) markResponsive(name string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	delete(s.silent, name)
+	delete(s.unresponsive, name)
 }
 
-// passOver records that a box did not answer an ask: it is passed over for a while, and for longer
+// markUnresponsive records that a box did not answer an ask: it is passed over for a while, and for longer
 // where it does not answer then either.
-func (s *limits) passOver(name string, now time.Time) {
+func (s *limitState) markUnresponsive(name string, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for n, x := range s.silent {
-		if now.Sub(x.until) > silentMost {
-			delete(s.silent, n)
+	for n, x := range s.unresponsive {
+		if now.Sub(x.until) > maxUnresponsivePeriod {
+			delete(s.unresponsive, n)
 		}
 	}
-	x := s.silent[name]
+	x := s.unresponsive[name]
 	if now.Before(x.until) {
 		return // another ask has found that out
 	}
 	if x.since.IsZero() {
 		x.since = now
 	}
-	x.until = now.Add(min(silentMost, max(silentLeast, now.Sub(x.since))))
-	s.silent[name] = x
+	x.until = now.Add(min(maxUnresponsivePeriod, max(minUnresponsivePeriod, now.Sub(x.since))))
+	s.unresponsive[name] = x
 }
 
 // takePending returns what is to be announced now.
-func (s *limits) takePending() []ratelimit.Limit {
+func (s *limitState) takePending() []ratelimit.Limit {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var l []ratelimit.Limit
@@ -271,7 +271,7 @@
 		l = append(l, x)
 		delete(s.pending, n)
 	}
-	s.announces, s.announced = false, time.Now()
+	s.announcementDue, s.announcedAt = false, time.Now()
 	return l
 }
 
@@ -279,7 +279,7 @@
 // first: two of its hall, those of other halls, and the rest of its hall.
 func rankAllocators(upstream string, hall, all []string) []string {
 	l := policy.Rank(upstream, hall)
-	n := min(hallAllocators, len(l))
+	n := min(preferredHallAllocators, len(l))
 	near, rest := l[:n], l[n:]
 	far := slices.DeleteFunc(policy.Rank(upstream, all), func(x string) bool { return slices.Contains(hall, x) })
 	return slices.Concat(near, far, rest)
--- a/linetiller.go
+++ b/linetiller.go
@@ -44,12 +44,12 @@
 	clientListener   net.Listener
 	clientServer     *http.Server
 	deliverer        *delivery.Deliverer
-	crashes          crashes
+	crashBatch       crashBatch
 	engines          *upstream.Client
 	follower         *configuration.Follower
 	ignored          ignoredRows
 	keys             *requestkey.Keys
-	limits           *limits
+	limits           *limitState
 	links            *box.Endpoint
 	members          *member.Table
 	metrics          *metric.Set
@@ -60,12 +60,12 @@
 	owners           *ownership.Owners
 	relay            *relay.Relay
 	reserved         *placement.Reserved
-	rests            *health.Backoffs
-	routed           *platform.Engines // the upstreams of declared routes
-	keeper           *keeper
+	backoffs         *health.Backoffs
+	routedEngines    *platform.Engines // the upstreams of declared routes
+	recorder         *recorder
 	store            *table.Store
 	tracker          *placement.Tracker
-	turns            ownership.MoveTurns
+	moveTurns        ownership.MoveTurns
 	view             *resource.View
 
 	entry []endpoint // the listeners of the entry from the platform's balancer
@@ -76,16 +76,16 @@
 	platformTransport http.RoundTripper
 	routedTransport   http.RoundTripper
 
-	beat     atomic.Int64 // nanoseconds since started, of the last beat
-	closing  sync.Once
-	learned  chan struct{}   // holds one where something was fetched of crashes that is not passed on yet
-	left     chan struct{}   // closed when a stop was asked for
-	ready    atomic.Bool     // it has joined
-	running  context.Context // ends with Serve
-	serving  chan struct{}   // closed as Serve begins
-	started  time.Time
-	stopping atomic.Bool
-	workers  sync.WaitGroup
+	lastTick       atomic.Int64 // nanoseconds since started, of the last beat
+	closing        sync.Once
+	pushRequested  chan struct{}   // holds one where something was fetched of crashes that is not passed on yet
+	leaveRequested chan struct{}   // closed when a stop was asked for
+	joined         atomic.Bool     // it has joined
+	serveContext   context.Context // ends with Serve
+	serving        chan struct{}   // closed as Serve begins
+	started        time.Time
+	stopping       atomic.Bool
+	workers        sync.WaitGroup
 
 	lifecycle sync.Mutex // guards the fields below, and starts of workers
 	cancel    context.CancelFunc
@@ -101,14 +101,14 @@
 // Option sets one thing of a Box.
 type Option func(*Box)
 
-// engineCallPeriod bounds a call of a declared engine, but for streams.
-const engineCallPeriod = 2 * time.Second
+// engineCallTimeout bounds a call of a declared engine, but for streams.
+const engineCallTimeout = 2 * time.Second
 
 // New returns a box that listens at its addresses, but does not serve yet.
 func New(s *settings.Settings, options ...Option) (*Box, error) {
 	b := &Box{
-		serving: make(chan struct{}), learned: make(chan struct{}, 1), left: make(chan struct{}), log: slog.New(slog.DiscardHandler), metrics: metric.NewSet(),
-		keeper: newKeeper(), settings: s, started: time.Now(), view: resource.NewView(),
+		serving: make(chan struct{}), pushRequested: make(chan struct{}, 1), leaveRequested: make(chan struct{}), log: slog.New(slog.DiscardHandler), metrics: metric.NewSet(),
+		recorder: newRecorder(), settings: s, started: time.Now(), view: resource.NewView(),
 	}
 	b.connect = b.listen
 	for _, o := range options {
@@ -134,8 +134,8 @@
 // ClientAddress returns the address for clients.
 func (b *Box) ClientAddress() string { return b.clientListener.Addr().String() }
 
-// Held returns how many requests are in progress.
-func (b *Box) Held() int { return b.deliverer.InProgress() + b.relay.InProgress() }
+// InProgress returns how many requests are in progress.
+func (b *Box) InProgress() int { return b.deliverer.InProgress() + b.relay.InProgress() }
 
 // OperatorAddress returns the address for operators.
 func (b *Box) OperatorAddress() string { return b.operatorListener.Addr().String() }
@@ -145,27 +145,27 @@
 func (b *Box) Serve(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if !b.begin(ctx, cancel) {
+	if !b.beginServing(ctx, cancel) {
 		return b.Close()
 	}
-	b.await(func() { b.join(ctx) })
-	for _, f := range b.loops() {
-		b.start(func() { f(ctx) })
+	b.runWorker(func() { b.join(ctx) })
+	for _, f := range b.backgroundLoops() {
+		b.startWorker(func() { f(ctx) })
 	}
 	failed := make(chan error, len(b.listeners()))
 	for _, v := range b.listeners() {
 		if v.listener != nil {
-			b.start(func() { failed <- v.server.Serve(v.listener) })
+			b.startWorker(func() { failed <- v.server.Serve(v.listener) })
 		}
 	}
 	if b.clientListener != nil {
 		event.BoxStarted.Log(b.log, "hall", b.settings.Hall, "clients", b.ClientAddress(), "operators", b.OperatorAddress(), "boxes", b.BoxAddress())
 	}
-	b.ready.Store(true)
+	b.joined.Store(true)
 	select {
 	case <-ctx.Done():
-	case <-b.left:
-		b.finish(ctx)
+	case <-b.leaveRequested:
+		b.drain(ctx)
 	case err := <-failed:
 		if ctx.Err() == nil { // or Close has ended it
 			return errors.Join(err, b.Close())
@@ -176,41 +176,41 @@
 	return err
 }
 
-// await runs f as one of the box's workers and waits for its end, but not once the box is closed.
-func (b *Box) await(f func()) {
+// runWorker runs f as one of the box's workers and waits for its end, but not once the box is closed.
+func (b *Box) runWorker(f func()) {
 	done := make(chan struct{})
-	if b.start(func() { defer close(done); f() }) {
+	if b.startWorker(func() { defer close(done); f() }) {
 		<-done
 	}
 }
 
-// begin records that the box serves from now on, unless it is closed.
-func (b *Box) begin(ctx context.Context, cancel context.CancelFunc) bool {
+// beginServing records that the box serves from now on, unless it is closed.
+func (b *Box) beginServing(ctx context.Context, cancel context.CancelFunc) bool {
 	b.lifecycle.Lock()
 	defer b.lifecycle.Unlock()
 	if b.closed {
 		return false
 	}
-	b.cancel, b.running = cancel, ctx
+	b.cancel, b.serveContext = cancel, ctx
 	close(b.serving)
 	return true
 }
 
 // isReady reports whether the box has joined, and was not asked to stop.
-func (b *Box) isReady() bool { return b.ready.Load() && !b.stopping.Load() }
+func (b *Box) isReady() bool { return b.joined.Load() && !b.stopping.Load() }
 
 // listeners returns all servers of the box with their listeners.
 func (b *Box) listeners() []endpoint {
 	return append([]endpoint{{b.clientListener, b.clientServer}, {b.operatorListener, b.operatorServer}}, b.entry...)
 }
 
-// loops returns what runs as long as the box does.
-func (b *Box) loops() []func(context.Context) {
+// backgroundLoops returns what runs as long as the box does.
+func (b *Box) backgroundLoops() []func(context.Context) {
 	l := []func(context.Context){
-		b.follower.Run, b.follower.MonitorViewAge, b.owners.Run, b.tracker.Run, b.relay.Run, b.runHeartbeats, b.runMembers, b.runBeat, b.runPush, b.runRegister,
+		b.follower.Run, b.follower.MonitorViewAge, b.owners.Run, b.tracker.Run, b.relay.Run, b.runHeartbeats, b.runMembers, b.runTicks, b.runPush, b.runRegister,
 	}
 	if b.hasEntry() {
-		l = append(l, b.runKeeper)
+		l = append(l, b.runRecorder)
 	} else {
 		l = append(l, b.orders.Run, b.runRewrite) // the platform's operators and engines write theirs themselves
 	}
@@ -220,9 +220,9 @@
 	return l
 }
 
-// start runs f as one of the box's workers, and reports whether it does: Close waits for all of them, so
+// startWorker runs f as one of the box's workers, and reports whether it does: Close waits for all of them, so
 // that none starts once the box is closed.
-func (b *Box) start(f func()) bool {
+func (b *Box) startWorker(f func()) bool {
 	b.lifecycle.Lock()
 	defer b.lifecycle.Unlock()
 	if b.closed {
--- a/listen.go
+++ b/listen.go
@@ -43,17 +43,17 @@
 func (b *Box) listenBoxes() (*box.Endpoint, error) {
 	s := b.settings
 	if s.Links == settings.LinksPlain {
-		p, err := box.ListenHTTP(s.BoxAddress, b.answer)
+		p, err := box.ListenHTTP(s.BoxAddress, b.handleRequest)
 		if err != nil {
 			return nil, err
 		}
 		return p.Endpoint(), nil
 	}
-	server, dial, err := b.linkSecurity()
+	server, dial, err := b.linkTLS()
 	if err != nil {
 		return nil, fail.Wrap(fail.BadInput, fail.Origin{Peer: "boxes", Step: "load certificates"}, "bad_certificate", err)
 	}
-	t, err := box.ListenQUIC(s.BoxAddress, server, dial, b.answer)
+	t, err := box.ListenQUIC(s.BoxAddress, server, dial, b.handleRequest)
 	if err != nil {
 		return nil, err
 	}
@@ -85,9 +85,9 @@
 	return certificate.Wrap(l, b.settings.TLS.Clients, b.settings.TLS.Certificate, b.settings.TLS.Key)
 }
 
-// linkSecurity returns how the links between boxes are secured. Without
+// linkTLS returns how the links between boxes are secured. Without
 // certificates, only boxes on one machine can be linked.
-func (b *Box) linkSecurity() (server, dial *tls.Config, err error) {
+func (b *Box) linkTLS() (server, dial *tls.Config, err error) {
 	t := b.settings.TLS
 	if t.Certificate != "" {
 		return certificate.Load(t.Authority, t.Certificate, t.Key, box.Protocol)
@@ -104,7 +104,7 @@
 	_ = os.Setenv("QUIC_GO_DISABLE_RECEIVE_BUFFER_WARNING", "true")
 }
 
-// quiet returns where a server of the standard library logs.
-func quiet(l *slog.Logger) *log.Logger {
+// serverErrorLog returns where a server of the standard library logs.
+func serverErrorLog(l *slog.Logger) *log.Logger {
 	return slog.NewLogLogger(l.Handler(), slog.LevelDebug)
 }
--- a/quarantinedrow.go
+++ b/quarantinedrow.go
@@ -28,29 +28,29 @@
 
 const (
 	quarantinedKind = "quarantined"
-	// quarantinedMost bounds the suspects of the row, of some 20 B each, and its crashes, of some 230 B
+	// maxQuarantined bounds the suspects of the row, of some 20 B each, and its crashes, of some 230 B
 	// with the longest names: a row may have 64 KB.
-	quarantinedMost = 128
-	// quarantinedWriteEvery is the minimum time between two writes.
-	quarantinedWriteEvery = 5 * time.Second
+	maxQuarantined = 128
+	// quarantinedWriteInterval is the minimum time between two writes.
+	quarantinedWriteInterval = 5 * time.Second
 )
 
-// learnQuarantined records what the row of a hall holds.
-func (b *Box) learnQuarantined(r *table.Row, hall string) {
-	k := b.keeper
+// mergeQuarantinedRow records what the row of a hall holds.
+func (b *Box) mergeQuarantinedRow(r *table.Row, hall string) {
+	k := b.recorder
 	l := k.decodeCrashes(r.Value)
 	if hall == b.settings.Hall {
 		k.setQuarantinedWritten(r.Revision, policy.DigestOf(l))
 	}
 	if b.relay.RecordCrashes(l, "store") {
-		b.pushCrashes()
+		b.requestPush()
 	}
 }
 
 // writeQuarantined writes the row if the quarantine has changed.
 func (b *Box) writeQuarantined(ctx context.Context) {
-	k, now := b.keeper, time.Now()
-	l := b.relay.Quarantine().QuarantinedCrashes(quarantinedMost, now)
+	k, now := b.recorder, time.Now()
+	l := b.relay.Quarantine().QuarantinedCrashes(maxQuarantined, now)
 	digest := policy.DigestOf(l)
 	revision, due := k.quarantinedDue(digest, now)
 	if !due {
@@ -62,7 +62,7 @@
 }
 
 // crashEntries returns crashes as the row has them.
-func (k *keeper) crashEntries(crashes []policy.Crash) []crashEntry {
+func (k *recorder) crashEntries(crashes []policy.Crash) []crashEntry {
 	l := []crashEntry{}
 	for i := range crashes {
 		c := &crashes[i]
@@ -72,11 +72,11 @@
 }
 
 // decodeCrashes returns the crashes of a row.
-func (k *keeper) decodeCrashes(value json.RawMessage) []policy.Crash {
+func (k *recorder) decodeCrashes(value json.RawMessage) []policy.Crash {
 	var l []policy.Crash
 	for _, x := range decodeRow[crashEntry](value) {
-		at, _ := k.local(x.AtMS)
-		seenAt, _ := k.local(x.SeenAtMS)
+		at, _ := k.localTime(x.AtMS)
+		seenAt, _ := k.localTime(x.SeenAtMS)
 		l = append(l, policy.Crash{At: at, StartedAtMS: x.Born, LastReturnAt: seenAt, Suspects: x.Suspects, Upstream: x.Upstream})
 	}
 	return l
@@ -84,11 +84,11 @@
 
 // quarantinedDue reports whether the row is to be written, with what has a digest, and returns its
 // revision.
-func (k *keeper) quarantinedDue(digest uint64, now time.Time) (revision int64, due bool) {
+func (k *recorder) quarantinedDue(digest uint64, now time.Time) (revision int64, due bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	r := &k.quarantined
-	if digest == r.digest || now.Sub(r.triedAt) < quarantinedWriteEvery {
+	if digest == r.digest || now.Sub(r.triedAt) < quarantinedWriteInterval {
 		return 0, false
 	}
 	r.triedAt = now
@@ -96,14 +96,14 @@
 }
 
 // setQuarantinedWritten records what the row holds.
-func (k *keeper) setQuarantinedWritten(revision int64, digest uint64) {
+func (k *recorder) setQuarantinedWritten(revision int64, digest uint64) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.quarantined.digest, k.quarantined.revision = digest, revision
 }
 
-// forget records that it is not known what the row holds.
-func (r *quarantinedRow) forget() {
+// invalidate records that it is not known what the row holds.
+func (r *quarantinedRow) invalidate() {
 	r.digest, r.revision = 0, 0
 }
 
--- a/region_test.go
+++ b/region_test.go
@@ -374,7 +374,7 @@
 	replies := make(chan []byte, 16)
 	go func() {
 		defer close(replies)
-		peer.answer(served, v, func(x *box.Reply) error {
+		peer.handleRequest(served, v, func(x *box.Reply) error {
 			b, err := box.Encoding.Marshal(x)
 			if err != nil {
 				return err
--- a/register.go
+++ b/register.go
@@ -15,13 +15,13 @@
 	"github.com/linetiller/linetiller/internal/table"
 )
 
-// registerEvery is the mean time between looks at the box's own row: a look costs
+// registerInterval is the mean time between looks at the box's own row: a look costs
 // no call where all is as it should be.
-const registerEvery = 10 * time.Second
+const registerInterval = 10 * time.Second
 
-// registerAgainAfter is how soon a box looks at its row again which the store has lost: what
+// registerRetryDelay is how soon a box looks at its row again which the store has lost: what
 // it wrote comes back to it within some 100 ms.
-const registerAgainAfter = 500 * time.Millisecond
+const registerRetryDelay = 500 * time.Millisecond
 
 // register writes where this box is, unless the store has it so.
 func (b *Box) register(ctx context.Context) error {
@@ -53,9 +53,9 @@
 	return err // the readers hear of the row, and tell this box
 }
 
-// removeGone removes the rows of boxes that have not been reached for long. A box
+// removeUnreachable removes the rows of boxes that have not been reached for long. A box
 // that lives writes its row again.
-func (b *Box) removeGone(ctx context.Context) {
+func (b *Box) removeUnreachable(ctx context.Context) {
 	s := b.members.Self()
 	if policy.First("registrar", b.members.Alive(s.Hall)) != s.Name {
 		return
@@ -69,7 +69,7 @@
 		if err != nil || row == nil {
 			continue
 		}
-		if r, err := b.store.Commit(ctx, removal(n, row.Revision)); err == nil && r.Committed { // or it is tried again at the next turn
+		if r, err := b.store.Commit(ctx, deleteTransaction(n, row.Revision)); err == nil && r.Committed { // or it is tried again at the next turn
 			event.PeerRemoved.Log(b.log, "box", n)
 		}
 	}
@@ -89,25 +89,25 @@
 				event.PlatformUnreachable.Log(b.log, "source", "boxes", "step", fail.Step(err), "error", err.Error())
 			}
 		}
-		b.removeGone(ctx)
-		b.awaitRegister(ctx)
+		b.removeUnreachable(ctx)
+		b.awaitRegisterDue(ctx)
 	}
 }
 
-// awaitRegister waits until the box's own row is to be looked at again.
-func (b *Box) awaitRegister(ctx context.Context) {
-	soon := time.After(registerAgainAfter)
-	late := time.After(registerEvery/2 + time.Duration(rand.Int64N(int64(registerEvery))))
+// awaitRegisterDue waits until the box's own row is to be looked at again.
+func (b *Box) awaitRegisterDue(ctx context.Context) {
+	retry := time.After(registerRetryDelay)
+	regular := time.After(registerInterval/2 + time.Duration(rand.Int64N(int64(registerInterval))))
 	select {
 	case <-ctx.Done():
 		return
-	case <-soon:
+	case <-retry:
 	}
 	for c := b.view.Changed(); !b.rowLost(); c = b.view.Changed() {
 		select {
 		case <-ctx.Done():
 			return
-		case <-late:
+		case <-regular:
 			return
 		case <-c:
 		}
@@ -120,11 +120,11 @@
 	if r == nil {
 		return
 	}
-	_, _ = b.store.Commit(ctx, removal(b.settings.Box, r.Revision())) // others remove it in the end
+	_, _ = b.store.Commit(ctx, deleteTransaction(b.settings.Box, r.Revision())) // others remove it in the end
 }
 
-// removal returns a transaction that removes a box's row as of a revision.
-func removal(name string, revision int64) *table.Transaction {
+// deleteTransaction returns a transaction that removes a box's row as of a revision.
+func deleteTransaction(name string, revision int64) *table.Transaction {
 	k := configuration.BoxKey(name)
 	return &table.Transaction{Conditions: []table.Condition{{Key: k, Revision: revision}}, Writes: []table.Write{{Delete: true, Key: k}}}
 }
--- a/rewrite.go
+++ b/rewrite.go
@@ -14,9 +14,9 @@
 	"github.com/linetiller/linetiller/internal/table"
 )
 
-// rewriteAfter is how long a reader waits before it writes again what operators declared and
+// rewriteDelay is how long a reader waits before it writes again what operators declared and
 // the store has lost: meanwhile it hears of what other boxes know and it does not.
-const rewriteAfter = time.Second
+const rewriteDelay = time.Second
 
 // rewrite writes a declared resource again as it is in force, unless its row has changed
 // since it was read.
@@ -75,7 +75,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(rewriteAfter):
+		case <-time.After(rewriteDelay):
 		}
 		b.rewriteAll(ctx)
 	}
--- a/routed_test.go
+++ b/routed_test.go
@@ -206,7 +206,7 @@
 		taken := 0
 		for n, b := range r.boxes {
 			ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
-			release, err := b.takeTurn(ctx, u, false, &policy.Run{ID: n})
+			release, err := b.acquireMoveTurn(ctx, u, false, &policy.Run{ID: n})
 			cancel()
 			if err == nil {
 				taken++
@@ -260,7 +260,7 @@
 			status <- s
 		}()
 		time.Sleep(100 * time.Millisecond)
-		b.finish(t.Context())
+		b.drain(t.Context())
 		synctest.Wait()
 		select {
 		case got := <-status:
--- a/runsrow.go
+++ b/runsrow.go
@@ -29,18 +29,18 @@
 
 const (
 	runsKind = "served"
-	// runsMost bounds the requests of a row, of some 30 B each: a row may have 64 KB.
-	runsMost = 1024
-	// runsWriteEvery is the minimum time between two writes, runsFrequentEvery that for a request which has
-	// run runsFrequent times and is not in the row.
-	runsWriteEvery    = 30 * time.Second
-	runsFrequentEvery = 5 * time.Second
-	runsFrequent      = 3
+	// maxRuns bounds the requests of a row, of some 30 B each: a row may have 64 KB.
+	maxRuns = 1024
+	// runsWriteInterval is the minimum time between two writes, frequentRunWriteInterval that for a request which has
+	// run frequentRunThreshold times and is not in the row.
+	runsWriteInterval        = 30 * time.Second
+	frequentRunWriteInterval = 5 * time.Second
+	frequentRunThreshold     = 3
 )
 
-// learnRuns records what the row of a hall holds.
-func (b *Box) learnRuns(r *table.Row, hall string) {
-	k := b.keeper
+// mergeRunsRow records what the row of a hall holds.
+func (b *Box) mergeRunsRow(r *table.Row, hall string) {
+	k := b.recorder
 	l := k.decodeRuns(r.Value)
 	b.relay.Frequent().Merge(l, time.Now())
 	if hall == b.settings.Hall {
@@ -50,14 +50,14 @@
 
 // writeRuns writes the row, where that is due.
 func (b *Box) writeRuns(ctx context.Context) {
-	k := b.keeper
+	k := b.recorder
 	l, revision := k.runsDue(b.relay.Frequent(), b.stopping.Load(), time.Now())
 	if len(l) == 0 {
 		return
 	}
 	revision, ok := b.commitRow(ctx, runsKey(b.settings.Hall), revision, encodeRow(k.runEntries(l)))
 	if !ok {
-		k.setChanged()
+		k.markRunsChanged()
 		return
 	}
 	k.setRunsWritten(revision, l)
@@ -65,10 +65,10 @@
 
 // decodeRuns returns the runs of a row. It leaves out those of a time to come: the store's clock was reset
 // since they were written, so that their age is unknown.
-func (k *keeper) decodeRuns(value json.RawMessage) []policy.CompletedRun {
+func (k *recorder) decodeRuns(value json.RawMessage) []policy.CompletedRun {
 	var l []policy.CompletedRun
 	for _, x := range decodeRow[runEntry](value) {
-		if at, past := k.local(x.AtMS); past {
+		if at, past := k.localTime(x.AtMS); past {
 			l = append(l, policy.CompletedRun{At: at, Fingerprint: x.Fingerprint, Times: x.Times})
 		}
 	}
@@ -76,7 +76,7 @@
 }
 
 // runEntries returns runs as the row has them.
-func (k *keeper) runEntries(runs []policy.CompletedRun) []runEntry {
+func (k *recorder) runEntries(runs []policy.CompletedRun) []runEntry {
 	var l []runEntry
 	for _, x := range runs {
 		l = append(l, runEntry{AtMS: k.storeMS(x.At), Fingerprint: x.Fingerprint, Times: x.Times})
@@ -85,17 +85,17 @@
 }
 
 // runsDue returns the runs to write now, if any, and the row's revision.
-func (k *keeper) runsDue(f *policy.FrequentRuns, leaving bool, now time.Time) ([]policy.CompletedRun, int64) {
+func (k *recorder) runsDue(f *policy.FrequentRuns, leaving bool, now time.Time) ([]policy.CompletedRun, int64) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	r := &k.runs
-	if (!r.changed && r.written != nil) || (now.Sub(r.checkedAt) < runsFrequentEvery && !leaving) {
+	if (!r.changed && r.written != nil) || (now.Sub(r.checkedAt) < frequentRunWriteInterval && !leaving) {
 		return nil, 0
 	}
 	r.checkedAt = now
-	l := f.Top(runsMost, now)
-	unwritten := func(x policy.CompletedRun) bool { return x.Times >= runsFrequent && !r.written[x.Fingerprint] }
-	due := leaving || now.Sub(r.triedAt) >= runsWriteEvery || slices.ContainsFunc(l, unwritten)
+	l := f.Top(maxRuns, now)
+	unwritten := func(x policy.CompletedRun) bool { return x.Times >= frequentRunThreshold && !r.written[x.Fingerprint] }
+	due := leaving || now.Sub(r.triedAt) >= runsWriteInterval || slices.ContainsFunc(l, unwritten)
 	if !due || len(l) == 0 {
 		return nil, 0
 	}
@@ -103,15 +103,15 @@
 	return l, r.revision
 }
 
-// setChanged records that runs are known that are not written yet.
-func (k *keeper) setChanged() {
+// markRunsChanged records that runs are known that are not written yet.
+func (k *recorder) markRunsChanged() {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.runs.changed = true
 }
 
 // setRunsWritten records what the row holds.
-func (k *keeper) setRunsWritten(revision int64, l []policy.CompletedRun) {
+func (k *recorder) setRunsWritten(revision int64, l []policy.CompletedRun) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	r := &k.runs
@@ -122,8 +122,8 @@
 	}
 }
 
-// forget records that it is not known what the row holds.
-func (r *runsRow) forget() {
+// invalidate records that it is not known what the row holds.
+func (r *runsRow) invalidate() {
 	r.revision, r.written = 0, nil
 }
 
--- a/serving_test.go
+++ b/serving_test.go
@@ -30,7 +30,7 @@
 				b.links = r.links("box-a1")
 				go func() {
 					q := &box.Request{From: box.Member{Address: "box-a2", Hall: "a", Name: "box-a2"}, Kind: box.KindHeartbeat, SentAt: time.Now()}
-					b.answer(ctx, q, func(*box.Reply) error {
+					b.handleRequest(ctx, q, func(*box.Reply) error {
 						answered.Store(true)
 						return nil
 					})
--- a/stopping.go
+++ b/stopping.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// abortPeriod bounds the wait for requests that are ended: within what graceMargin leaves.
-	abortPeriod = 200 * time.Millisecond
-	// lastCallsPeriod is what is left for calls in progress once no more are taken: they
+	// abortTimeout bounds the wait for requests that are ended: within what graceMargin leaves.
+	abortTimeout = 200 * time.Millisecond
+	// lastCallsTimeout is what is left for calls in progress once no more are taken: they
 	// take some 60 ms, and 0.3 s is wanted.
-	lastCallsPeriod = time.Second
-	// streamsEvery is the time between looks whether streams are still in progress.
-	streamsEvery = 50 * time.Millisecond
+	lastCallsTimeout = time.Second
+	// streamPollInterval is the time between looks whether streams are still in progress.
+	streamPollInterval = 50 * time.Millisecond
 	// graceMargin is what is left of the grace for the last answers and the box's own
 	// row: a small box closes its connections within some 100 ms.
-	graceMargin = 500 * time.Millisecond
-	shutPeriod  = 5 * time.Second // for the last answers to reach their clients
+	graceMargin     = 500 * time.Millisecond
+	shutdownTimeout = 5 * time.Second // for the last answers to reach their clients
 )
 
 // Close stops the box at once, without waiting for requests in progress, and
@@ -37,7 +37,7 @@
 		}
 		err = errors.Join(err, b.relay.Abort(), b.deliverer.Abort()) // workers may wait for what is in progress
 		b.workers.Wait()
-		err = errors.Join(err, b.keys.Close(), b.links.Close(), b.engines.Close(), b.routed.Close(), b.store.Close())
+		err = errors.Join(err, b.keys.Close(), b.links.Close(), b.engines.Close(), b.routedEngines.Close(), b.store.Close())
 	})
 	return err
 }
@@ -49,22 +49,22 @@
 	if b.stopping.Swap(true) {
 		return
 	}
-	event.BoxLeaving.Log(b.log, "held", b.Held())
+	event.BoxLeaving.Log(b.log, "held", b.InProgress())
 	b.members.SetLeaving()
-	close(b.left)
+	close(b.leaveRequested)
 }
 
 // abortRequests ends what is still in progress before connections are closed: streams break
 // off, and what waits is told that it has not run.
 func (b *Box) abortRequests() {
 	done := make(chan struct{})
-	b.start(func() {
+	b.startWorker(func() {
 		_ = b.relay.Abort()
 		close(done)
 	})
 	select {
 	case <-done:
-	case <-time.After(abortPeriod):
+	case <-time.After(abortTimeout):
 	}
 }
 
@@ -74,7 +74,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(streamsEvery):
+		case <-time.After(streamPollInterval):
 		}
 	}
 }
@@ -99,35 +99,35 @@
 	}
 }
 
-// finish goes on serving until the balancer must have seen that the box is not ready, but
+// drain goes on serving until the balancer must have seen that the box is not ready, but
 // for streams that would outlast it. Then it refuses all new streams, takes other requests
 // while streams are in progress, and waits for what remains, up to the time for leaving.
-func (b *Box) finish(ctx context.Context) {
+func (b *Box) drain(ctx context.Context) {
 	now := time.Now()
-	leaveBy := b.leaveBy(now)
-	b.relay.EndStreamsBy(leaveBy, now.Add(b.drainPeriod()))
+	deadline := b.leaveDeadline(now)
+	b.relay.EndStreamsBy(deadline, now.Add(b.drainPeriod()))
 	select {
 	case <-ctx.Done():
 		return
 	case <-time.After(b.drainPeriod()):
 	}
-	ctx, cancel := context.WithDeadline(ctx, leaveBy)
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	b.relay.EndStreamsBy(time.Now(), time.Now())
-	b.awaitStreams(ctx, leaveBy.Add(-lastCallsPeriod))
-	if !b.finishRequests(ctx) {
-		event.BoxStopIncomplete.Log(b.log, "held", b.Held())
+	b.awaitStreams(ctx, deadline.Add(-lastCallsTimeout))
+	if !b.drainRequests(ctx) {
+		event.BoxStopIncomplete.Log(b.log, "held", b.InProgress())
 		b.abortRequests()
 		return
 	}
-	b.shut(ctx)
+	b.shutDown(ctx)
 }
 
-// finishRequests refuses new requests and waits for those in progress, and reports
+// drainRequests refuses new requests and waits for those in progress, and reports
 // whether they ended before the context did.
-func (b *Box) finishRequests(ctx context.Context) bool {
+func (b *Box) drainRequests(ctx context.Context) bool {
 	done := make(chan struct{})
-	b.start(func() {
+	b.startWorker(func() {
 		_ = b.relay.Close()
 		_ = b.deliverer.Close()
 		close(done)
@@ -140,8 +140,8 @@
 	}
 }
 
-// hasOthers reports whether another box of the hall takes requests.
-func (b *Box) hasOthers() bool {
+// hasOtherBoxes reports whether another box of the hall takes requests.
+func (b *Box) hasOtherBoxes() bool {
 	for _, n := range b.members.Alive(b.settings.Hall) {
 		if n != b.settings.Box {
 			return true
@@ -150,19 +150,19 @@
 	return false
 }
 
-// leaveBy returns when streams are ended of a box that was asked to stop at a time:
+// leaveDeadline returns when streams are ended of a box that was asked to stop at a time:
 // shortly before it is killed, where somebody does that.
-func (b *Box) leaveBy(asked time.Time) time.Time {
+func (b *Box) leaveDeadline(requestedAt time.Time) time.Time {
 	t := b.settings.Timeouts
 	if t.Grace.Duration > 0 {
-		return asked.Add(t.Grace.Duration - graceMargin)
+		return requestedAt.Add(t.Grace.Duration - graceMargin)
 	}
-	return asked.Add(t.Drain.Duration + t.Leave.Duration)
+	return requestedAt.Add(t.Drain.Duration + t.Leave.Duration)
 }
 
-// shut lets the last answers reach their clients and removes the box's own row.
-func (b *Box) shut(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, shutPeriod)
+// shutDown lets the last answers reach their clients and removes the box's own row.
+func (b *Box) shutDown(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
 	_ = b.clientServer.Shutdown(ctx)
 	for _, v := range b.entry {
--- a/streams_test.go
+++ b/streams_test.go
@@ -162,7 +162,7 @@
 		done <- err
 	}()
 	<-begun
-	if got, want := h.boxes[0].Held(), 1; got != want {
+	if got, want := h.boxes[0].InProgress(), 1; got != want {
 		t.Errorf("requests held: got %d, want %d", got, want)
 	}
 	_ = h.boxes[0].Close()
--- a/virtual_test.go
+++ b/virtual_test.go
@@ -172,9 +172,9 @@
 		r.setFrozen("box-a1", true)
 		r.apply("box-a2", resource.KindUpstream, "engine-a", `{"address":"http://127.0.1.1:1","hall":"a","kvTokens":60000,"maxBatch":100,"models":["m"],"type":"engine","leaving":true}`)
 		time.Sleep(3 * time.Second)
-		b.beat.Store(b.beat.Load() - int64(10*time.Second)) // as a clock that jumped
+		b.lastTick.Store(b.lastTick.Load() - int64(10*time.Second)) // as a clock that jumped
 		r.setFrozen("box-a1", false)
-		b.fresh(t.Context())
+		b.refreshAfterPause(t.Context())
 		if u := b.view.Upstream("engine-a"); u == nil || !u.Spec.Leaving {
 			t.Error("the box does not know that the upstream is leaving")
 		}
