--- a/assemble.go
+++ b/assemble.go
@@ -31,13 +31,13 @@
 	"github.com/linetiller/linetiller/platform"
 )
 
-// Bounds of the connections from clients, operators and the balancer.
+// Timeouts of connections from clients, operators and the load balancer.
 const (
-	headerTimeout     = 10 * time.Second // for a request's header to arrive whole
-	clientIdleTimeout = time.Minute      // that a connection without a request is kept, where operators say nothing
+	headerTimeout     = 10 * time.Second // to read a request's headers
+	clientIdleTimeout = time.Minute      // for an idle keep-alive connection, unless operators configure another timeout
 )
 
-// assemble makes the parts and joins them by their seams.
+// assemble creates the components of the box and connects them through their function fields.
 func (b *Box) assemble() {
 	s := b.settings
 	seed := xxhash.Sum64String(s.Box)
@@ -88,7 +88,8 @@
 	b.metrics.Gauge(metric.Revision, func() float64 { return float64(b.view.Revision()) })
 }
 
-// assembleEntry makes the servers of the entry, in the order of their listeners.
+// assembleEntry creates the servers for the load balancer, in the order in which listenEntry opens
+// their listeners.
 func (b *Box) assembleEntry() {
 	if !b.hasEntry() {
 		return
@@ -173,7 +174,7 @@
 	b.assembleEntry()
 }
 
-// httpServer returns a server that answers by h, within the bounds of the settings.
+// httpServer returns a server for h with the limits of the settings.
 func (b *Box) httpServer(h http.Handler) *http.Server {
 	return &http.Server{
 		ErrorLog: serverErrorLog(b.log), Handler: h, IdleTimeout: clientIdleTimeout,
@@ -181,12 +182,12 @@
 	}
 }
 
-// idleTimeout returns how long a connection from callers of routes may rest.
+// idleTimeout returns how long an idle connection from callers of routes is kept open.
 func (b *Box) idleTimeout() time.Duration {
 	return b.view.Limits().IdleTimeout.Duration()
 }
 
-// readLoad reads the load report of an engine, of a declared route or not.
+// readLoad reads the load report of an engine, whether it belongs to a declared route or not.
 func (b *Box) readLoad(ctx context.Context, address string) (*upstream.Load, error) {
 	if !b.hasEntry() {
 		return b.engines.Load(ctx, address)
--- a/broadcast.go
+++ b/broadcast.go
@@ -7,8 +7,9 @@
 	"github.com/linetiller/linetiller/internal/box"
 )
 
-// broadcast sends a request to all other boxes of a hall, "" for all halls, without waiting
-// for their answers. It goes on when what led to it has ended.
+// broadcast sends a request to all other boxes of a hall, or of all halls if hall is empty. It does
+// not wait for the replies. The calls end with Serve or after heartbeatTimeout, not with the
+// operation that caused them.
 func (b *Box) broadcast(hall string, q box.Request) {
 	for _, m := range b.members.Members()[1:] {
 		if hall != "" && m.Hall != hall {
@@ -17,13 +18,14 @@
 		b.startWorker(func() {
 			ctx, cancel := context.WithDeadline(b.serveContext, time.Now().Add(heartbeatTimeout))
 			defer cancel()
-			_, _ = b.links.CallOnce(ctx, m.Address, b.newRequest(q)) // repeated later, or by others
+			_, _ = b.links.CallOnce(ctx, m.Address, b.newRequest(q)) // not retried: the sender or another box repeats the message
 		})
 	}
 }
 
-// announceListUnreadable announces to the boxes of the hall that the platform's list of upstreams cannot be
-// read, or can be again: those that do not read it themselves own upstreams, too.
+// announceListUnreadable tells the boxes of the hall whether the platform's list of upstreams is
+// unreadable for this box. Boxes that do not read the list themselves need to know, because they
+// own upstreams, too.
 func (b *Box) announceListUnreadable(unreadable bool) {
 	b.broadcast(b.settings.Hall, box.Request{ListUnreadable: unreadable, Kind: box.KindListUnreadable})
 }
--- a/cold.go
+++ b/cold.go
@@ -7,8 +7,9 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// coldCapacity returns how many requests a second a plain upstream, which has no owner, bears from all
-// boxes while it is cold; 0 is no bound.
+// coldCapacity returns how many requests per second a plain upstream without an owner may get from
+// all boxes together while it is cold, including the configured overage and slack; 0 means no
+// limit.
 func (b *Box) coldCapacity(u *resource.Upstream) float64 {
 	n := u.ColdPerSecond()
 	if n <= 0 {
@@ -18,7 +19,8 @@
 	return n*c.Overage + c.Slack
 }
 
-// coldShare returns how many of them this box may send.
+// coldShare returns how many requests per second this box may send to a cold upstream: its share of
+// coldCapacity.
 func (b *Box) coldShare(u *resource.Upstream) int {
 	n := b.coldCapacity(u)
 	if n <= 0 {
--- a/crashes.go
+++ b/crashes.go
@@ -10,27 +10,28 @@
 	"github.com/linetiller/linetiller/internal/policy"
 )
 
-// crashBatch gathers what this box has learned of crashes, to be announced in one message: an upstream
-// runs up to 64 requests at once.
+// crashBatch collects the crashes that this box has learned of, so that they are announced in one
+// message: an upstream runs up to 64 requests concurrently, and all of them fail when it crashes.
 type crashBatch struct {
 	mutex   sync.Mutex
-	pending []policy.Crash // not announced yet
+	pending []policy.Crash // to be announced
 }
 
-// crashBatchDelay is how long crashes are gathered: the requests of one upstream break off within a
-// millisecond of each other, and a caller may be back within some ten.
+// crashBatchDelay is how long crashes are collected before they are announced. The requests of one
+// upstream fail within a millisecond of each other, and a caller may retry after about 10 ms.
 const crashBatchDelay = 5 * time.Millisecond
 
 const (
-	// unknownDigest is taken for the digest of a box that has not announced one, so that it is asked.
+	// unknownDigest is passed as the digest of a box that has not announced one, so that the box is
+	// asked: 0 would mean that it knows nothing.
 	unknownDigest = 1
-	// initialFetchTimeout bounds the wait of a box that starts for its neighbours' crashes and limits: those that
-	// are gone do not answer.
+	// initialFetchTimeout limits how long a starting box waits for its neighbours' crashes and
+	// limits. Neighbours that are down do not reply.
 	initialFetchTimeout = 300 * time.Millisecond
 )
 
-// announceCrashes announces to all other boxes what this one has learned of crashes: the callers of
-// requests may come back to any of them.
+// announceCrashes announces crashes that this box has learned of to all other boxes, because
+// callers may retry their requests at any of them.
 func (b *Box) announceCrashes(l []policy.Crash) {
 	if slices.ContainsFunc(l, func(c policy.Crash) bool { return c.HasSuspect() }) {
 		b.requestKeptRead()
@@ -53,22 +54,8 @@
 	})
 }
 
-// handleCrashes answers a box that announces crashes, or that a request was cleared of crashes, or
-// asks for what it does not know of them.
-func (b *Box) handleCrashes(q *box.Request) *box.Reply {
-	switch q.Kind { //nolint:exhaustive // The others are answered elsewhere.
-	case box.KindCleared:
-		b.relay.RecordCleared(q.Fingerprints, q.From.Name)
-	case box.KindReportCrashes:
-		b.relay.RecordCrashes(q.Crashes, q.From.Name)
-	case box.KindListCrashes:
-		return &box.Reply{Crashes: b.relay.Quarantine().Missing(q.KnownCrashes, time.Now())}
-	}
-	return &box.Reply{}
-}
-
-// fetchCrashes asks a box for what it knows of crashes and this one does not, where its digest
-// differs, and passes that on.
+// fetchCrashes asks a box for the crashes that this one does not know, if the digests differ, and
+// has new ones passed on to the neighbours.
 func (b *Box) fetchCrashes(ctx context.Context, m box.Member, digest uint64) {
 	q := b.relay.Quarantine()
 	if digest == 0 || digest == q.Digest(time.Now()) {
@@ -76,16 +63,16 @@
 	}
 	r, err := b.links.CallOnce(ctx, m.Address, b.newRequest(box.Request{Kind: box.KindListCrashes, KnownCrashes: q.CrashHashes(time.Now())}))
 	if err != nil {
-		return // the next heartbeat tries again
+		return // retried at the next heartbeat
 	}
 	if b.relay.RecordCrashes(r.Crashes, m.Name) {
 		b.requestPush()
 	}
 }
 
-// fetchFromNeighbours asks the neighbours for what they know of crashes and of limits, before the
-// first request: a box that starts would send on what they have quarantined, and more than upstreams
-// accept.
+// fetchFromNeighbours asks the neighbours for the crashes and rate limits that they know, before
+// the first request. Otherwise a starting box would forward quarantined requests and exceed the
+// limits of upstreams.
 func (b *Box) fetchFromNeighbours(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, initialFetchTimeout)
 	defer cancel()
@@ -99,10 +86,25 @@
 	g.Wait()
 }
 
-// requestPush sends heartbeats at once, so that the neighbours fetch what this box has learned of crashes.
+// handleCrashes handles a request that announces crashes, announces requests cleared of crashes, or
+// asks for the crashes that the sender does not know.
+func (b *Box) handleCrashes(q *box.Request) *box.Reply {
+	switch q.Kind { //nolint:exhaustive // handleRequest handles the other kinds.
+	case box.KindCleared:
+		b.relay.RecordCleared(q.Fingerprints, q.From.Name)
+	case box.KindReportCrashes:
+		b.relay.RecordCrashes(q.Crashes, q.From.Name)
+	case box.KindListCrashes:
+		return &box.Reply{Crashes: b.relay.Quarantine().Missing(q.KnownCrashes, time.Now())}
+	}
+	return &box.Reply{}
+}
+
+// requestPush triggers heartbeats at once, so that the neighbours fetch the crashes that this box
+// has learned of.
 func (b *Box) requestPush() {
 	select {
 	case b.pushRequested <- struct{}{}:
-	default: // a push is due already
+	default: // a push is already pending
 	}
 }
--- a/answer.go
+++ b/handle.go
@@ -7,8 +7,31 @@
 	"github.com/linetiller/linetiller/internal/box"
 )
 
-// handleRequest answers one request of another box, once this one serves: it listens before its parts are
-// there.
+// awaitServing waits until the box serves. It reports false if ctx ends first.
+func (b *Box) awaitServing(ctx context.Context) bool {
+	select {
+	case <-b.serving:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+// handleMoveSlot waits for the run's turn to be moved, reports it to the caller, and holds the turn
+// until the caller ends the call.
+func (b *Box) handleMoveSlot(ctx context.Context, t *box.MoveSlotRequest, send func(*box.Reply) error) {
+	release, err := b.moveTurns.Acquire(ctx, t.Upstream, t.Inbound, &t.Run)
+	if err != nil {
+		return
+	}
+	defer release()
+	if send(&box.Reply{MoveSlot: &box.MoveSlotReply{Granted: true}}) == nil {
+		<-ctx.Done()
+	}
+}
+
+// handleRequest handles a request from another box. Requests that arrive before this box serves
+// wait until it does, because the box listens before its components are built.
 func (b *Box) handleRequest(ctx context.Context, q *box.Request, send func(*box.Reply) error) {
 	if !b.awaitServing(ctx) {
 		return
@@ -51,30 +74,7 @@
 	}
 }
 
-// handleMoveSlot tells a caller that its run's turn has come, and holds the turn until
-// the caller hangs up.
-func (b *Box) handleMoveSlot(ctx context.Context, t *box.MoveSlotRequest, send func(*box.Reply) error) {
-	release, err := b.moveTurns.Acquire(ctx, t.Upstream, t.Inbound, &t.Run)
-	if err != nil {
-		return
-	}
-	defer release()
-	if send(&box.Reply{MoveSlot: &box.MoveSlotReply{Granted: true}}) == nil {
-		<-ctx.Done()
-	}
-}
-
-// awaitServing waits until the box serves, and reports whether it does before the context ends.
-func (b *Box) awaitServing(ctx context.Context) bool {
-	select {
-	case <-b.serving:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
-
-// newRequest fills in what every request carries.
+// newRequest returns a copy of q with the fields that every request carries.
 func (b *Box) newRequest(q box.Request) *box.Request {
 	q.From = b.members.Self()
 	q.Revisions = b.view.Revisions()
@@ -82,10 +82,10 @@
 	return &q
 }
 
-// recordAnnouncement records what another box announces of the platform's list, of an upstream or of what
-// it served.
+// recordAnnouncement records what another box announces: whether it can read the platform's list of
+// upstreams, that an upstream is leaving, or the requests that it completed.
 func (b *Box) recordAnnouncement(q *box.Request) {
-	switch q.Kind { //nolint:exhaustive // The others are answered elsewhere.
+	switch q.Kind { //nolint:exhaustive // handleRequest handles the other kinds.
 	case box.KindListUnreadable:
 		b.follower.RecordPeerListUnavailable(q.From.Name, q.ListUnreadable)
 	case box.KindLeaving:
--- a/heartbeat.go
+++ b/heartbeat.go
@@ -11,14 +11,31 @@
 )
 
 const (
-	tickInterval     = 200 * time.Millisecond // between beats, by which a pause of the box is noticed
-	pauseThreshold   = time.Second            // after which a box takes itself to have been paused
-	heartbeatTimeout = time.Second            // for one heartbeat to be answered
-	refreshTimeout   = 500 * time.Millisecond // for the views to be renewed after a pause
+	tickInterval     = 200 * time.Millisecond // between ticks, by which the box detects that its process was paused
+	pauseThreshold   = time.Second            // time since the last tick from which the process counts as paused
+	heartbeatTimeout = time.Second            // for the reply to a heartbeat or another short call
+	refreshTimeout   = 500 * time.Millisecond // for renewing the views after a pause
 )
 
-// refreshAfterPause makes sure, before something is sent, that the box was not paused a
-// moment ago; if it was, its views are of before the pause and are renewed.
+// recordContact records a request from another box as a sign of life. It fetches the changes and
+// crashes, and after a heartbeat also the limits, that the other box has and this one does not.
+func (b *Box) recordContact(ctx context.Context, q *box.Request) {
+	if b.members.RecordContact(q.From, time.Now()) {
+		event.PeerReachable.Log(b.log, "box", q.From.Name)
+	}
+	b.limits.markResponsive(q.From.Name)
+	b.recordLoads(q.Loads)
+	if b.follower.CatchUp(ctx, q.From.Address, q.Revisions) == nil { // on failure, the next message retries
+		b.follower.RecordPeerViewAge(q.ViewAge)
+	}
+	b.fetchCrashes(ctx, q.From, q.CrashesDigest)
+	if q.Kind == box.KindHeartbeat {
+		b.fetchLimits(ctx, q.From, q.LimitsDigest)
+	}
+}
+
+// refreshAfterPause renews the views if the process was paused recently, because they then date
+// from before the pause. It is called at every tick and before requests are sent to upstreams.
 func (b *Box) refreshAfterPause(ctx context.Context) {
 	late := time.Since(b.started) - time.Duration(b.lastTick.Load())
 	if late < pauseThreshold {
@@ -34,23 +51,45 @@
 	b.lastTick.Store(int64(time.Since(b.started)))
 }
 
-// recordContact marks a peer as alive and fetches what it is ahead by.
-func (b *Box) recordContact(ctx context.Context, q *box.Request) {
-	if b.members.RecordContact(q.From, time.Now()) {
-		event.PeerReachable.Log(b.log, "box", q.From.Name)
-	}
-	b.limits.markResponsive(q.From.Name)
-	b.recordLoads(q.Loads)
-	if b.follower.CatchUp(ctx, q.From.Address, q.Revisions) == nil { // or the next message tries again
-		b.follower.RecordPeerViewAge(q.ViewAge)
-	}
-	b.fetchCrashes(ctx, q.From, q.CrashesDigest)
-	if q.Kind == box.KindHeartbeat {
-		b.fetchLimits(ctx, q.From, q.LimitsDigest)
+// runHeartbeats sends heartbeats at the configured interval and expires unreachable boxes.
+func (b *Box) runHeartbeats(ctx context.Context) {
+	periodic.Run(ctx, b.settings.Timeouts.Heartbeat.Duration, func(ctx context.Context) {
+		b.sendHeartbeats(ctx)
+		b.members.Expire(time.Now())
+	})
+}
+
+// runPush sends heartbeats to the neighbours as soon as there is a new configuration, a newly
+// learned crash, or this box begins to leave, instead of waiting for the next interval. The
+// neighbours then fetch what is new. It starts with what the box learned while starting: neighbours
+// may have started at the same time and know nothing.
+func (b *Box) runPush(ctx context.Context) {
+	leaveRequested := b.leaveRequested
+	b.sendHeartbeats(ctx)
+	for {
+		c := b.view.Changed()
+		select {
+		case <-ctx.Done():
+			return
+		case <-b.pushRequested:
+		case <-c:
+		case <-leaveRequested:
+			leaveRequested = nil
+		}
+		b.sendHeartbeats(ctx)
 	}
 }
 
-// sendHeartbeat sends a heartbeat to one peer.
+// runTicks records the time of each tick. A late tick means that the process was paused.
+func (b *Box) runTicks(ctx context.Context) {
+	periodic.Run(ctx, tickInterval, func(ctx context.Context) {
+		b.refreshAfterPause(ctx)
+		b.lastTick.Store(int64(time.Since(b.started)))
+	})
+}
+
+// sendHeartbeat sends a heartbeat to one box, records whether it replied, and fetches the changes,
+// crashes and limits that this box lacks.
 func (b *Box) sendHeartbeat(ctx context.Context, m box.Member) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
@@ -68,14 +107,14 @@
 	if b.members.RecordContact(m, time.Now()) {
 		event.PeerReachable.Log(b.log, "box", m.Name)
 	}
-	if b.follower.CatchUp(ctx, m.Address, r.Revisions) == nil { // or the next heartbeat tries again
+	if b.follower.CatchUp(ctx, m.Address, r.Revisions) == nil { // on failure, the next heartbeat retries
 		b.follower.RecordPeerViewAge(r.ViewAge)
 	}
 	b.fetchCrashes(ctx, m, r.CrashesDigest)
 	b.fetchLimits(ctx, m, r.LimitsDigest)
 }
 
-// sendHeartbeats sends a heartbeat to each neighbour and waits for the answers.
+// sendHeartbeats sends a heartbeat to each neighbour and waits for the replies.
 func (b *Box) sendHeartbeats(ctx context.Context) {
 	var g sync.WaitGroup
 	for _, m := range b.members.Neighbours(time.Now()) {
@@ -83,38 +122,3 @@
 	}
 	g.Wait()
 }
-
-// runTicks beats while the box runs; a late beat tells that it was paused.
-func (b *Box) runTicks(ctx context.Context) {
-	periodic.Run(ctx, tickInterval, func(ctx context.Context) {
-		b.refreshAfterPause(ctx)
-		b.lastTick.Store(int64(time.Since(b.started)))
-	})
-}
-
-func (b *Box) runHeartbeats(ctx context.Context) {
-	periodic.Run(ctx, b.settings.Timeouts.Heartbeat.Duration, func(ctx context.Context) {
-		b.sendHeartbeats(ctx)
-		b.members.Expire(time.Now())
-	})
-}
-
-// runPush passes a new configuration, what was fetched of crashes, or that this box leaves, on at
-// once, by a heartbeat to each neighbour, who then asks for what is new. It begins with what the
-// box learned as it started: neighbours may have started with it and know nothing.
-func (b *Box) runPush(ctx context.Context) {
-	leaveRequested := b.leaveRequested
-	b.sendHeartbeats(ctx)
-	for {
-		c := b.view.Changed()
-		select {
-		case <-ctx.Done():
-			return
-		case <-b.pushRequested:
-		case <-c:
-		case <-leaveRequested:
-			leaveRequested = nil
-		}
-		b.sendHeartbeats(ctx)
-	}
-}
--- a/ignored.go
+++ b/ignored.go
@@ -8,17 +8,18 @@
 	"github.com/linetiller/linetiller/platform"
 )
 
-// ignoredRows remembers which rows of the list of upstreams were ignored, so that each is counted
-// and logged once, however often it is read.
+// ignoredRows remembers which rows of the list of upstreams were ignored, so that each revision of
+// a row is counted and logged only once, however often the list is read.
 type ignoredRows struct {
 	mutex     sync.Mutex
 	revisions map[string]int64 // by key
 }
 
-// maxIgnoredRows bounds the rows that are remembered; beyond it they are counted anew.
+// maxIgnoredRows limits the rows that are remembered. When it is reached, all are forgotten and
+// counted again.
 const maxIgnoredRows = 1024
 
-// recordIgnoredRow counts and logs a row of the list of upstreams that names none.
+// recordIgnoredRow counts and logs a row of the list of upstreams that names no upstream.
 func (b *Box) recordIgnoredRow(r platform.IgnoredRow) {
 	if !b.ignored.add(r.Key, r.Revision) {
 		return
@@ -27,7 +28,7 @@
 	event.RowIgnored.Log(b.log, "key", r.Key, "revision", r.Revision, "reason", string(r.Reason))
 }
 
-// add records a row and reports whether it was not known at this revision.
+// add records a row and reports whether it is new at this revision.
 func (i *ignoredRows) add(key string, revision int64) bool {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
--- a/inforce.go
+++ b/inforce.go
@@ -11,11 +11,11 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// maxInForceCalls bounds the boxes that are asked at once.
+// maxInForceCalls limits how many boxes are asked concurrently.
 const maxInForceCalls = 64
 
-// inForce tells which revisions the boxes of every hall have in force: its own
-// hall's boxes are asked one by one, of each other hall one box is asked for all.
+// inForce returns the current revisions of the boxes of every hall. It asks each box of its own
+// hall, and one box of each other hall for that whole hall.
 func (b *Box) inForce(ctx context.Context) []box.HallRevisions {
 	var mutex sync.Mutex
 	l := b.inForceLocal(ctx, true)
@@ -36,23 +36,8 @@
 	return l
 }
 
-// inForceRemote asks a box of another hall for that hall's revisions.
-func (b *Box) inForceRemote(ctx context.Context, hall string) []box.HallRevisions {
-	boxes := b.members.Alive(hall)
-	for _, n := range policy.Rank(b.settings.Box, boxes) {
-		r, err := b.links.CallOnce(ctx, b.members.Address(n), b.newRequest(box.Request{Forward: true, Kind: box.KindInForce}))
-		if err == nil {
-			return r.Halls
-		}
-		if ctx.Err() != nil {
-			break
-		}
-	}
-	return []box.HallRevisions{{Hall: hall, Unanswered: max(1, len(boxes))}}
-}
-
-// inForceLocal returns this box's revision, and where all is set those of the
-// other boxes of its hall.
+// inForceLocal returns this box's revision and, if wholeHall is set, those of the other boxes of
+// its hall.
 func (b *Box) inForceLocal(ctx context.Context, wholeHall bool) []box.HallRevisions {
 	h := box.HallRevisions{Hall: b.settings.Hall, Revisions: []int64{b.view.Revision()}}
 	if !wholeHall {
@@ -82,3 +67,19 @@
 	_ = g.Wait()
 	return []box.HallRevisions{h}
 }
+
+// inForceRemote asks the boxes of another hall, one after another until one replies, for the
+// revisions of that hall.
+func (b *Box) inForceRemote(ctx context.Context, hall string) []box.HallRevisions {
+	boxes := b.members.Alive(hall)
+	for _, n := range policy.Rank(b.settings.Box, boxes) {
+		r, err := b.links.CallOnce(ctx, b.members.Address(n), b.newRequest(box.Request{Forward: true, Kind: box.KindInForce}))
+		if err == nil {
+			return r.Halls
+		}
+		if ctx.Err() != nil {
+			break
+		}
+	}
+	return []box.HallRevisions{{Hall: hall, Unanswered: max(1, len(boxes))}}
+}
--- a/join.go
+++ b/join.go
@@ -11,27 +11,29 @@
 )
 
 const (
-	// joinTimeout bounds all of it: a box that could not learn anything serves what it can.
+	// joinTimeout limits the whole join. A box that learned nothing by then serves with what it
+	// has.
 	joinTimeout = 3 * time.Second
-	// neighbourWait is how long a box that starts waits for its neighbours' word before it
-	// reads everything from the store itself: where all boxes start at once, those that
-	// read have it within some 100 ms and pass it on in three or four steps.
+	// neighbourWait is how long a starting box waits for its neighbours to send the configuration
+	// before it reads everything from the store itself. If all boxes start at once, those that read
+	// the store have the configuration within about 100 ms, and it reaches the others in three or
+	// four hops.
 	neighbourWait = 700 * time.Millisecond
-	// neighbourWaitJitter is by how much that differs between boxes: the first that gives up
-	// listening passes on what it reads.
+	// neighbourWaitJitter is the random part of that wait. It differs between boxes, so that the
+	// first one to give up passes on what it reads to those that still wait.
 	neighbourWaitJitter = 800 * time.Millisecond
-	// boxRowsWait is how long a box that the store does not list yet waits, once it has
-	// written its own row, for those of boxes that start with it: on the users' platform all start
-	// within 0.3 s of each other. Without their rows each box takes itself for one of those
-	// that read everything.
+	// boxRowsWait is how long a box that the store does not list yet waits, after writing its own
+	// row, for the rows of boxes that start at the same time. On the users' platform all boxes
+	// start within 0.3 s of each other. Without their rows, each box would consider itself one of
+	// those that read the whole store.
 	boxRowsWait = 400 * time.Millisecond
-	// boxRowsWaitJitter is by how much that differs between boxes of a system that starts for the
-	// first time: the first to read the rows tells the others, which then need not.
+	// boxRowsWaitJitter is the random part of that wait when the system starts for the first time.
+	// The first box to read the rows tells the others, which then need not read them.
 	boxRowsWaitJitter = 1200 * time.Millisecond
 )
 
-// contactPeers learns of other boxes and of their configuration from the peers that the
-// settings name. One that does not answer is passed over.
+// contactPeers fetches the known boxes and the configuration from the peers named in the settings.
+// Peers that do not reply are skipped.
 func (b *Box) contactPeers(ctx context.Context) {
 	for _, a := range b.settings.Peers {
 		r, err := b.links.CallOnce(ctx, a, b.newRequest(box.Request{Kind: box.KindMembers}))
@@ -45,10 +47,9 @@
 	}
 }
 
-// join learns of the other boxes and applies the highest configuration that
-// they or the table hold, before the first request. Only few boxes read all
-// of the store: at 300 boxes with a list of 3,000 upstreams a read by each box cost
-// 0.03 of the worth served.
+// join discovers the other boxes and applies the latest configuration that they or the store hold,
+// before the first request. Only a few boxes read the whole store: with 300 boxes and a list of
+// 3,000 upstreams, a read by every box cost 0.03 of the value served.
 func (b *Box) join(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
@@ -59,17 +60,17 @@
 	b.updateMembers()
 	var g sync.WaitGroup
 	g.Go(func() { b.fetchFromNeighbours(ctx) })
-	b.startWorker(func() { b.sendHeartbeats(b.serveContext) }) // boxes that are gone must not hold up the start
+	b.startWorker(func() { b.sendHeartbeats(b.serveContext) }) // not awaited: unreachable boxes must not delay the start
 	b.startWorker(func() { b.follower.WatchPeers(b.serveContext) })
 	if b.follower.ReadsStore() || !b.awaitNeighbours(ctx) {
-		_ = b.follower.RefreshExceptBoxes(ctx) // as above
+		_ = b.follower.RefreshExceptBoxes(ctx) // the follower logs a failure and retries
 	}
 	b.updateMembers()
 	g.Wait()
 	b.lastTick.Store(int64(time.Since(b.started)))
 }
 
-// updateMembers records the boxes that wrote where they are.
+// updateMembers adds the boxes listed in the store to the member table.
 func (b *Box) updateMembers() {
 	var l []box.Member
 	for _, x := range b.view.Boxes() {
@@ -78,8 +79,8 @@
 	b.members.ApplyList(l, time.Now())
 }
 
-// awaitNeighbours waits until the neighbours have told something of every source, and
-// reports whether they have.
+// awaitNeighbours waits until the neighbours have sent data of every source. It reports false if
+// the wait or ctx ends first.
 func (b *Box) awaitNeighbours(ctx context.Context) bool {
 	t := time.NewTimer(neighbourWait + rand.N(neighbourWaitJitter))
 	defer t.Stop()
@@ -98,27 +99,28 @@
 	}
 }
 
-// readBoxes reads which boxes there are. A box that is not listed writes where it is, and
-// looks again for those that start with it.
+// readBoxes reads the list of boxes from the store. If this box is not listed, it writes its row
+// and reads the list again, to find boxes that start at the same time.
 func (b *Box) readBoxes(ctx context.Context) {
-	err := b.follower.RefreshSource(ctx, resource.SourceBoxes) // the follower logs a failure, and tries again
+	err := b.follower.RefreshSource(ctx, resource.SourceBoxes) // the follower logs a failure and retries
 	if err != nil || b.view.Get(resource.KindBox, b.settings.Box) != nil {
 		return
 	}
 	if b.register(ctx) != nil {
-		return // it is tried again while the box runs
+		return // runRegister retries
 	}
 	select {
 	case <-ctx.Done():
 	case <-time.After(boxRowsWait):
 	}
-	_ = b.follower.RefreshSource(ctx, resource.SourceBoxes) // as above
+	_ = b.follower.RefreshSource(ctx, resource.SourceBoxes) // logged and retried, too
 }
 
-// awaitBoxes writes where this box is, and waits for one of the boxes that start with it
-// to tell of them. It reports whether one has: all but the first few need not read the rows.
+// awaitBoxes writes this box's row and waits until one of the boxes that start at the same time has
+// sent the list of boxes. It reports whether one has: all but the first few boxes need not read the
+// list themselves.
 func (b *Box) awaitBoxes(ctx context.Context) bool {
-	_ = b.register(ctx) // as in readBoxes
+	_ = b.register(ctx) // runRegister retries
 	t := time.NewTimer(boxRowsWait + rand.N(boxRowsWaitJitter))
 	defer t.Stop()
 	for {
@@ -136,7 +138,7 @@
 	}
 }
 
-// runMembers records every change of the boxes that are known.
+// runMembers updates the member table whenever the view changes.
 func (b *Box) runMembers(ctx context.Context) {
 	for {
 		c := b.view.Changed()
--- a/limits.go
+++ b/limits.go
@@ -13,47 +13,51 @@
 	"github.com/linetiller/linetiller/internal/ratelimit"
 )
 
-// limitState is this box's part in keeping to the rate limits of upstreams: one box allocates the permits
-// to send to each, and all boxes know which have one.
+// limitState is this box's part in enforcing the rate limits of upstreams. For each limited
+// upstream, one box allocates the permits to send requests to it, and all boxes know that it is
+// limited.
 type limitState struct {
 	allocator *ratelimit.Allocator
 	limiter   *ratelimit.Limiter
 
 	mutex           sync.Mutex
-	announcementDue bool // changes are about to be announced
-	announcedAt     time.Time
-	pending         map[string]ratelimit.Limit    // not announced yet, by upstream
-	unresponsive    map[string]unresponsivePeriod // of boxes that did not answer an ask
+	announcementDue bool                          // an announcement of pending is scheduled
+	announcedAt     time.Time                     // time of the last announcement
+	pending         map[string]ratelimit.Limit    // changed limits to announce, by upstream
+	unresponsive    map[string]unresponsivePeriod // boxes that did not reply to a permit request, by name
 }
 
-// unresponsivePeriod is of a box that did not answer an ask.
+// unresponsivePeriod is the time for which a box that did not reply to a permit request is skipped.
 type unresponsivePeriod struct {
-	since time.Time // it did not answer any
-	until time.Time // it is passed over
+	since time.Time // of the first request without a reply
+	until time.Time // when the box is asked again
 }
 
 const (
-	// announceInterval is the least time between two announcements of limits: an upstream may name one
-	// in every other answer. What boxes have missed they fetch after a heartbeat.
+	// announceInterval is the minimum time between two announcements of limits: an upstream may
+	// change its limit in every other response. Boxes that miss an announcement fetch the limits
+	// after a heartbeat.
 	announceInterval = 200 * time.Millisecond
-	// forwardTimeout bounds an ask that is passed on to the box which should allocate the permits, and
-	// permitTimeout any ask, so that the asking box hears of it in time.
+	// forwardTimeout limits a permit request that is forwarded to the allocating box, permitTimeout
+	// one that is sent directly. The forwarding box falls back to its own allocation early enough
+	// for the requesting box to get the reply.
 	forwardTimeout = 40 * time.Millisecond
 	permitTimeout  = 300 * time.Millisecond
-	// preferredHallAllocators is how many boxes of an upstream's hall go before those of other halls.
+	// preferredHallAllocators is how many boxes of an upstream's hall are ranked before those of
+	// other halls.
 	preferredHallAllocators = 2
 	// maxPermitAttempts is how many boxes are asked for a permit, one after another.
 	maxPermitAttempts = 3
-	// notifyThreshold is the share by which a limit has to change for its allocator to hear of it before
-	// the next ask.
+	// notifyThreshold is the relative change of a limit from which the allocating box is notified
+	// at once, instead of learning of it with the next permit request.
 	notifyThreshold = 0.1
-	// minUnresponsivePeriod and maxUnresponsivePeriod are how long a box that did not answer an ask is passed over: as long
-	// as it has been silent.
+	// A box that did not reply to a permit request is skipped for as long as it has been
+	// unresponsive, but for at least minUnresponsivePeriod and at most maxUnresponsivePeriod.
 	minUnresponsivePeriod = time.Second
 	maxUnresponsivePeriod = 8 * time.Second
 )
 
-// newLimitState returns a box's part in the limits of no upstream.
+// newLimitState returns a limitState without limits.
 func newLimitState() *limitState {
 	return &limitState{
 		allocator: ratelimit.NewAllocator(), limiter: ratelimit.NewLimiter(ratelimit.NewLimits()),
@@ -61,24 +65,8 @@
 	}
 }
 
-// allocatorFor returns the box that allocates the permits of an upstream, and whether it is the one that
-// should: boxes that were silent a moment ago are passed over. It is one of the upstream's data hall, so
-// that a hall which is cut off goes on, and where two of them are silent one of another hall: theirs may
-// be lost as a whole.
-func (b *Box) allocatorFor(upstream string, now time.Time) (name string, preferred bool) {
-	l := rankAllocators(upstream, b.members.Alive(b.hallOfUpstream(upstream)), b.members.Alive(""))
-	s := b.limits
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	for i, n := range l {
-		if !now.Before(s.unresponsive[n].until) {
-			return n, i == 0
-		}
-	}
-	return b.settings.Box, false // all are silent, or this box and all that it knows are leaving
-}
-
-// allocate allocates permits for a box, as the one that should or not.
+// allocate allocates permits for a box. If this box is not the preferred allocator, it grants only
+// a share of the limit.
 func (b *Box) allocate(from string, q *ratelimit.PermitRequest, preferred bool) *ratelimit.Grant {
 	now := time.Now()
 	if !q.Limit.ReportedAt.IsZero() {
@@ -88,7 +76,7 @@
 	switch {
 	case l != nil:
 		q.Limit = *l
-	case q.ColdRate <= 0: // lifted meanwhile
+	case q.ColdRate <= 0: // the limit was lifted in the meantime
 		return &ratelimit.Grant{Count: 1, From: now, Until: now}
 	default:
 		q.Limit.ReportedAt = time.Time{}
@@ -101,8 +89,26 @@
 	return &g
 }
 
-// announceLimit tells the other boxes that an upstream has a limit, or has none any more. Of a limit
-// that has only changed, the box hears that allocates its permits.
+// allocatorFor returns the box that allocates the permits of an upstream, and whether it is the
+// preferred one. Boxes that were unresponsive recently are skipped. The first two candidates are in
+// the upstream's data hall, so that a hall which is cut off can go on. If both are unresponsive,
+// the next is in another hall, because their hall may have failed as a whole.
+func (b *Box) allocatorFor(upstream string, now time.Time) (name string, preferred bool) {
+	l := rankAllocators(upstream, b.members.Alive(b.hallOfUpstream(upstream)), b.members.Alive(""))
+	s := b.limits
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	for i, n := range l {
+		if !now.Before(s.unresponsive[n].until) {
+			return n, i == 0
+		}
+	}
+	return b.settings.Box, false // all boxes are unresponsive, or this box and all known boxes are leaving
+}
+
+// announceLimit announces to all other boxes that an upstream has become limited or is no longer
+// limited. If only the value of a limit has changed considerably, it notifies the allocating box
+// alone.
 func (b *Box) announceLimit(c *ratelimit.Change) {
 	if !c.NeedsAnnouncement() {
 		if d := c.After.PerSecond - c.Before.PerSecond; d > notifyThreshold*c.Before.PerSecond || -d > notifyThreshold*c.Before.PerSecond {
@@ -121,59 +127,15 @@
 	wait := time.Until(s.announcedAt.Add(announceInterval))
 	b.startWorker(func() {
 		select {
-		case <-b.serveContext.Done(): // nobody is told any more
+		case <-b.serveContext.Done(): // Serve has ended: the calls of the broadcast fail at once
 		case <-time.After(wait):
 		}
 		b.broadcast("", box.Request{Kind: box.KindLimits, Limits: s.takePending()})
 	})
 }
 
-// handleLimits answers a box that tells of limits, asks for a permit, or asks which limits there are.
-func (b *Box) handleLimits(ctx context.Context, q *box.Request) *box.Reply {
-	if q.Kind == box.KindPermit {
-		return &box.Reply{Grant: b.handlePermit(ctx, q.From.Name, q.Permit)}
-	}
-	b.recordLimits(q.Limits, q.From.Name)
-	return &box.Reply{Limits: b.limits.limiter.Limits().All(time.Now())}
-}
-
-// handlePermit allocates permits for another box, or passes its ask on to the box that does.
-func (b *Box) handlePermit(ctx context.Context, from string, q *ratelimit.PermitRequest) *ratelimit.Grant {
-	o, preferred := b.allocatorFor(q.Limit.Upstream, time.Now())
-	switch {
-	case o == b.settings.Box:
-		return b.allocate(from, q, preferred)
-	case q.NoForward:
-		return b.allocate(from, q, false)
-	}
-	q.NoForward = true
-	if g := b.callPermit(ctx, o, q, forwardTimeout); g != nil {
-		return g
-	}
-	return b.allocate(from, q, false)
-}
-
-// requestPermit asks the box that allocates the permits of an upstream for some, and, where it does not
-// answer, the next ones.
-func (b *Box) requestPermit(ctx context.Context, q *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
-	for range maxPermitAttempts {
-		o, preferred := b.allocatorFor(q.Limit.Upstream, time.Now())
-		if o == b.settings.Box {
-			return b.allocate(o, q, preferred), nil
-		}
-		q.NoForward = !preferred
-		if g := b.callPermit(ctx, o, q, permitTimeout); g != nil {
-			return g, nil
-		}
-		if ctx.Err() != nil {
-			return nil, ctx.Err()
-		}
-	}
-	return nil, fail.New(fail.Unavailable, fail.Origin{Peer: "boxes", Step: "ask for a permit"}, "no_allocator", "no box answered for %s", q.Limit.Upstream)
-}
-
-// callPermit asks a box for permits. It returns nil where that does not answer in time, which is then
-// passed over for a while.
+// callPermit asks a box for permits. It returns nil if the box does not reply in time; the box is
+// then skipped for a while.
 func (b *Box) callPermit(ctx context.Context, name string, q *ratelimit.PermitRequest, timeout time.Duration) *ratelimit.Grant {
 	call, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -188,25 +150,25 @@
 	if refused && b.members.RecordFailure(name, began, now) {
 		event.PeerUnreachable.Log(b.log, "box", name, "error", err.Error())
 	}
-	if ctx.Err() == nil || now.Sub(began) >= forwardTimeout { // or its caller has gone
+	if ctx.Err() == nil || now.Sub(began) >= forwardTimeout { // otherwise the caller cancelled too early to blame the box
 		b.limits.markUnresponsive(name, now)
 	}
 	return nil
 }
 
-// fetchLimits asks a box which limits it knows, where its digest differs.
+// fetchLimits asks a box for the limits that it knows, if the digests differ.
 func (b *Box) fetchLimits(ctx context.Context, m box.Member, digest uint64) {
 	if digest == b.limits.limiter.Limits().Digest(time.Now()) {
 		return
 	}
 	r, err := b.links.CallOnce(ctx, m.Address, b.newRequest(box.Request{Kind: box.KindLimits}))
 	if err != nil {
-		return // the next heartbeat tries again
+		return // retried at the next heartbeat
 	}
 	b.recordLimits(r.Limits, m.Name)
 }
 
-// hallOfUpstream returns the data hall of an upstream, "" where it is not listed.
+// hallOfUpstream returns the data hall of an upstream, or "" if the upstream is not listed.
 func (b *Box) hallOfUpstream(name string) string {
 	if u := b.view.Upstream(name); u != nil {
 		return u.Spec.Hall
@@ -214,11 +176,32 @@
 	return ""
 }
 
-// recordLimits records what another box knows of limits.
-func (b *Box) recordLimits(l []ratelimit.Limit, from string) {
-	for _, x := range l {
-		b.relay.RecordLimit(x, from)
+// handleLimits handles a request that announces limits, asks for permits, or asks for the known
+// limits.
+func (b *Box) handleLimits(ctx context.Context, q *box.Request) *box.Reply {
+	if q.Kind == box.KindPermit {
+		return &box.Reply{Grant: b.handlePermit(ctx, q.From.Name, q.Permit)}
+	}
+	b.recordLimits(q.Limits, q.From.Name)
+	return &box.Reply{Limits: b.limits.limiter.Limits().All(time.Now())}
+}
+
+// handlePermit allocates permits for another box, or forwards its request to the allocating box. If
+// that box does not reply, or the request was forwarded already, this box allocates the permits as
+// a fallback.
+func (b *Box) handlePermit(ctx context.Context, from string, q *ratelimit.PermitRequest) *ratelimit.Grant {
+	o, preferred := b.allocatorFor(q.Limit.Upstream, time.Now())
+	switch {
+	case o == b.settings.Box:
+		return b.allocate(from, q, preferred)
+	case q.NoForward:
+		return b.allocate(from, q, false)
 	}
+	q.NoForward = true
+	if g := b.callPermit(ctx, o, q, forwardTimeout); g != nil {
+		return g
+	}
+	return b.allocate(from, q, false)
 }
 
 // notifyAllocator sends an upstream's new limit to the box that allocates its permits.
@@ -230,19 +213,46 @@
 	b.startWorker(func() {
 		ctx, cancel := context.WithTimeout(b.serveContext, heartbeatTimeout)
 		defer cancel()
-		_, _ = b.links.CallOnce(ctx, b.members.Address(o), b.newRequest(box.Request{Kind: box.KindLimits, Limits: []ratelimit.Limit{l}})) // the next ask tells it, too
+		_, _ = b.links.CallOnce(ctx, b.members.Address(o), b.newRequest(box.Request{Kind: box.KindLimits, Limits: []ratelimit.Limit{l}})) // not retried: the next permit request contains the limit, too
 	})
 }
 
-// markResponsive records that a box answers.
+// recordLimits records limits received from another box.
+func (b *Box) recordLimits(l []ratelimit.Limit, from string) {
+	for _, x := range l {
+		b.relay.RecordLimit(x, from)
+	}
+}
+
+// requestPermit requests permits from the box that allocates those of an upstream and, if it does
+// not reply, from the next candidates, up to maxPermitAttempts in total. It returns an error if
+// none replies or ctx ends.
+func (b *Box) requestPermit(ctx context.Context, q *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
+	for range maxPermitAttempts {
+		o, preferred := b.allocatorFor(q.Limit.Upstream, time.Now())
+		if o == b.settings.Box {
+			return b.allocate(o, q, preferred), nil
+		}
+		q.NoForward = !preferred
+		if g := b.callPermit(ctx, o, q, permitTimeout); g != nil {
+			return g, nil
+		}
+		if ctx.Err() != nil {
+			return nil, ctx.Err()
+		}
+	}
+	return nil, fail.New(fail.Unavailable, fail.Origin{Peer: "boxes", Step: "ask for a permit"}, "no_allocator", "no box answered a permit request for %s", q.Limit.Upstream)
+}
+
+// markResponsive records that a box replies again.
 func (s *limitState) markResponsive(name string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delete(s.unresponsive, name)
 }
 
-// markUnresponsive records that a box did not answer an ask: it is passed over for a while, and for longer
-// where it does not answer then either.
+// markUnresponsive records that a box did not reply to a permit request. The box is skipped for a
+// while, and for longer if it does not reply afterwards either.
 func (s *limitState) markUnresponsive(name string, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -253,7 +263,7 @@
 	}
 	x := s.unresponsive[name]
 	if now.Before(x.until) {
-		return // another ask has found that out
+		return // a concurrent request has recorded it
 	}
 	if x.since.IsZero() {
 		x.since = now
@@ -262,7 +272,7 @@
 	s.unresponsive[name] = x
 }
 
-// takePending returns what is to be announced now.
+// takePending returns the limits to announce and clears them.
 func (s *limitState) takePending() []ratelimit.Limit {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -275,8 +285,9 @@
 	return l
 }
 
-// rankAllocators returns the boxes that may allocate the permits of an upstream, the one that should
-// first: two of its hall, those of other halls, and the rest of its hall.
+// rankAllocators returns the boxes that may allocate the permits of an upstream in order of
+// preference: preferredHallAllocators boxes of its hall, the boxes of other halls, and the rest of
+// its hall.
 func rankAllocators(upstream string, hall, all []string) []string {
 	l := policy.Rank(upstream, hall)
 	n := min(preferredHallAllocators, len(l))
--- a/linetiller.go
+++ b/linetiller.go
@@ -1,10 +1,9 @@
-// Package linetiller serves text generations of unknown length on crowded,
-// shared model engines.
+// Package linetiller serves text generations of unknown length on shared, heavily loaded model
+// engines.
 //
-// A Box is one entry box: it answers clients and operators over HTTP, speaks to
-// the other boxes of the system, to model engines and plain services, and to
-// the platform's table, object store and list of boxes. It keeps nothing on
-// disk.
+// A Box is one entry node: it serves clients and operators over HTTP and communicates with the
+// other boxes of the system, with model engines and plain services, and with the platform's table,
+// object store and list of boxes. It stores nothing on disk.
 package linetiller
 
 import (
@@ -36,7 +35,8 @@
 	"github.com/linetiller/linetiller/platform"
 )
 
-// Box is one entry box. Serve runs it; Close stops it and waits.
+// Box is one entry node. Serve runs it; Close stops it and waits until everything that it started
+// has ended.
 type Box struct {
 	log      *slog.Logger
 	settings *settings.Settings
@@ -61,50 +61,53 @@
 	relay            *relay.Relay
 	reserved         *placement.Reserved
 	backoffs         *health.Backoffs
-	routedEngines    *platform.Engines // the upstreams of declared routes
+	routedEngines    *platform.Engines // upstreams of declared routes
 	recorder         *recorder
 	store            *table.Store
 	tracker          *placement.Tracker
 	moveTurns        ownership.MoveTurns
 	view             *resource.View
 
-	entry []endpoint // the listeners of the entry from the platform's balancer
+	// entry holds the servers for the platform's load balancer: for requests, readiness checks and
+	// metrics, in this order. It is empty without an entry.
+	entry []endpoint
 
-	// Seams: how the box is joined to its peers.
+	// Connections to peers. Tests replace them.
 	connect           func() error
 	engineTransport   http.RoundTripper
 	platformTransport http.RoundTripper
 	routedTransport   http.RoundTripper
 
-	lastTick       atomic.Int64 // nanoseconds since started, of the last beat
+	lastTick       atomic.Int64 // time of the last tick, in nanoseconds since started
 	closing        sync.Once
-	pushRequested  chan struct{}   // holds one where something was fetched of crashes that is not passed on yet
-	leaveRequested chan struct{}   // closed when a stop was asked for
-	joined         atomic.Bool     // it has joined
-	serveContext   context.Context // ends with Serve
-	serving        chan struct{}   // closed as Serve begins
+	pushRequested  chan struct{}   // buffered; holds a value if there is news of crashes to pass on to the neighbours
+	leaveRequested chan struct{}   // closed by Leave
+	joined         atomic.Bool     // set once the box has joined the system
+	serveContext   context.Context // ends when Serve returns; set before serving is closed
+	serving        chan struct{}   // closed when Serve begins
 	started        time.Time
 	stopping       atomic.Bool
 	workers        sync.WaitGroup
 
-	lifecycle sync.Mutex // guards the fields below, and starts of workers
+	lifecycle sync.Mutex // guards the fields below and the start of workers
 	cancel    context.CancelFunc
 	closed    bool
 }
 
-// endpoint is a server with its listener.
+// endpoint is an HTTP server and its listener.
 type endpoint struct {
 	listener net.Listener
 	server   *http.Server
 }
 
-// Option sets one thing of a Box.
+// Option configures a Box.
 type Option func(*Box)
 
-// engineCallTimeout bounds a call of a declared engine, but for streams.
+// engineCallTimeout limits a call to a declared engine; it does not apply to streams.
 const engineCallTimeout = 2 * time.Second
 
-// New returns a box that listens at its addresses, but does not serve yet.
+// New returns a box that listens on its addresses but does not serve yet. It returns an error if an
+// address cannot be opened or a certificate cannot be loaded.
 func New(s *settings.Settings, options ...Option) (*Box, error) {
 	b := &Box{
 		serving: make(chan struct{}), pushRequested: make(chan struct{}, 1), leaveRequested: make(chan struct{}), log: slog.New(slog.DiscardHandler), metrics: metric.NewSet(),
@@ -123,25 +126,25 @@
 	return b, nil
 }
 
-// WithLog sets where the box logs; by default nowhere.
+// WithLog sets the logger. By default the box does not log.
 func WithLog(l *slog.Logger) Option {
 	return func(b *Box) { b.log = l }
 }
 
-// BoxAddress returns the address for other boxes.
+// BoxAddress returns the address on which the box listens for other boxes.
 func (b *Box) BoxAddress() string { return b.links.Address() }
 
-// ClientAddress returns the address for clients.
+// ClientAddress returns the address on which the box listens for clients.
 func (b *Box) ClientAddress() string { return b.clientListener.Addr().String() }
 
-// InProgress returns how many requests are in progress.
+// InProgress returns the number of requests in progress.
 func (b *Box) InProgress() int { return b.deliverer.InProgress() + b.relay.InProgress() }
 
-// OperatorAddress returns the address for operators.
+// OperatorAddress returns the address on which the box listens for operators.
 func (b *Box) OperatorAddress() string { return b.operatorListener.Addr().String() }
 
-// Serve runs the box until ctx ends, which stops it at once, or until Leave was
-// called and every request has had its final answer.
+// Serve runs the box until ctx ends, which stops it at once, or until Leave was called and the box
+// has drained. It returns an error if a server fails or cannot be closed.
 func (b *Box) Serve(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -167,7 +170,7 @@
 	case <-b.leaveRequested:
 		b.drain(ctx)
 	case err := <-failed:
-		if ctx.Err() == nil { // or Close has ended it
+		if ctx.Err() == nil { // otherwise Close has stopped the server
 			return errors.Join(err, b.Close())
 		}
 	}
@@ -176,15 +179,23 @@
 	return err
 }
 
-// runWorker runs f as one of the box's workers and waits for its end, but not once the box is closed.
-func (b *Box) runWorker(f func()) {
-	done := make(chan struct{})
-	if b.startWorker(func() { defer close(done); f() }) {
-		<-done
+// backgroundLoops returns the functions that run for as long as the box serves.
+func (b *Box) backgroundLoops() []func(context.Context) {
+	l := []func(context.Context){
+		b.follower.Run, b.follower.MonitorViewAge, b.owners.Run, b.tracker.Run, b.relay.Run, b.runHeartbeats, b.runMembers, b.runTicks, b.runPush, b.runRegister,
 	}
+	if b.hasEntry() {
+		l = append(l, b.runRecorder)
+	} else {
+		l = append(l, b.orders.Run, b.runRewrite) // with an entry, the platform's operators and engines write their own rows
+	}
+	if b.naive != nil {
+		l = append(l, b.naive.Run)
+	}
+	return l
 }
 
-// beginServing records that the box serves from now on, unless it is closed.
+// beginServing marks the box as serving. It reports false if the box is already closed.
 func (b *Box) beginServing(ctx context.Context, cancel context.CancelFunc) bool {
 	b.lifecycle.Lock()
 	defer b.lifecycle.Unlock()
@@ -196,32 +207,24 @@
 	return true
 }
 
-// isReady reports whether the box has joined, and was not asked to stop.
+// isReady reports whether the box has joined the system and was not asked to stop.
 func (b *Box) isReady() bool { return b.joined.Load() && !b.stopping.Load() }
 
-// listeners returns all servers of the box with their listeners.
+// listeners returns all HTTP servers of the box with their listeners.
 func (b *Box) listeners() []endpoint {
 	return append([]endpoint{{b.clientListener, b.clientServer}, {b.operatorListener, b.operatorServer}}, b.entry...)
 }
 
-// backgroundLoops returns what runs as long as the box does.
-func (b *Box) backgroundLoops() []func(context.Context) {
-	l := []func(context.Context){
-		b.follower.Run, b.follower.MonitorViewAge, b.owners.Run, b.tracker.Run, b.relay.Run, b.runHeartbeats, b.runMembers, b.runTicks, b.runPush, b.runRegister,
-	}
-	if b.hasEntry() {
-		l = append(l, b.runRecorder)
-	} else {
-		l = append(l, b.orders.Run, b.runRewrite) // the platform's operators and engines write theirs themselves
-	}
-	if b.naive != nil {
-		l = append(l, b.naive.Run)
+// runWorker runs f as a worker and waits until it returns. It does nothing if the box is closed.
+func (b *Box) runWorker(f func()) {
+	done := make(chan struct{})
+	if b.startWorker(func() { defer close(done); f() }) {
+		<-done
 	}
-	return l
 }
 
-// startWorker runs f as one of the box's workers, and reports whether it does: Close waits for all of them, so
-// that none starts once the box is closed.
+// startWorker runs f as a worker and reports whether it was started. Close waits for all workers,
+// so none is started once the box is closed.
 func (b *Box) startWorker(f func()) bool {
 	b.lifecycle.Lock()
 	defer b.lifecycle.Unlock()
--- a/listen.go
+++ b/listen.go
@@ -14,13 +14,13 @@
 	"github.com/linetiller/linetiller/internal/settings"
 )
 
-// hasEntry reports whether requests of declared routes come in from the platform's
+// hasEntry reports whether the box accepts requests for declared routes from the platform's load
 // balancer.
 func (b *Box) hasEntry() bool {
 	return b.settings.Entry != (settings.Entry{})
 }
 
-// listen opens the box's addresses.
+// listen opens the addresses of the box. It returns an error if one of them cannot be opened.
 func (b *Box) listen() error {
 	s := b.settings
 	var err error
@@ -60,8 +60,8 @@
 	return t.Endpoint(), nil
 }
 
-// listenEntry opens the addresses of the entry: for requests, for the balancer's
-// questions and for metrics.
+// listenEntry opens the addresses for the load balancer: requests, readiness checks and metrics, in
+// this order.
 func (b *Box) listenEntry() error {
 	if !b.hasEntry() {
 		return nil
@@ -85,8 +85,9 @@
 	return certificate.Wrap(l, b.settings.TLS.Clients, b.settings.TLS.Certificate, b.settings.TLS.Key)
 }
 
-// linkTLS returns how the links between boxes are secured. Without
-// certificates, only boxes on one machine can be linked.
+// linkTLS returns the TLS configurations of the links between boxes, for the accepting and the
+// dialling side. Without certificates in the settings, only boxes on the same machine can be
+// linked.
 func (b *Box) linkTLS() (server, dial *tls.Config, err error) {
 	t := b.settings.TLS
 	if t.Certificate != "" {
@@ -99,12 +100,12 @@
 }
 
 func init() {
-	// The library's advice on the size of the socket's buffer goes to standard
-	// error unasked; docs/operator-guide.md gives it instead.
+	// quic-go prints a warning about the size of the socket's receive buffer to standard error. It
+	// is disabled because docs/operator-guide.md gives the advice instead.
 	_ = os.Setenv("QUIC_GO_DISABLE_RECEIVE_BUFFER_WARNING", "true")
 }
 
-// serverErrorLog returns where a server of the standard library logs.
+// serverErrorLog returns a logger for servers of the standard library that logs at debug level.
 func serverErrorLog(l *slog.Logger) *log.Logger {
 	return slog.NewLogLogger(l.Handler(), slog.LevelDebug)
 }
--- a/ask.go
+++ b/ownercalls.go
@@ -9,9 +9,40 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-const placementTimeout = time.Second // for an owner's first answer
+// placementTimeout is how long to wait for an owner's first reply.
+const placementTimeout = time.Second
 
-// requestPlacement makes an ask of another box and passes its replies on until the last.
+// acquireMoveTurn waits, at the owner of an upstream, for the run's turn to be moved away from the
+// upstream, or to it if inbound is set. The caller must call the returned function when the move
+// has ended. The owner is determined from u, not from the view, because a leaving engine may no
+// longer be listed there.
+func (b *Box) acquireMoveTurn(ctx context.Context, u *resource.Upstream, inbound bool, r *policy.Run) (func(), error) {
+	o := policy.First(u.Name, b.members.Alive(u.Spec.Hall))
+	if o == b.settings.Box {
+		return b.moveTurns.Acquire(ctx, u.Name, inbound, r)
+	}
+	// ctx limits only the wait. Once granted, the turn is held until it is released.
+	callCtx, cancelCall := context.WithCancel(context.WithoutCancel(ctx))
+	stop := context.AfterFunc(ctx, cancelCall)
+	c, err := b.links.Call(callCtx, b.members.Address(o), b.newRequest(box.Request{Kind: box.KindMoveSlot, MoveSlot: &box.MoveSlotRequest{Inbound: inbound, Run: *r, Upstream: u.Name}}))
+	if err != nil {
+		cancelCall()
+		return nil, err
+	}
+	release := func() {
+		_ = c.Close()
+		cancelCall()
+	}
+	if _, err := c.Next(); err != nil {
+		release()
+		return nil, err
+	}
+	stop()
+	return release, nil
+}
+
+// requestPlacement asks another box, the owner of an upstream, for a slot and passes each reply to
+// onReply until the placement is decided. It returns the error of the call or of onReply.
 func (b *Box) requestPlacement(ctx context.Context, owner string, a *box.PlacementRequest, onReply func(*box.Reply) error) error {
 	c, err := b.links.Call(ctx, b.members.Address(owner), b.newRequest(box.Request{Placement: a, Kind: box.KindPlacement}))
 	if err != nil {
@@ -37,34 +68,8 @@
 	}
 }
 
-// acquireMoveTurn takes the turn to move a run away from an upstream, or there, at its owner.
-// The owner is found from u itself: an engine that leaves may be listed no more.
-func (b *Box) acquireMoveTurn(ctx context.Context, u *resource.Upstream, inbound bool, r *policy.Run) (func(), error) {
-	o := policy.First(u.Name, b.members.Alive(u.Spec.Hall))
-	if o == b.settings.Box {
-		return b.moveTurns.Acquire(ctx, u.Name, inbound, r)
-	}
-	// The wait ends with ctx; the turn, once it has come, only with its release.
-	callCtx, cancelCall := context.WithCancel(context.WithoutCancel(ctx))
-	stop := context.AfterFunc(ctx, cancelCall)
-	c, err := b.links.Call(callCtx, b.members.Address(o), b.newRequest(box.Request{Kind: box.KindMoveSlot, MoveSlot: &box.MoveSlotRequest{Inbound: inbound, Run: *r, Upstream: u.Name}}))
-	if err != nil {
-		cancelCall()
-		return nil, err
-	}
-	release := func() {
-		_ = c.Close()
-		cancelCall()
-	}
-	if _, err := c.Next(); err != nil {
-		release()
-		return nil, err
-	}
-	stop()
-	return release, nil
-}
-
-// sendProgress sends an update to the owner of its upstream.
+// sendProgress sends a progress report to the owner of its upstream. The reply is empty if the
+// upstream is not listed.
 func (b *Box) sendProgress(ctx context.Context, u *box.ProgressReport) (*box.Reply, error) {
 	x := b.view.Upstream(u.Upstream)
 	if x == nil {
--- a/quarantinedrow.go
+++ b/quarantinedrow.go
@@ -9,33 +9,34 @@
 	"github.com/linetiller/linetiller/internal/table"
 )
 
-// quarantinedRow is the state of a hall's row of quarantined requests, as its writer needs it.
+// quarantinedRow is the state of a hall's row of quarantined requests, as needed to write it.
 type quarantinedRow struct {
-	digest   uint64 // of what the row holds, 0 for nothing
-	revision int64  // of the row, 0 where there is none
-	triedAt  time.Time
+	digest   uint64    // of the contents of the row; 0 if empty or unknown
+	revision int64     // of the row; 0 if there is none
+	triedAt  time.Time // last attempt to write
 }
 
-// crashEntry is a crash in the row.
+// crashEntry is a crash in the row. Times are in Unix milliseconds.
 type crashEntry struct {
 	_        struct{} `cbor:",toarray"`
 	AtMS     int64    // when it was noticed, by the store's clock
-	Born     int64    // when the upstream had started, in Unix milliseconds
-	SeenAtMS int64    // when a suspect last returned, by the store's clock
+	Born     int64    // when the crashed process of the upstream had started, as reported by the upstream; 0 if unknown
+	SeenAtMS int64    // when a suspect was last sent again by a caller, by the store's clock
 	Suspects []policy.Suspect
 	Upstream string
 }
 
 const (
 	quarantinedKind = "quarantined"
-	// maxQuarantined bounds the suspects of the row, of some 20 B each, and its crashes, of some 230 B
-	// with the longest names: a row may have 64 KB.
+	// maxQuarantined limits the suspects in a row, of about 20 B each, and also its crashes, of
+	// about 230 B with the longest names. A row may have 64 KB.
 	maxQuarantined = 128
 	// quarantinedWriteInterval is the minimum time between two writes.
 	quarantinedWriteInterval = 5 * time.Second
 )
 
-// mergeQuarantinedRow records what the row of a hall holds.
+// mergeQuarantinedRow adds the crashes in a hall's row to those that this box knows, and has new
+// ones passed on to the neighbours.
 func (b *Box) mergeQuarantinedRow(r *table.Row, hall string) {
 	k := b.recorder
 	l := k.decodeCrashes(r.Value)
@@ -47,7 +48,7 @@
 	}
 }
 
-// writeQuarantined writes the row if the quarantine has changed.
+// writeQuarantined writes the row of quarantined requests if it has changed and a write is due.
 func (b *Box) writeQuarantined(ctx context.Context) {
 	k, now := b.recorder, time.Now()
 	l := b.relay.Quarantine().QuarantinedCrashes(maxQuarantined, now)
@@ -61,7 +62,7 @@
 	}
 }
 
-// crashEntries returns crashes as the row has them.
+// crashEntries converts crashes to entries of the row.
 func (k *recorder) crashEntries(crashes []policy.Crash) []crashEntry {
 	l := []crashEntry{}
 	for i := range crashes {
@@ -71,7 +72,7 @@
 	return l
 }
 
-// decodeCrashes returns the crashes of a row.
+// decodeCrashes returns the crashes in a row.
 func (k *recorder) decodeCrashes(value json.RawMessage) []policy.Crash {
 	var l []policy.Crash
 	for _, x := range decodeRow[crashEntry](value) {
@@ -82,8 +83,8 @@
 	return l
 }
 
-// quarantinedDue reports whether the row is to be written, with what has a digest, and returns its
-// revision.
+// quarantinedDue reports whether the row is to be written now, given the digest of its new
+// contents, and returns the row's revision.
 func (k *recorder) quarantinedDue(digest uint64, now time.Time) (revision int64, due bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -95,17 +96,17 @@
 	return r.revision, true
 }
 
-// setQuarantinedWritten records what the row holds.
+// setQuarantinedWritten records the digest of the contents and the revision of the row.
 func (k *recorder) setQuarantinedWritten(revision int64, digest uint64) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.quarantined.digest, k.quarantined.revision = digest, revision
 }
 
-// invalidate records that it is not known what the row holds.
+// invalidate marks the contents of the row as unknown.
 func (r *quarantinedRow) invalidate() {
 	r.digest, r.revision = 0, 0
 }
 
-// quarantinedKey returns the key of a hall's row.
+// quarantinedKey returns the key of a hall's row of quarantined requests.
 func quarantinedKey(hall string) string { return keptTable + "/" + quarantinedKind + "/" + hall }
--- a/keeper.go
+++ b/recorder.go
@@ -17,108 +17,76 @@
 	"github.com/linetiller/linetiller/internal/table"
 )
 
-// recorder is this box's part in what has to outlast a restart of all boxes: which requests ran to their
-// ends, so that crashes caused by others are not held against them, and which are quarantined. Each box
-// reports its runs to the keepers of its data hall, a few boxes chosen by rendezvous hashing. The first
-// keeper writes the hall's rows in the platform's store; the others can replace it, and clear requests
-// while the store is unavailable.
+// recorder is this box's part in storing what has to survive a restart of all boxes: the
+// fingerprints of requests that ran to completion, so that they are not blamed for crashes caused
+// by others, and of quarantined requests. Each box reports its completed runs to the recorders of
+// its data hall, a few boxes chosen by rendezvous hashing. The first recorder writes the hall's
+// rows in the platform's store. The others can replace it, and can clear requests while the store
+// is unavailable.
 type recorder struct {
 	mutex       sync.Mutex // guards the fields below
-	era         int64      // of the store, as the box knows it
-	isRecorder  bool       // this box is a keeper
+	era         int64      // era of the store that this box knows
+	isRecorder  bool       // this box is one of the recorders of its hall
 	quarantined quarantinedRow
-	readAt      time.Time // of the rows, zero where they were never read
-	reportedAt  time.Time // to the keepers
+	readAt      time.Time // last read of the rows by the local clock; zero if never read
+	reportedAt  time.Time // last report of completed runs
 	runs        runsRow
-	storeReadAt time.Time // readAt by the store's clock
-	triedAt     time.Time // to read the rows
-	readPending bool      // the rows are read before they are written
+	storeReadAt time.Time // last read of the rows by the store's clock
+	triedAt     time.Time // last attempt to read the rows
+	readPending bool      // the rows must be read before they are written again
 
-	wake chan struct{} // holds one where the rows are to be read at once
+	wake chan struct{} // buffered; holds a value if the rows are to be read at once
 }
 
 const (
 	keptTable = "kept"
-	// recordersPerHall is how many boxes of each data hall are its keepers.
+	// recordersPerHall is how many boxes of each data hall are recorders.
 	recordersPerHall = 3
-	// keptSyncInterval is the time between two checks for something to read, report or write.
+	// keptSyncInterval is the time between two checks for rows to read or write, or runs to report.
 	keptSyncInterval = 2 * time.Second
-	// keptReadMinInterval is the minimum time between two reads of the rows: many requests may break off as an
-	// upstream crashes.
+	// keptReadMinInterval is the minimum time between two reads of the rows: when an upstream
+	// crashes, many requests may fail and each asks for a read.
 	keptReadMinInterval = 5 * time.Second
-	// keptReadMaxAge is the age of a read after which a keeper reads the rows and the store's clock again,
-	// so that the drift between the two clocks stays below clockSlack.
+	// keptReadMaxAge is the age of a read after which a recorder reads the rows and the store's
+	// clock again, so that the drift between the two clocks stays below clockSlack.
 	keptReadMaxAge = time.Hour
 	clockSlack     = time.Second
-	// reportIntervalPerBox is the time between two reports of a box, for each box of its hall: it bounds the load of
-	// keepers.
+	// reportIntervalPerBox, multiplied by the number of boxes of the hall, is the time between two
+	// reports of a box. It limits the load of the recorders.
 	reportIntervalPerBox = 200 * time.Millisecond
-	// maxReportedRuns bounds the requests of a report, of some 20 B each.
+	// maxReportedRuns limits the requests in one report. Each takes about 20 B.
 	maxReportedRuns = 32
 )
 
-// newRecorder returns a keeper that knows nothing yet.
+// newRecorder returns a recorder that has not read the rows yet.
 func newRecorder() *recorder { return &recorder{wake: make(chan struct{}, 1)} }
 
-// commitRow writes a row of this box's hall, unless that has changed since it was read or written. It
-// returns the row's revision, and reports whether the row was written.
+// addRuns records completed runs that were reported by a box of the hall.
+func (b *Box) addRuns(l []policy.CompletedRun) {
+	b.relay.Frequent().Add(l, time.Now())
+	b.recorder.markRunsChanged()
+}
+
+// commitRow writes a row of this box's hall if its revision in the store is still the given one. It
+// returns the row's new revision and reports whether the row was written.
 func (b *Box) commitRow(ctx context.Context, key string, revision int64, value json.RawMessage) (int64, bool) {
 	r, err := b.store.Commit(ctx, &table.Transaction{
 		Conditions: []table.Condition{{Key: key, Revision: revision}},
 		Writes:     []table.Write{{Key: key, Value: value}},
 	})
 	if err != nil || !r.Committed {
-		b.recorder.requestRead() // it may have been written
+		b.recorder.requestRead() // after an error, the row may have been written nevertheless
 		return 0, false
 	}
 	return r.Revision, true
 }
 
-// requestKeptRead has the rows read as soon as the store answers, to clear requests of a crash that ran to
-// their ends before it.
-func (b *Box) requestKeptRead() {
-	k := b.recorder
-	k.requestRead()
-	select {
-	case k.wake <- struct{}{}:
-	default: // a read is due already
-	}
-}
-
-// syncKeptRows reads the rows, reports this box's runs and writes its hall's rows, each where it is due.
-func (b *Box) syncKeptRows(ctx context.Context) {
-	hall := b.members.Alive(b.settings.Hall)
-	recorders := policy.Rank(keptTable, hall)
-	recorders = recorders[:min(recordersPerHall, len(recorders))]
-	if len(recorders) == 0 { // all are leaving
-		recorders = []string{b.settings.Box}
-	}
-	k, now := b.recorder, time.Now()
-	era, _ := b.follower.Era()
-	k.setRecorder(slices.Contains(recorders, b.settings.Box), era, now)
-	if k.readDue(now) {
-		b.readKeptRows(ctx)
-	}
-	if k.reportDue(len(hall), now) {
-		b.reportRuns(ctx, recorders)
-	}
-	if recorders[0] == b.settings.Box && k.canWrite() {
-		b.writeRuns(ctx)
-		b.writeQuarantined(ctx)
-	}
-}
-
-// addRuns records a report of runs.
-func (b *Box) addRuns(l []policy.CompletedRun) {
-	b.relay.Frequent().Add(l, time.Now())
-	b.recorder.markRunsChanged()
-}
-
-// readKeptRows reads the rows of all halls, and clears requests by them.
+// readKeptRows reads the rows of all halls and clears the requests that are known from them to have
+// completed.
 func (b *Box) readKeptRows(ctx context.Context) {
 	c, err := b.store.Changes(ctx, keptTable, 0, 0)
 	if err != nil {
-		return // it is tried again
+		return // retried at a later sync
 	}
 	k, now := b.recorder, time.Now()
 	k.setRead(now, c.Now)
@@ -136,7 +104,8 @@
 	b.relay.ClearServed()
 }
 
-// reportRuns reports this box's runs to the keepers of its hall.
+// reportRuns reports this box's completed runs to the recorders of its hall. If a call fails, the
+// runs are reported again, unless this box is a recorder itself.
 func (b *Box) reportRuns(ctx context.Context, recorders []string) {
 	l := b.relay.Served().TakeReport(maxReportedRuns)
 	if len(l) == 0 {
@@ -160,7 +129,18 @@
 	}
 }
 
-// runRecorder synchronizes the rows and reports until the context ends.
+// requestKeptRead has the rows read as soon as the store replies, to clear suspects of a crash that
+// had completed before it.
+func (b *Box) requestKeptRead() {
+	k := b.recorder
+	k.requestRead()
+	select {
+	case k.wake <- struct{}{}:
+	default: // a read is already pending
+	}
+}
+
+// runRecorder synchronizes the rows and reports runs until ctx ends.
 func (b *Box) runRecorder(ctx context.Context) {
 	t := time.NewTicker(keptSyncInterval)
 	defer t.Stop()
@@ -175,23 +155,48 @@
 	}
 }
 
-// localTime converts a time of the store's clock, in milliseconds, to one of this box's clock. It reports
-// whether that is not after the last read, within clockSlack; a later one is replaced by the time of the read.
-func (k *recorder) localTime(storeMS int64) (t time.Time, past bool) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	d := time.UnixMilli(storeMS).Sub(k.storeReadAt)
-	return k.readAt.Add(min(0, d)), d <= clockSlack
+// syncKeptRows reads the rows, reports this box's completed runs and, on the hall's first recorder,
+// writes the hall's rows, each if it is due.
+func (b *Box) syncKeptRows(ctx context.Context) {
+	hall := b.members.Alive(b.settings.Hall)
+	recorders := policy.Rank(keptTable, hall)
+	recorders = recorders[:min(recordersPerHall, len(recorders))]
+	if len(recorders) == 0 { // all boxes of the hall are leaving
+		recorders = []string{b.settings.Box}
+	}
+	k, now := b.recorder, time.Now()
+	era, _ := b.follower.Era()
+	k.setRecorder(slices.Contains(recorders, b.settings.Box), era, now)
+	if k.readDue(now) {
+		b.readKeptRows(ctx)
+	}
+	if k.reportDue(len(hall), now) {
+		b.reportRuns(ctx, recorders)
+	}
+	if recorders[0] == b.settings.Box && k.canWrite() {
+		b.writeRuns(ctx)
+		b.writeQuarantined(ctx)
+	}
 }
 
-// canWrite reports whether it is known what the rows hold.
+// canWrite reports whether the contents of the rows are known, so that they may be overwritten.
 func (k *recorder) canWrite() bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return !k.readAt.IsZero() && !k.readPending
 }
 
-// readDue reports whether the rows are to be read now.
+// localTime converts a time of the store's clock, in Unix milliseconds, to the local clock. A time
+// after the last read is replaced by the time of that read; past is false if it is later by more
+// than clockSlack.
+func (k *recorder) localTime(storeMS int64) (t time.Time, past bool) {
+	k.mutex.Lock()
+	defer k.mutex.Unlock()
+	d := time.UnixMilli(storeMS).Sub(k.storeReadAt)
+	return k.readAt.Add(min(0, d)), d <= clockSlack
+}
+
+// readDue reports whether the rows are to be read now, and records the attempt if so.
 func (k *recorder) readDue(now time.Time) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -202,7 +207,8 @@
 	return true
 }
 
-// reportDue reports whether this box is to report its runs now, in a hall of so many boxes.
+// reportDue reports whether this box, in a hall of the given number of boxes, is to report its runs
+// now, and records the report if so.
 func (k *recorder) reportDue(boxes int, now time.Time) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -213,19 +219,15 @@
 	return true
 }
 
-// setRecorder records whether this box is a keeper, and the store's era. A box that becomes a keeper reads
-// what others have kept; in a new era the rows are those of a copy.
-func (k *recorder) setRecorder(isRecorder bool, era int64, now time.Time) {
+// requestRead has the rows read before they are written again.
+func (k *recorder) requestRead() {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if isRecorder && (!k.isRecorder || era != k.era || now.Sub(k.readAt) >= keptReadMaxAge) {
-		k.readPending = true
-	}
-	k.isRecorder, k.era = isRecorder, era
+	k.readPending = true
 }
 
-// setRead records that the rows were read, and the time of it by the store's clock, zero where that is
-// not known.
+// setRead records that the rows were read, at the given times of the local clock and of the store's
+// clock; store is zero if unknown.
 func (k *recorder) setRead(now, store time.Time) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -237,21 +239,26 @@
 	k.quarantined.invalidate()
 }
 
-// storeMS converts a time to one of the store's clock, in milliseconds.
-func (k *recorder) storeMS(t time.Time) int64 {
+// setRecorder records whether this box is a recorder, and the store's era. The rows are read if the
+// box becomes a recorder, because others have written them; in a new era, because they were
+// restored from a backup; and if the last read is older than keptReadMaxAge.
+func (k *recorder) setRecorder(isRecorder bool, era int64, now time.Time) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return k.storeReadAt.Add(t.Sub(k.readAt)).UnixMilli()
+	if isRecorder && (!k.isRecorder || era != k.era || now.Sub(k.readAt) >= keptReadMaxAge) {
+		k.readPending = true
+	}
+	k.isRecorder, k.era = isRecorder, era
 }
 
-// requestRead has the rows read before they are written again.
-func (k *recorder) requestRead() {
+// storeMS converts a local time to Unix milliseconds of the store's clock.
+func (k *recorder) storeMS(t time.Time) int64 {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.readPending = true
+	return k.storeReadAt.Add(t.Sub(k.readAt)).UnixMilli()
 }
 
-// decodeRow returns the entries of a row, none where it cannot be read.
+// decodeRow returns the entries of a row, or nil if its value is invalid.
 func decodeRow[E any](value json.RawMessage) []E {
 	var b []byte
 	if json.Unmarshal(value, &b) != nil {
@@ -264,15 +271,15 @@
 	return l
 }
 
-// encodeRow returns a row's value: its entries in CBOR, in a JSON string.
+// encodeRow returns a row's value: its entries as CBOR, in a JSON string (base64).
 func encodeRow[E any](l []E) json.RawMessage {
 	b, err := cbor.Marshal(l)
 	if err != nil {
-		panic("linetiller: a row can always be encoded: " + err.Error())
+		panic("linetiller: cannot encode the entries of a row: " + err.Error())
 	}
 	v, err := json.Marshal(b)
 	if err != nil {
-		panic("linetiller: bytes can always be encoded: " + err.Error())
+		panic("linetiller: cannot encode the value of a row: " + err.Error())
 	}
 	return v
 }
--- a/register.go
+++ b/register.go
@@ -15,15 +15,36 @@
 	"github.com/linetiller/linetiller/internal/table"
 )
 
-// registerInterval is the mean time between looks at the box's own row: a look costs
-// no call where all is as it should be.
+// registerInterval is the mean time between checks of the box's own row. A check costs no call to
+// the store if the row is up to date.
 const registerInterval = 10 * time.Second
 
-// registerRetryDelay is how soon a box looks at its row again which the store has lost: what
-// it wrote comes back to it within some 100 ms.
+// registerRetryDelay is how soon a box checks its row again after writing it because the store had
+// lost it. The box reads its own write back within about 100 ms.
 const registerRetryDelay = 500 * time.Millisecond
 
-// register writes where this box is, unless the store has it so.
+// awaitRegisterDue waits until the box's own row is to be checked again: at a regular time or,
+// after registerRetryDelay, as soon as the store has lost the row.
+func (b *Box) awaitRegisterDue(ctx context.Context) {
+	retry := time.After(registerRetryDelay)
+	regular := time.After(registerInterval/2 + time.Duration(rand.Int64N(int64(registerInterval))))
+	select {
+	case <-ctx.Done():
+		return
+	case <-retry:
+	}
+	for c := b.view.Changed(); !b.rowLost(); c = b.view.Changed() {
+		select {
+		case <-ctx.Done():
+			return
+		case <-regular:
+			return
+		case <-c:
+		}
+	}
+}
+
+// register writes the address and hall of this box to its row, unless the row is up to date.
 func (b *Box) register(ctx context.Context) error {
 	want := resource.BoxSpec{Address: b.links.Address(), Hall: b.settings.Hall}
 	v, err := json.Marshal(&want)
@@ -40,7 +61,7 @@
 			return err
 		}
 		if row != nil && bytes.Equal(row.Value, v) {
-			return nil // the readers have yet to hear of it
+			return nil // already written, but not yet in the view
 		}
 		if row != nil {
 			revision = row.Revision
@@ -50,11 +71,11 @@
 		Conditions: []table.Condition{{Key: configuration.BoxKey(b.settings.Box), Revision: revision}},
 		Writes:     []table.Write{{Key: configuration.BoxKey(b.settings.Box), Value: v}},
 	})
-	return err // the readers hear of the row, and tell this box
+	return err // the written row reaches this view through the boxes that read the store
 }
 
-// removeUnreachable removes the rows of boxes that have not been reached for long. A box
-// that lives writes its row again.
+// removeUnreachable removes the rows of boxes that have been unreachable for a long time. One box
+// of the hall does so. A box that is still running writes its row again.
 func (b *Box) removeUnreachable(ctx context.Context) {
 	s := b.members.Self()
 	if policy.First("registrar", b.members.Alive(s.Hall)) != s.Name {
@@ -69,19 +90,19 @@
 		if err != nil || row == nil {
 			continue
 		}
-		if r, err := b.store.Commit(ctx, deleteTransaction(n, row.Revision)); err == nil && r.Committed { // or it is tried again at the next turn
+		if r, err := b.store.Commit(ctx, deleteTransaction(n, row.Revision)); err == nil && r.Committed { // on failure, the next round retries
 			event.PeerRemoved.Log(b.log, "box", n)
 		}
 	}
 }
 
-// rowLost reports whether the store, which came back from a copy, has lost this box's row.
+// rowLost reports whether the store was restored from a backup and has lost this box's row.
 func (b *Box) rowLost() bool {
 	return b.view.IsHeld(resource.KindBox, b.settings.Box)
 }
 
-// runRegister keeps the box's own row as it should be, and removes those of boxes
-// that are long gone.
+// runRegister keeps the box's own row up to date and removes the rows of boxes that have been
+// unreachable for a long time.
 func (b *Box) runRegister(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !b.stopping.Load() {
@@ -94,36 +115,17 @@
 	}
 }
 
-// awaitRegisterDue waits until the box's own row is to be looked at again.
-func (b *Box) awaitRegisterDue(ctx context.Context) {
-	retry := time.After(registerRetryDelay)
-	regular := time.After(registerInterval/2 + time.Duration(rand.Int64N(int64(registerInterval))))
-	select {
-	case <-ctx.Done():
-		return
-	case <-retry:
-	}
-	for c := b.view.Changed(); !b.rowLost(); c = b.view.Changed() {
-		select {
-		case <-ctx.Done():
-			return
-		case <-regular:
-			return
-		case <-c:
-		}
-	}
-}
-
-// unregister removes the box's own row, so that the others forget it at once.
+// unregister removes the box's own row, so that other boxes drop this one at once.
 func (b *Box) unregister(ctx context.Context) {
 	r := b.view.Get(resource.KindBox, b.settings.Box)
 	if r == nil {
 		return
 	}
-	_, _ = b.store.Commit(ctx, deleteTransaction(b.settings.Box, r.Revision())) // others remove it in the end
+	_, _ = b.store.Commit(ctx, deleteTransaction(b.settings.Box, r.Revision())) // on failure, another box removes it later
 }
 
-// deleteTransaction returns a transaction that removes a box's row as of a revision.
+// deleteTransaction returns a transaction that deletes a box's row if it is still at the given
+// revision.
 func deleteTransaction(name string, revision int64) *table.Transaction {
 	k := configuration.BoxKey(name)
 	return &table.Transaction{Conditions: []table.Condition{{Key: k, Revision: revision}}, Writes: []table.Write{{Delete: true, Key: k}}}
--- a/reload.go
+++ b/reload.go
@@ -7,9 +7,9 @@
 	"github.com/linetiller/linetiller/internal/settings"
 )
 
-// Reload applies new settings while the box runs, or what was wrong with them.
-// The budget of tries is in force at once; a change of anything else takes a
-// restart, and is logged as waiting for one.
+// Reload applies new settings while the box runs; err is the error that occurred while reading
+// them, if any, and is logged. Only a change of the retry budget takes effect at once. Whether
+// other changes need a restart is logged.
 func (b *Box) Reload(s *settings.Settings, err error) {
 	if err != nil {
 		event.ReloadFailed.Log(b.log, "error", err.Error())
--- a/rewrite.go
+++ b/rewrite.go
@@ -14,12 +14,12 @@
 	"github.com/linetiller/linetiller/internal/table"
 )
 
-// rewriteDelay is how long a reader waits before it writes again what operators declared and
-// the store has lost: meanwhile it hears of what other boxes know and it does not.
+// rewriteDelay is how long a box that reads the store waits before it writes declared resources
+// again that the store has lost. Meanwhile it receives changes that only other boxes know.
 const rewriteDelay = time.Second
 
-// rewrite writes a declared resource again as it is in force, unless its row has changed
-// since it was read.
+// rewrite writes the current version of a declared resource again, unless its row changes while it
+// does so or has been written in the meantime.
 func (b *Box) rewrite(ctx context.Context, c *resource.Change) error {
 	x := *c.Resource
 	x.Metadata.ResourceVersion = ""
@@ -37,7 +37,7 @@
 		condition = row.Revision
 	}
 	if !b.view.IsHeld(x.Kind, x.Metadata.Name) {
-		return nil // it was written meanwhile
+		return nil // written in the meantime
 	}
 	r, err := b.store.Commit(ctx, &table.Transaction{
 		Conditions: []table.Condition{{Key: key, Revision: condition}}, Writes: []table.Write{{Key: key, Value: v}},
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// rewriteAll writes all declared resources again that the store has lost.
+// rewriteAll writes again all declared resources that the store has lost.
 func (b *Box) rewriteAll(ctx context.Context) {
 	l := b.view.PossiblyLost(resource.SourceResources)
 	for i := range l {
@@ -59,8 +59,8 @@
 	}
 }
 
-// runRewrite has declared resources written again that a restored store has lost, by the boxes
-// that read it.
+// runRewrite writes declared resources again that a store has lost because it was restored from a
+// backup. Only boxes that read the store do so.
 func (b *Box) runRewrite(ctx context.Context) {
 	for {
 		c := b.view.Changed()
--- a/runsrow.go
+++ b/runsrow.go
@@ -10,35 +10,35 @@
 	"github.com/linetiller/linetiller/internal/table"
 )
 
-// runsRow is the state of a hall's row of requests that ran to their ends, as its writer needs it.
+// runsRow is the state of a hall's row of completed requests, as needed to write it.
 type runsRow struct {
-	changed   bool      // runs were reported that are not written yet
-	checkedAt time.Time // for something to write: a check takes some milliseconds
-	revision  int64     // of the row, 0 where there is none
-	triedAt   time.Time
-	written   map[policy.Fingerprint]bool
+	changed   bool                        // runs were reported since the last write
+	checkedAt time.Time                   // last check for something to write; a check takes a few milliseconds
+	revision  int64                       // of the row; 0 if there is none
+	triedAt   time.Time                   // last attempt to write
+	written   map[policy.Fingerprint]bool // fingerprints in the row; nil if unknown
 }
 
-// runEntry is a request in the row.
+// runEntry is a completed request in the row.
 type runEntry struct {
 	_           struct{} `cbor:",toarray"`
-	AtMS        int64    // when it last ran to its end, by the store's clock
+	AtMS        int64    // when it last completed, in Unix milliseconds of the store's clock
 	Fingerprint policy.Fingerprint
-	Times       int
+	Times       int // number of completed runs
 }
 
 const (
 	runsKind = "served"
-	// maxRuns bounds the requests of a row, of some 30 B each: a row may have 64 KB.
+	// maxRuns limits the requests in a row. Each takes about 30 B, and a row may have 64 KB.
 	maxRuns = 1024
-	// runsWriteInterval is the minimum time between two writes, frequentRunWriteInterval that for a request which has
-	// run frequentRunThreshold times and is not in the row.
+	// runsWriteInterval is the minimum time between two writes. If a request that has run at least
+	// frequentRunThreshold times is not in the row yet, frequentRunWriteInterval applies instead.
 	runsWriteInterval        = 30 * time.Second
 	frequentRunWriteInterval = 5 * time.Second
 	frequentRunThreshold     = 3
 )
 
-// mergeRunsRow records what the row of a hall holds.
+// mergeRunsRow adds the runs in a hall's row to those that this box knows.
 func (b *Box) mergeRunsRow(r *table.Row, hall string) {
 	k := b.recorder
 	l := k.decodeRuns(r.Value)
@@ -48,7 +48,7 @@
 	}
 }
 
-// writeRuns writes the row, where that is due.
+// writeRuns writes the row of completed requests if it is due.
 func (b *Box) writeRuns(ctx context.Context) {
 	k := b.recorder
 	l, revision := k.runsDue(b.relay.Frequent(), b.stopping.Load(), time.Now())
@@ -63,8 +63,8 @@
 	k.setRunsWritten(revision, l)
 }
 
-// decodeRuns returns the runs of a row. It leaves out those of a time to come: the store's clock was reset
-// since they were written, so that their age is unknown.
+// decodeRuns returns the runs in a row. It omits runs whose time lies in the future: the store's
+// clock was reset after they were written, so that their age is unknown.
 func (k *recorder) decodeRuns(value json.RawMessage) []policy.CompletedRun {
 	var l []policy.CompletedRun
 	for _, x := range decodeRow[runEntry](value) {
@@ -75,7 +75,14 @@
 	return l
 }
 
-// runEntries returns runs as the row has them.
+// markRunsChanged records that there are runs to write.
+func (k *recorder) markRunsChanged() {
+	k.mutex.Lock()
+	defer k.mutex.Unlock()
+	k.runs.changed = true
+}
+
+// runEntries converts runs to entries of the row.
 func (k *recorder) runEntries(runs []policy.CompletedRun) []runEntry {
 	var l []runEntry
 	for _, x := range runs {
@@ -84,7 +91,8 @@
 	return l
 }
 
-// runsDue returns the runs to write now, if any, and the row's revision.
+// runsDue returns the runs to write now and the row's revision; it returns no runs if no write is
+// due. A box that is leaving writes without waiting for the intervals.
 func (k *recorder) runsDue(f *policy.FrequentRuns, leaving bool, now time.Time) ([]policy.CompletedRun, int64) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -103,14 +111,7 @@
 	return l, r.revision
 }
 
-// markRunsChanged records that runs are known that are not written yet.
-func (k *recorder) markRunsChanged() {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.runs.changed = true
-}
-
-// setRunsWritten records what the row holds.
+// setRunsWritten records the contents and the revision of the row.
 func (k *recorder) setRunsWritten(revision int64, l []policy.CompletedRun) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -122,10 +123,10 @@
 	}
 }
 
-// invalidate records that it is not known what the row holds.
+// invalidate marks the contents of the row as unknown.
 func (r *runsRow) invalidate() {
 	r.revision, r.written = 0, nil
 }
 
-// runsKey returns the key of a hall's row.
+// runsKey returns the key of a hall's row of completed requests.
 func runsKey(hall string) string { return keptTable + "/" + runsKind + "/" + hall }
--- a/stopping.go
+++ b/stopping.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// abortTimeout bounds the wait for requests that are ended: within what graceMargin leaves.
+	// abortTimeout limits the wait for aborted requests to end. It lies within graceMargin.
 	abortTimeout = 200 * time.Millisecond
-	// lastCallsTimeout is what is left for calls in progress once no more are taken: they
-	// take some 60 ms, and 0.3 s is wanted.
+	// lastCallsTimeout is the time reserved for the calls in progress once no new ones are
+	// accepted. Calls take about 60 ms, and 0.3 s is required.
 	lastCallsTimeout = time.Second
-	// streamPollInterval is the time between looks whether streams are still in progress.
+	// streamPollInterval is the time between checks whether streams are still in progress.
 	streamPollInterval = 50 * time.Millisecond
-	// graceMargin is what is left of the grace for the last answers and the box's own
-	// row: a small box closes its connections within some 100 ms.
+	// graceMargin is the part of the grace period reserved for the last responses and for removing
+	// the box's own row. A small box closes its connections within about 100 ms.
 	graceMargin     = 500 * time.Millisecond
-	shutdownTimeout = 5 * time.Second // for the last answers to reach their clients
+	shutdownTimeout = 5 * time.Second // for the last responses to be sent
 )
 
-// Close stops the box at once, without waiting for requests in progress, and
-// waits for all that it started.
+// Close stops the box at once, without waiting for requests in progress, and waits until everything
+// that it started has ended.
 func (b *Box) Close() error {
 	var err error
 	b.closing.Do(func() {
@@ -35,16 +35,16 @@
 				_ = v.listener.Close()
 			}
 		}
-		err = errors.Join(err, b.relay.Abort(), b.deliverer.Abort()) // workers may wait for what is in progress
+		err = errors.Join(err, b.relay.Abort(), b.deliverer.Abort()) // before workers.Wait: workers may wait for requests in progress
 		b.workers.Wait()
 		err = errors.Join(err, b.keys.Close(), b.links.Close(), b.engines.Close(), b.routedEngines.Close(), b.store.Close())
 	})
 	return err
 }
 
-// Leave makes Serve finish what is in progress and return: other boxes are told, and the
-// balancer sees the box as not ready. Requests that still come are taken until the drain
-// is over, and those that are no streams for as long as streams are in progress.
+// Leave makes Serve drain the box and return. It tells the other boxes, and the readiness check
+// fails from now on. New requests are still accepted until the drain period ends and, other than
+// streams, for as long as streams are in progress.
 func (b *Box) Leave() {
 	if b.stopping.Swap(true) {
 		return
@@ -54,8 +54,8 @@
 	close(b.leaveRequested)
 }
 
-// abortRequests ends what is still in progress before connections are closed: streams break
-// off, and what waits is told that it has not run.
+// abortRequests aborts the requests still in progress before connections are closed: streams are
+// cut off, and the callers of waiting requests are told that these have not run.
 func (b *Box) abortRequests() {
 	done := make(chan struct{})
 	b.startWorker(func() {
@@ -68,7 +68,8 @@
 	}
 }
 
-// awaitStreams goes on taking calls while streams are in progress, up to a time.
+// awaitStreams waits until no stream is in progress, but not past until. The box still accepts
+// other calls meanwhile.
 func (b *Box) awaitStreams(ctx context.Context, until time.Time) {
 	for b.relay.Streams() > 0 && time.Now().Before(until) {
 		select {
@@ -79,29 +80,10 @@
 	}
 }
 
-// drainPeriod returns how long a box that was asked to stop goes on taking requests: at
-// most half of the grace.
-func (b *Box) drainPeriod() time.Duration {
-	t := b.settings.Timeouts
-	if t.Grace.Duration > 0 {
-		return min(t.Drain.Duration, t.Grace.Duration/2)
-	}
-	return t.Drain.Duration
-}
-
-// endWorkers lets no worker start any more, and ends those that there are.
-func (b *Box) endWorkers() {
-	b.lifecycle.Lock()
-	defer b.lifecycle.Unlock()
-	b.closed = true
-	if b.cancel != nil {
-		b.cancel()
-	}
-}
-
-// drain goes on serving until the balancer must have seen that the box is not ready, but
-// for streams that would outlast it. Then it refuses all new streams, takes other requests
-// while streams are in progress, and waits for what remains, up to the time for leaving.
+// drain keeps serving until the load balancer must have noticed that the box is not ready, but
+// already refuses streams that would outlast the box. Then it refuses all new streams, accepts
+// other requests while streams are in progress, and waits for the remaining requests until
+// leaveDeadline.
 func (b *Box) drain(ctx context.Context) {
 	now := time.Now()
 	deadline := b.leaveDeadline(now)
@@ -123,8 +105,18 @@
 	b.shutDown(ctx)
 }
 
-// drainRequests refuses new requests and waits for those in progress, and reports
-// whether they ended before the context did.
+// drainPeriod returns how long a leaving box goes on accepting all requests: at most half of the
+// grace period.
+func (b *Box) drainPeriod() time.Duration {
+	t := b.settings.Timeouts
+	if t.Grace.Duration > 0 {
+		return min(t.Drain.Duration, t.Grace.Duration/2)
+	}
+	return t.Drain.Duration
+}
+
+// drainRequests refuses new requests and waits for those in progress. It reports false if ctx ends
+// first.
 func (b *Box) drainRequests(ctx context.Context) bool {
 	done := make(chan struct{})
 	b.startWorker(func() {
@@ -140,7 +132,17 @@
 	}
 }
 
-// hasOtherBoxes reports whether another box of the hall takes requests.
+// endWorkers cancels the running workers and prevents new ones from starting.
+func (b *Box) endWorkers() {
+	b.lifecycle.Lock()
+	defer b.lifecycle.Unlock()
+	b.closed = true
+	if b.cancel != nil {
+		b.cancel()
+	}
+}
+
+// hasOtherBoxes reports whether another box of the hall accepts requests.
 func (b *Box) hasOtherBoxes() bool {
 	for _, n := range b.members.Alive(b.settings.Hall) {
 		if n != b.settings.Box {
@@ -150,8 +152,9 @@
 	return false
 }
 
-// leaveDeadline returns when streams are ended of a box that was asked to stop at a time:
-// shortly before it is killed, where somebody does that.
+// leaveDeadline returns when a box that was asked to leave at requestedAt cuts off its streams:
+// shortly before it is killed, if a grace period is configured, or after the drain and leave
+// periods.
 func (b *Box) leaveDeadline(requestedAt time.Time) time.Time {
 	t := b.settings.Timeouts
 	if t.Grace.Duration > 0 {
@@ -160,7 +163,8 @@
 	return requestedAt.Add(t.Drain.Duration + t.Leave.Duration)
 }
 
-// shutDown lets the last answers reach their clients and removes the box's own row.
+// shutDown lets the servers for clients and the load balancer send their last responses, for up to
+// shutdownTimeout, and removes the box's own row.
 func (b *Box) shutDown(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
