--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -13,13 +13,13 @@
 	"slices"
 )
 
-// Account is where the worth of one day went.
-type Account struct {
-	Day    string
-	Losses []Loss  // the largest first
-	Lost   float64 // share of the worth owed
-	Waited float64 // share of the worth owed that waits which ended unserved count for, see waited
-	Tries  []Try   // that did not go well, in order of their end
+// Breakdown is where the worth of one day went.
+type Breakdown struct {
+	Day           string
+	Losses        []Loss    // the largest first
+	Lost          float64   // share of the worth owed
+	UnservedWaits float64   // share of the worth owed that waits which ended unserved count for, see waited
+	Attempts      []Attempt // that did not go well, in order of their end
 }
 
 // Loss is what one cause cost.
@@ -29,74 +29,74 @@
 	Worth    float64            // share of the day's worth owed
 }
 
-// New makes the account of a day.
-func New(day string, r *Report, s *Site, l *Log) *Account {
-	a := &Account{Day: day, Tries: l.tries(s.aims(r, l))}
+// NewBreakdown makes the account of a day.
+func NewBreakdown(day string, r *Report, s *Site, l *Log) *Breakdown {
+	b := &Breakdown{Day: day, Attempts: l.unsuccessfulAttempts(s.targets(r, l))}
 	losses := make(map[Cause]*Loss)
-	owed := s.owed(r)
+	owed := s.owedShares(r)
 	for i := range r.Classes {
 		c := &r.Classes[i]
 		lost := owed[c.Name] * (1 - c.Worth)
-		a.Lost += lost
-		for cause, requests := range c.causes(a.Tries) {
+		b.Lost += lost
+		for cause, requests := range c.causes(b.Attempts) {
 			x := losses[cause]
 			if x == nil {
 				x = &Loss{Cause: cause, Requests: make(map[string]float64)}
 				losses[cause] = x
 			}
 			x.Requests[c.Name] += requests
-			x.Worth += lost * requests * s.weight(c.Name, cause) / c.weighed(a.Tries, s)
+			x.Worth += lost * requests * s.lossFraction(c.Name, cause) / c.totalLoss(b.Attempts, s)
 		}
 	}
-	a.Waited = s.waited(r, a.Tries)
+	b.UnservedWaits = s.unservedWaitShare(r, b.Attempts)
 	for _, x := range losses {
-		a.Losses = append(a.Losses, *x)
+		b.Losses = append(b.Losses, *x)
 	}
-	slices.SortFunc(a.Losses, func(x, y Loss) int {
+	slices.SortFunc(b.Losses, func(x, y Loss) int {
 		return cmp.Or(cmp.Compare(y.Worth, x.Worth), cmp.Compare(x.Cause, y.Cause))
 	})
-	return a
+	return b
 }
 
 // causes returns how many lost requests of a kind each cause has: the lost tries of its
 // route, in proportion to what the report counts, and what no box saw.
-func (c *Class) causes(tries []Try) map[Cause]float64 {
+func (c *Class) causes(attempts []Attempt) map[Cause]float64 {
 	late, lost := make(map[Cause]float64), make(map[Cause]float64)
-	for i := range tries {
-		t := &tries[i]
+	for i := range attempts {
+		t := &attempts[i]
 		switch {
-		case t.Kind != c.Name:
+		case t.Class != c.Name:
 		case t.Cause.late():
 			late[t.Cause]++
 		default:
 			lost[t.Cause]++
 		}
 	}
-	share(lost, float64(c.Failed+c.Refused), CauseUnseen)
-	share(late, float64(c.Late), CauseLate)
+	scaleTo(lost, float64(c.Failed+c.Refused), CauseNotLogged)
+	scaleTo(late, float64(c.Late), CauseLate)
 	maps.Copy(lost, late)
 	return lost
 }
 
-// weighed returns the sum of what the lost requests of a kind weigh.
-func (c *Class) weighed(tries []Try, s *Site) float64 {
+// totalLoss returns the sum of what the lost requests of a kind weigh.
+func (c *Class) totalLoss(attempts []Attempt, s *Site) float64 {
 	sum := 0.0
-	for cause, n := range c.causes(tries) {
-		sum += n * s.weight(c.Name, cause)
+	for cause, n := range c.causes(attempts) {
+		sum += n * s.lossFraction(c.Name, cause)
 	}
 	return sum
 }
 
-// share makes the counts sum to total: they are taken in proportion where they are more,
+// scaleTo makes the counts sum to total: they are taken in proportion where they are more,
 // and the rest is given to another cause where they are fewer.
-func share(counts map[Cause]float64, total float64, rest Cause) {
+func scaleTo(counts map[Cause]float64, total float64, remainder Cause) {
 	sum := 0.0
 	for _, n := range counts {
 		sum += n
 	}
 	if sum <= total {
 		if total > sum {
-			counts[rest] += total - sum
+			counts[remainder] += total - sum
 		}
 		return
 	}
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -14,57 +14,57 @@
 // testDay is a day of two kinds of request at two boxes of two halls.
 type testDay struct{ log strings.Builder }
 
-// line adds a line at some seconds of the day.
-func (d *testDay) line(second float64, box string, event int, fields string) {
+// addLine adds a line at some seconds of the day.
+func (d *testDay) addLine(second float64, box string, event int, fields string) {
 	at := time.Unix(1000, 0).UTC().Add(time.Duration(second * float64(time.Second)))
 	_, _ = fmt.Fprintf(&d.log, "%8.3f %s {\"time\":%q,\"box\":%q,\"event\":%d%s}\n", second, box, at.Format(time.RFC3339Nano), box, event, fields)
 }
 
-// placed adds the send of a stream.
-func (d *testDay) placed(second float64, box, id, upstream, hall string) {
-	d.line(second, box, 207, fmt.Sprintf(`,"request":%q,"route":"r-1","upstream":%q,"hall":%q,"try":1,"prompt_tokens":9,"hint":700`, id, upstream, hall))
+// addPlaced adds the send of a stream.
+func (d *testDay) addPlaced(second float64, box, id, upstream, hall string) {
+	d.addLine(second, box, 207, fmt.Sprintf(`,"request":%q,"route":"r-1","upstream":%q,"hall":%q,"try":1,"prompt_tokens":9,"hint":700`, id, upstream, hall))
 }
 
-// broken adds the break of a stream of box a.
-func (d *testDay) broken(second float64, id, upstream string) {
-	d.line(second, "a", 203, fmt.Sprintf(`,"request":%q,"route":"r-1","upstream":%q,"reason":"stream_broken"`, id, upstream))
+// addBroken adds the break of a stream of box a.
+func (d *testDay) addBroken(second float64, id, upstream string) {
+	d.addLine(second, "a", 203, fmt.Sprintf(`,"request":%q,"route":"r-1","upstream":%q,"reason":"stream_broken"`, id, upstream))
 }
 
 // newTestDay returns a day on which a stream was lost for each cause.
 func newTestDay() *testDay {
 	d := new(testDay)
-	d.line(0, "a", 101, `,"hall":"h1"`)
-	d.line(0, "b", 101, `,"hall":"h2"`)
-	d.placed(1, "a", "gone", "u1", "h1")
-	d.broken(2, "gone", "u1")
-	d.placed(1, "a", "reclaimed", "u1", "h1")
-	d.line(2, "a", 307, `,"request":"reclaimed","upstream":"u1"`)
-	d.broken(3, "reclaimed", "u1")
-	d.placed(1, "a", "cut", "u2", "h2")
-	d.broken(4, "cut", "u2")
-	d.placed(1, "a", "moved away and cut", "u1", "h1")
-	d.line(2, "a", 307, `,"request":"moved away and cut","upstream":"u1"`)
-	d.line(3, "a", 309, `,"request":"moved away and cut","from":"u1","to":"u2","pause_ms":30`)
-	d.broken(4, "moved away and cut", "u2")
-	d.placed(1, "a", "paused", "u1", "h1")
-	d.line(3, "a", 309, `,"request":"paused","from":"u1","to":"u3","pause_ms":300`)
-	d.line(5, "a", 201, `,"request":"paused","route":"r-1","status":200`)
-	d.line(5, "a", 202, `,"request":"refused","route":"r-1","reason":"deadline","took_ms":3900`)
-	d.line(5, "a", 202, `,"request":"no key","route":"r-1","reason":"key_unknown"`)
-	d.placed(5, "b", "stopped", "u2", "h2")
-	d.line(6, "b", 104, "")
-	d.line(6, "b", 206, `,"request":"stopped","route":"r-1"`)
-	d.placed(6, "b", "box died", "u2", "h2")
-	d.line(10, "b", 101, `,"hall":"h2"`)
-	d.placed(30, "a", "all died", "u1", "h1")
-	d.line(32, "a", 101, `,"hall":"h1"`)
-	d.line(33, "b", 101, `,"hall":"h2"`)
-	d.line(0, "c", 101, `,"hall":"h1"`)
-	d.placed(20, "c", "box died for good", "u1", "h1")
-	d.placed(34, "a", "under way", "u1", "h1")
+	d.addLine(0, "a", 101, `,"hall":"h1"`)
+	d.addLine(0, "b", 101, `,"hall":"h2"`)
+	d.addPlaced(1, "a", "gone", "u1", "h1")
+	d.addBroken(2, "gone", "u1")
+	d.addPlaced(1, "a", "reclaimed", "u1", "h1")
+	d.addLine(2, "a", 307, `,"request":"reclaimed","upstream":"u1"`)
+	d.addBroken(3, "reclaimed", "u1")
+	d.addPlaced(1, "a", "cut", "u2", "h2")
+	d.addBroken(4, "cut", "u2")
+	d.addPlaced(1, "a", "moved away and cut", "u1", "h1")
+	d.addLine(2, "a", 307, `,"request":"moved away and cut","upstream":"u1"`)
+	d.addLine(3, "a", 309, `,"request":"moved away and cut","from":"u1","to":"u2","pause_ms":30`)
+	d.addBroken(4, "moved away and cut", "u2")
+	d.addPlaced(1, "a", "paused", "u1", "h1")
+	d.addLine(3, "a", 309, `,"request":"paused","from":"u1","to":"u3","pause_ms":300`)
+	d.addLine(5, "a", 201, `,"request":"paused","route":"r-1","status":200`)
+	d.addLine(5, "a", 202, `,"request":"refused","route":"r-1","reason":"deadline","took_ms":3900`)
+	d.addLine(5, "a", 202, `,"request":"no key","route":"r-1","reason":"key_unknown"`)
+	d.addPlaced(5, "b", "stopped", "u2", "h2")
+	d.addLine(6, "b", 104, "")
+	d.addLine(6, "b", 206, `,"request":"stopped","route":"r-1"`)
+	d.addPlaced(6, "b", "box died", "u2", "h2")
+	d.addLine(10, "b", 101, `,"hall":"h2"`)
+	d.addPlaced(30, "a", "all died", "u1", "h1")
+	d.addLine(32, "a", 101, `,"hall":"h1"`)
+	d.addLine(33, "b", 101, `,"hall":"h2"`)
+	d.addLine(0, "c", 101, `,"hall":"h1"`)
+	d.addPlaced(20, "c", "box died for good", "u1", "h1")
+	d.addPlaced(34, "a", "under way", "u1", "h1")
 	for i := range 4 {
-		d.line(7, "a", 207, fmt.Sprintf(`,"request":"call-%d","route":"r-2","upstream":"s1","hall":"h1","try":1`, i))
-		d.line(8, "a", 201, fmt.Sprintf(`,"request":"call-%d","route":"r-2","status":500`, i))
+		d.addLine(7, "a", 207, fmt.Sprintf(`,"request":"call-%d","route":"r-2","upstream":"s1","hall":"h1","try":1`, i))
+		d.addLine(8, "a", 201, fmt.Sprintf(`,"request":"call-%d","route":"r-2","status":500`, i))
 	}
 	return d
 }
@@ -75,17 +75,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	long := &SiteStream{PauseMS: 180}
-	long.Pieces.Mean = 200
-	short := &SiteStream{PauseMS: 180}
-	short.Pieces.Mean = 3
+	long := &SiteStream{GapTargetMS: 180}
+	long.Events.Mean = 200
+	short := &SiteStream{GapTargetMS: 180}
+	short.Events.Mean = 3
 	s := &Site{Classes: []SiteClass{
-		{AimMS: 1800, DeadlineMS: 39_000, LateWorth: 20, Name: "long", Stream: long, Worth: 130}, {Name: "short", Stream: short, Worth: 14}, {AimMS: 150, LateWorth: 0.3, Name: "call", Worth: 1},
+		{TargetMS: 1800, DeadlineMS: 39_000, LateWorth: 20, Name: "long", Stream: long, Worth: 130}, {Name: "short", Stream: short, Worth: 14}, {TargetMS: 150, LateWorth: 0.3, Name: "call", Worth: 1},
 	}}
 	r := &Report{Classes: []Class{
-		{Failed: 9, Late: 2, Name: "long", Number: 12, Refused: 1, Worth: 0.1}, {Failed: 2, Name: "call", Number: 4, Worth: 0.5},
+		{Failed: 9, Late: 2, Name: "long", Count: 12, Refused: 1, Worth: 0.1}, {Failed: 2, Name: "call", Count: 4, Worth: 0.5},
 	}}
-	a := New("day", r, s, NewLog(lines))
+	a := NewBreakdown("day", r, s, NewLog(lines))
 	got := make(map[Cause]float64)
 	sum := 0.0
 	for _, x := range a.Losses {
@@ -93,8 +93,8 @@
 		sum += x.Worth
 	}
 	for c, want := range map[Cause]float64{
-		CauseAllBoxesDied: 1, CauseBoxDied: 2, CauseBoxStopped: 1, CauseCut: 2, CauseFailed: 2, CauseGone: 1,
-		CauseLate: 1, CauseLatePause: 1, CauseReclaimed: 1, CauseRefused: 1, CauseUnseen: 1,
+		CauseAllBoxesDied: 1, CauseBoxDied: 2, CauseBoxStopped: 1, CauseHallLost: 2, CauseFailed: 2, CauseEngineGone: 1,
+		CauseLate: 1, CauseLateMove: 1, CauseReclaimed: 1, CauseRefused: 1, CauseNotLogged: 1,
 	} {
 		if got[c] != want {
 			t.Errorf("%s: got %v requests, want %v", c, got[c], want)
@@ -103,7 +103,7 @@
 	if math.Abs(sum-a.Lost) > 1e-9 || a.Lost < 0.8 {
 		t.Errorf("sum over the causes: got %v, want %v", sum, a.Lost)
 	}
-	if got, want := a.Waited, 0.1*130/(12*130+4); math.Abs(got-want) > 1e-9 {
+	if got, want := a.UnservedWaits, 0.1*130/(12*130+4); math.Abs(got-want) > 1e-9 {
 		t.Errorf("waits that ended unserved: got %v, want %v", got, want)
 	}
 	var b bytes.Buffer
@@ -111,10 +111,10 @@
 		t.Errorf("got %q %v, want a table", b.String(), err)
 	}
 	b.Reset()
-	if err := a.PrintTries(&b, ByHall); err != nil || !strings.Contains(b.String(), "h2") {
+	if err := a.PrintAttempts(&b, ByHall); err != nil || !strings.Contains(b.String(), "h2") {
 		t.Errorf("got %q %v, want a table by hall", b.String(), err)
 	}
-	if got, want := ByWindow(time.Unix(1000, 0))(&Try{Ended: time.Unix(1012, 0)}), " 10 s"; got != want {
+	if got, want := ByWindow(time.Unix(1000, 0))(&Attempt{Ended: time.Unix(1012, 0)}), " 10 s"; got != want {
 		t.Errorf("window: got %q, want %q", got, want)
 	}
 }
@@ -122,14 +122,14 @@
 // TestLateStreamsAreToldApart checks why streams were late by the times that their last lines
 // tell: a wait for a place, a prompt that was read slowly, a pause at the engine, or none.
 func TestLateStreamsAreToldApart(t *testing.T) {
-	a := &aim{answer: 1800 * time.Millisecond, kind: "long", pause: 180 * time.Millisecond}
+	a := &latencyTarget{response: 1800 * time.Millisecond, class: "long", pause: 180 * time.Millisecond}
 	for _, x := range []struct {
 		waited, first, pause int // milliseconds
 		want                 Cause
 	}{
 		{100, 600, 60, ""},
 		{1700, 2100, 60, CauseLateWait},
-		{300, 2100, 60, CauseLateRead},
+		{300, 2100, 60, CauseLatePrefill},
 		{100, 600, 400, CauseLateStall},
 	} {
 		text := fmt.Sprintf(`{"time":"2026-12-02T10:00:00Z","box":"a","event":207,"request":"r","waited_ms":%d}`+"\n"+
@@ -151,7 +151,7 @@
 	d := new(testDay)
 	for i := range 20 {
 		id := fmt.Sprint("r-", i)
-		d.line(1, "a", 207, fmt.Sprintf(`,"request":%q,"route":"r-1","upstream":"u1","hall":"h1","try":1,"hint":700`, id))
+		d.addLine(1, "a", 207, fmt.Sprintf(`,"request":%q,"route":"r-1","upstream":"u1","hall":"h1","try":1,"hint":700`, id))
 		end := fmt.Sprintf(`,"request":%q,"route":"r-1","status":200,"first_ms":300,"prompt_tokens":%d`, id, 100+i)
 		event := 201
 		switch {
@@ -160,21 +160,21 @@
 		case i == 17:
 			end = strings.Replace(end, "300", "9000", 1)
 		}
-		d.line(2, "a", event, end)
+		d.addLine(2, "a", event, end)
 	}
 	lines, err := explain.Read(strings.NewReader(d.log.String()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	long := &SiteStream{PauseMS: 180}
-	long.Pieces.Mean = 200
-	s := &Site{Classes: []SiteClass{{AimMS: 1800, Name: "long", Stream: long, Worth: 130}}}
+	long := &SiteStream{GapTargetMS: 180}
+	long.Events.Mean = 200
+	s := &Site{Classes: []SiteClass{{TargetMS: 1800, Name: "long", Stream: long, Worth: 130}}}
 	got := NewLog(lines).Sizes(s, new(Report))
 	if len(got) != 4 {
 		t.Fatalf("size classes: got %+v, want 4", got)
 	}
-	for i, want := range []SizeClass{{Tries: 10, Prompt: 100}, {Tries: 4, Prompt: 110}, {Tries: 4, Prompt: 114, Late: 1}, {Tries: 2, Prompt: 118}} {
-		if g := &got[i]; g.Tries != want.Tries || g.Prompt != want.Prompt || g.Late != want.Late {
+	for i, want := range []SizeClass{{Attempts: 10, MinPromptTokens: 100}, {Attempts: 4, MinPromptTokens: 110}, {Attempts: 4, MinPromptTokens: 114, Late: 1}, {Attempts: 2, MinPromptTokens: 118}} {
+		if g := &got[i]; g.Attempts != want.Attempts || g.MinPromptTokens != want.MinPromptTokens || g.Late != want.Late {
 			t.Errorf("%s: got %+v, want %+v", g.Name, *g, want)
 		}
 	}
--- a/internal/account/print.go
+++ b/internal/account/print.go
@@ -14,37 +14,37 @@
 
 // Print writes the account: each cause with what it cost, in requests of each kind and in
 // the share of the worth owed.
-func (a *Account) Print(w io.Writer) error {
+func (b *Breakdown) Print(w io.Writer) error {
 	kinds := make(map[string]bool)
-	for _, x := range a.Losses {
+	for _, x := range b.Losses {
 		for k := range x.Requests {
 			kinds[k] = true
 		}
 	}
 	names := slices.Sorted(maps.Keys(kinds))
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprint(t, a.Day, "\tworth\t")
+	_, _ = fmt.Fprint(t, b.Day, "\tworth\t")
 	for _, n := range names {
 		_, _ = fmt.Fprintf(t, "%s\t", n)
 	}
 	_, _ = fmt.Fprintln(t)
-	for _, x := range a.Losses {
+	for _, x := range b.Losses {
 		_, _ = fmt.Fprintf(t, "%s\t%.4f\t", x.Cause, x.Worth)
 		for _, n := range names {
 			_, _ = fmt.Fprintf(t, "%.1f\t", x.Requests[n])
 		}
 		_, _ = fmt.Fprintln(t)
 	}
-	_, _ = fmt.Fprintf(t, "lost\t%.4f\t\n", a.Lost)
-	_, _ = fmt.Fprintf(t, "waits that ended unserved, by their length\t%.4f\t\n", a.Waited)
+	_, _ = fmt.Fprintf(t, "lost\t%.4f\t\n", b.Lost)
+	_, _ = fmt.Fprintf(t, "waits that ended unserved, by their length\t%.4f\t\n", b.UnservedWaits)
 	return t.Flush()
 }
 
-// PrintTries writes how many tries of each cause there were in each group.
-func (a *Account) PrintTries(w io.Writer, group func(t *Try) string) error {
+// PrintAttempts writes how many tries of each cause there were in each group.
+func (b *Breakdown) PrintAttempts(w io.Writer, group func(t *Attempt) string) error {
 	counts, groups := make(map[Cause]map[string]int), make(map[string]bool)
-	for i := range a.Tries {
-		t := &a.Tries[i]
+	for i := range b.Attempts {
+		t := &b.Attempts[i]
 		g := group(t)
 		groups[g] = true
 		if counts[t.Cause] == nil {
@@ -70,11 +70,11 @@
 }
 
 // ByHall groups tries by the hall of their box.
-func ByHall(t *Try) string { return t.Hall }
+func ByHall(t *Attempt) string { return t.Hall }
 
 // ByWindow returns a grouping of tries by when they ended, from a moment on.
-func ByWindow(from time.Time) func(t *Try) string {
-	return func(t *Try) string {
+func ByWindow(from time.Time) func(t *Attempt) string {
+	return func(t *Attempt) string {
 		return fmt.Sprintf("%3d s", int(t.Ended.Sub(from)/windowLength)*int(windowLength/time.Second))
 	}
 }
--- a/internal/account/report.go
+++ b/internal/account/report.go
@@ -16,7 +16,7 @@
 	Late    int     `json:"late"`
 	Name    string  `json:"name"`
 	NotOwed int     `json:"not_owed"`
-	Number  int     `json:"n"`
+	Count   int     `json:"n"`
 	Refused int     `json:"refused"`
 	Worth   float64 `json:"worth"` // share of the worth owed that it earned
 }
--- a/internal/account/site.go
+++ b/internal/account/site.go
@@ -15,7 +15,7 @@
 
 // SiteClass is one kind of request.
 type SiteClass struct {
-	AimMS      float64     `toml:"aim_ms"` // within which the answer, or its first event, is wanted
+	TargetMS   float64     `toml:"aim_ms"` // within which the answer, or its first event, is wanted
 	DeadlineMS float64     `toml:"deadline_ms"`
 	LateWorth  float64     `toml:"late_worth"`
 	Name       string      `toml:"name"`
@@ -25,21 +25,21 @@
 
 // SiteStream describes the answers of a kind of request that are streams.
 type SiteStream struct {
-	PauseMS float64 `toml:"gap_aim_ms"` // between two events
-	Pieces  struct {
+	GapTargetMS float64 `toml:"gap_aim_ms"` // between two events
+	Events      struct {
 		Mean float64 `toml:"mean"`
 	} `toml:"pieces"` // events
 }
 
-// aim is the kind of request of a route, with what is wanted of it.
-type aim struct {
-	answer, pause time.Duration
-	kind          string
+// latencyTarget is the kind of request of a route, with what is wanted of it.
+type latencyTarget struct {
+	response, pause time.Duration
+	class           string
 }
 
-// tokensAnEvent is how many tokens an event of a stream holds; callers'
+// tokensPerEvent is how many tokens an event of a stream holds; callers'
 // estimates are in tokens.
-const tokensAnEvent = 4
+const tokensPerEvent = 4
 
 // ReadSite reads a site's file.
 func ReadSite(path string) (*Site, error) {
@@ -54,22 +54,22 @@
 	return s, nil
 }
 
-// aims finds the kind of request of each route. Routes have other names each day, and a kind
+// targets finds the kind of request of each route. Routes have other names each day, and a kind
 // may have several. A route of streams is of the kind whose streams are about as long as its
 // callers expect; another one is that whose number of tries is nearest to the report's.
-func (s *Site) aims(r *Report, l *Log) map[string]aim {
-	m := make(map[string]aim)
+func (s *Site) targets(r *Report, l *Log) map[string]latencyTarget {
+	m := make(map[string]latencyTarget)
 	for route, x := range l.routes() {
 		if x.hint == 0 {
 			continue
 		}
-		if c := s.nearest(func(c *SiteClass) float64 {
+		if c := s.closestClass(func(c *SiteClass) float64 {
 			if c.Stream == nil {
 				return 0
 			}
-			return c.Stream.Pieces.Mean * tokensAnEvent / (x.hint / float64(x.tries))
+			return c.Stream.Events.Mean * tokensPerEvent / (x.hint / float64(x.attempts))
 		}); c != nil {
-			m[route] = aim{answer: milliseconds(c.AimMS), kind: c.Name, pause: milliseconds(c.Stream.PauseMS)}
+			m[route] = latencyTarget{response: milliseconds(c.TargetMS), class: c.Name, pause: milliseconds(c.Stream.GapTargetMS)}
 		}
 	}
 	for _, c := range r.Classes {
@@ -77,16 +77,16 @@
 		if x.Stream != nil {
 			continue
 		}
-		if route := l.callRoute(c.Number, m); route != "" {
-			m[route] = aim{answer: milliseconds(x.AimMS), kind: c.Name}
+		if route := l.closestCallRoute(c.Count, m); route != "" {
+			m[route] = latencyTarget{response: milliseconds(x.TargetMS), class: c.Name}
 		}
 	}
 	return m
 }
 
-// nearest returns the kind of request whose ratio is nearest to 1, among those where it is
+// closestClass returns the kind of request whose ratio is nearest to 1, among those where it is
 // not 0; nil where there is none.
-func (s *Site) nearest(ratio func(c *SiteClass) float64) *SiteClass {
+func (s *Site) closestClass(ratio func(c *SiteClass) float64) *SiteClass {
 	var best *SiteClass
 	least := math.Inf(1)
 	for i := range s.Classes {
@@ -108,43 +108,43 @@
 	return new(SiteClass)
 }
 
-// owed returns the share of the day's worth that each kind was owed.
-func (s *Site) owed(r *Report) map[string]float64 {
-	m, sum := make(map[string]float64), s.owedWorth(r)
+// owedShares returns the share of the day's worth that each kind was owed.
+func (s *Site) owedShares(r *Report) map[string]float64 {
+	m, sum := make(map[string]float64), s.totalOwedWorth(r)
 	for _, c := range r.Classes {
-		m[c.Name] = s.class(c.Name).Worth * float64(c.Number-c.NotOwed) / sum
+		m[c.Name] = s.class(c.Name).Worth * float64(c.Count-c.NotOwed) / sum
 	}
 	return m
 }
 
-// owedWorth returns the day's worth.
-func (s *Site) owedWorth(r *Report) float64 {
+// totalOwedWorth returns the day's worth.
+func (s *Site) totalOwedWorth(r *Report) float64 {
 	sum := 0.0
 	for _, c := range r.Classes {
-		sum += s.class(c.Name).Worth * float64(c.Number-c.NotOwed)
+		sum += s.class(c.Name).Worth * float64(c.Count-c.NotOwed)
 	}
 	return sum
 }
 
-// waited returns what the users' stricter measure charges for waits, as a share of the
+// unservedWaitShare returns what the users' stricter measure charges for waits, as a share of the
 // worth owed: a request that is held, never sent to an upstream and not served costs the
 // share of its worth that its wait was of the time it had, without steps; each try of a
 // caller by itself.
-func (s *Site) waited(r *Report, tries []Try) float64 {
+func (s *Site) unservedWaitShare(r *Report, attempts []Attempt) float64 {
 	charged := 0.0
-	for i := range tries {
-		t := &tries[i]
-		c := s.class(t.Kind)
-		if !t.Offered && !t.Cause.late() && c.DeadlineMS > 0 {
-			charged += c.Worth * min(1, float64(t.Took)/float64(milliseconds(c.DeadlineMS)))
+	for i := range attempts {
+		t := &attempts[i]
+		c := s.class(t.Class)
+		if !t.Sent && !t.Cause.late() && c.DeadlineMS > 0 {
+			charged += c.Worth * min(1, float64(t.Duration)/float64(milliseconds(c.DeadlineMS)))
 		}
 	}
-	return charged / s.owedWorth(r)
+	return charged / s.totalOwedWorth(r)
 }
 
-// weight returns which share of a request's worth a cause costs.
-func (s *Site) weight(kind string, cause Cause) float64 {
-	if c := s.class(kind); cause.late() && c.Worth > 0 {
+// lossFraction returns which share of a request's worth a cause costs.
+func (s *Site) lossFraction(class string, cause Cause) float64 {
+	if c := s.class(class); cause.late() && c.Worth > 0 {
 		return 1 - c.LateWorth/c.Worth
 	}
 	return 1
--- a/internal/account/sizes.go
+++ b/internal/account/sizes.go
@@ -14,24 +14,24 @@
 
 // SizeClass is what became of the tries of a kind of request whose prompts are of like size.
 type SizeClass struct {
-	Kind    string
-	Late    int            // served, but late
-	Name    string         // such as "largest tenth"
-	Prompt  int            // tokens of its smallest prompt
-	Refused map[string]int // by reason, and by what was lacking
-	Tries   int
-	Unknown int // neither served nor refused
+	Class           string
+	Late            int            // served, but late
+	Name            string         // such as "largest tenth"
+	MinPromptTokens int            // tokens of its smallest prompt
+	Refused         map[string]int // by reason, and by what was lacking
+	Attempts        int
+	Unknown         int // neither served nor refused
 }
 
-// sizedTry is a try with its size.
-type sizedTry struct {
+// sizedAttempt is a try with its size.
+type sizedAttempt struct {
 	late, served bool
-	prompt       int
+	promptTokens int
 	refused      string // why
 }
 
-// sizeNames are the size classes with the share of tries that they start at, by size.
-var sizeNames = []struct {
+// sizeClasses are the size classes with the share of tries that they start at, by size.
+var sizeClasses = []struct {
 	from float64
 	name string
 }{{0, "smallest half"}, {0.5, "fifth above"}, {0.7, "fifth below the largest"}, {0.9, "largest tenth"}}
@@ -39,33 +39,33 @@
 // Sizes returns what became of the tries of each kind of request by the size of its prompt.
 // A caller's tries have ids of their own: each counts by itself.
 func (l *Log) Sizes(s *Site, r *Report) []SizeClass {
-	tries := make(map[string][]sizedTry)
-	aims := s.aims(r, l)
+	attempts := make(map[string][]sizedAttempt)
+	targets := s.targets(r, l)
 	for _, lines := range l.requests {
-		a := aims[routeOf(lines)]
-		if t, ok := l.sizeOf(lines, &a); ok {
-			tries[a.kind] = append(tries[a.kind], t)
+		a := targets[routeOf(lines)]
+		if t, ok := l.sizeAttempt(lines, &a); ok {
+			attempts[a.class] = append(attempts[a.class], t)
 		}
 	}
 	var all []SizeClass
-	for kind, t := range tries {
-		slices.SortFunc(t, func(x, y sizedTry) int { return cmp.Compare(x.prompt, y.prompt) })
-		for i := range sizeNames {
+	for class, t := range attempts {
+		slices.SortFunc(t, func(x, y sizedAttempt) int { return cmp.Compare(x.promptTokens, y.promptTokens) })
+		for i := range sizeClasses {
 			to := 1.0
-			if i+1 < len(sizeNames) {
-				to = sizeNames[i+1].from
+			if i+1 < len(sizeClasses) {
+				to = sizeClasses[i+1].from
 			}
 			n := float64(len(t))
-			all = append(all, sizeClassOf(kind, sizeNames[i].name, t[int(sizeNames[i].from*n):int(to*n)]))
+			all = append(all, newSizeClass(class, sizeClasses[i].name, t[int(sizeClasses[i].from*n):int(to*n)]))
 		}
 	}
-	slices.SortStableFunc(all, func(x, y SizeClass) int { return cmp.Compare(x.Kind, y.Kind) })
+	slices.SortStableFunc(all, func(x, y SizeClass) int { return cmp.Compare(x.Class, y.Class) })
 	return all
 }
 
 // Served returns how many tries were served, late ones included.
 func (c *SizeClass) Served() int {
-	n := c.Tries - c.Unknown
+	n := c.Attempts - c.Unknown
 	for _, x := range c.Refused {
 		n -= x
 	}
@@ -78,20 +78,20 @@
 	_, _ = fmt.Fprintln(t, "kind\tsize\tfrom tokens\ttries\tserved\tof them late\tneither\trefused")
 	for i := range sizes {
 		c := &sizes[i]
-		_, _ = fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%.2f\t%d\t%d\t%s\n", c.Kind, c.Name, c.Prompt, c.Tries,
-			float64(c.Served())/float64(max(1, c.Tries)), c.Late, c.Unknown, countsText(c.Refused))
+		_, _ = fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%.2f\t%d\t%d\t%s\n", c.Class, c.Name, c.MinPromptTokens, c.Attempts,
+			float64(c.Served())/float64(max(1, c.Attempts)), c.Late, c.Unknown, formatCounts(c.Refused))
 	}
 	return t.Flush()
 }
 
-// sizeClassOf counts tries of one size class.
-func sizeClassOf(kind, name string, tries []sizedTry) SizeClass {
-	c := SizeClass{Kind: kind, Name: name, Refused: make(map[string]int), Tries: len(tries)}
-	if len(tries) > 0 {
-		c.Prompt = tries[0].prompt
+// newSizeClass counts tries of one size class.
+func newSizeClass(class, name string, attempts []sizedAttempt) SizeClass {
+	c := SizeClass{Class: class, Name: name, Refused: make(map[string]int), Attempts: len(attempts)}
+	if len(attempts) > 0 {
+		c.MinPromptTokens = attempts[0].promptTokens
 	}
-	for i := range tries {
-		switch t := &tries[i]; {
+	for i := range attempts {
+		switch t := &attempts[i]; {
 		case t.refused != "":
 			c.Refused[t.refused]++
 		case !t.served:
@@ -103,13 +103,13 @@
 	return c
 }
 
-// sizeOf returns a try with its size; false where it has no prompt or no end.
-func (l *Log) sizeOf(lines []*explain.Line, a *aim) (sizedTry, bool) {
+// sizeAttempt returns a try with its size; false where it has no prompt or no end.
+func (l *Log) sizeAttempt(lines []*explain.Line, a *latencyTarget) (sizedAttempt, bool) {
 	end := endOf(lines)
-	if end == nil || a.kind == "" {
-		return sizedTry{}, false
+	if end == nil || a.class == "" {
+		return sizedAttempt{}, false
 	}
-	t := sizedTry{prompt: int(number(end, "prompt_tokens"))}
+	t := sizedAttempt{promptTokens: int(number(end, "prompt_tokens"))}
 	switch end.Event {
 	case event.RequestFinished.Number:
 		c := l.causeOf(lines, a)
@@ -117,11 +117,11 @@
 	case event.RequestRefused.Number:
 		t.refused = strings.TrimSuffix(text(end, "reason")+"/"+text(end, "short_of"), "/")
 	}
-	return t, t.prompt > 0
+	return t, t.promptTokens > 0
 }
 
-// countsText writes counts in order of their size.
-func countsText(m map[string]int) string {
+// formatCounts writes counts in order of their size.
+func formatCounts(m map[string]int) string {
 	var l []string
 	for k := range m {
 		l = append(l, k)
--- a/internal/account/try.go
+++ b/internal/account/try.go
@@ -10,45 +10,45 @@
 	"github.com/linetiller/linetiller/internal/explain"
 )
 
-// Try is one try of a caller that did not go well.
-type Try struct {
-	Cause   Cause
-	Ended   time.Time // the last word of it
-	Hall    string    // of its box
-	Kind    string    // of request
-	Offered bool      // it was sent to an upstream
-	Request string
-	Took    time.Duration // until its end; 0 where it has none
+// Attempt is one try of a caller that did not go well.
+type Attempt struct {
+	Cause    Cause
+	Ended    time.Time // the last word of it
+	Hall     string    // of its box
+	Class    string    // of request
+	Sent     bool      // it was sent to an upstream
+	Request  string
+	Duration time.Duration // until its end; 0 where it has none
 }
 
-// tries returns the tries that did not go well, of the routes whose kind is known.
-func (l *Log) tries(aims map[string]aim) []Try {
-	var all []Try
+// unsuccessfulAttempts returns the tries that did not go well, of the routes whose kind is known.
+func (l *Log) unsuccessfulAttempts(targets map[string]latencyTarget) []Attempt {
+	var all []Attempt
 	for id, lines := range l.requests {
-		a := aims[routeOf(lines)]
-		if a.kind == "" {
+		a := targets[routeOf(lines)]
+		if a.class == "" {
 			continue
 		}
 		last := lines[len(lines)-1]
 		if c := l.causeOf(lines, &a); c != "" {
-			t := Try{Cause: c, Ended: last.Time, Hall: l.halls[last.Box], Kind: a.kind, Request: id}
-			t.Offered = slices.ContainsFunc(lines, func(x *explain.Line) bool { return x.Event == event.RequestPlaced.Number })
+			t := Attempt{Cause: c, Ended: last.Time, Hall: l.halls[last.Box], Class: a.class, Request: id}
+			t.Sent = slices.ContainsFunc(lines, func(x *explain.Line) bool { return x.Event == event.RequestPlaced.Number })
 			if end := endOf(lines); end != nil {
-				t.Took = milliseconds(number(end, "took_ms"))
+				t.Duration = milliseconds(number(end, "took_ms"))
 			}
 			all = append(all, t)
 		}
 	}
-	slices.SortFunc(all, func(a, b Try) int { return cmp.Or(a.Ended.Compare(b.Ended), cmp.Compare(a.Request, b.Request)) })
+	slices.SortFunc(all, func(a, b Attempt) int { return cmp.Or(a.Ended.Compare(b.Ended), cmp.Compare(a.Request, b.Request)) })
 	return all
 }
 
 // causeOf tells why a try did not go well, or "".
-func (l *Log) causeOf(lines []*explain.Line, a *aim) Cause {
+func (l *Log) causeOf(lines []*explain.Line, a *latencyTarget) Cause {
 	end := endOf(lines)
 	if end == nil {
 		last := lines[len(lines)-1]
-		switch died, all := l.diedAt(last.Box, last.Time); {
+		switch died, all := l.boxDiedAfter(last.Box, last.Time); {
 		case all:
 			return CauseAllBoxesDied
 		case died:
@@ -62,20 +62,20 @@
 	case event.RequestRefused.Number:
 		return refusedCause(end)
 	case event.CallerDisconnected.Number:
-		for _, t := range l.stops[end.Box] {
+		for _, t := range l.incompleteStops[end.Box] {
 			if end.Time.Sub(t).Abs() < time.Second {
 				return CauseBoxStopped
 			}
 		}
 		return "" // the caller's own will
 	}
-	return l.brokenCause(lines, end)
+	return l.interruptedCause(lines, end)
 }
 
-// brokenCause tells why an answer broke off or did not come.
-func (l *Log) brokenCause(lines []*explain.Line, end *explain.Line) Cause {
+// interruptedCause tells why an answer broke off or did not come.
+func (l *Log) interruptedCause(lines []*explain.Line, end *explain.Line) Cause {
 	if text(end, "reason") == "deadline" {
-		return CauseUpstreamQuiet
+		return CauseNoAnswer
 	}
 	at := text(end, "upstream")
 	for _, x := range lines {
@@ -89,22 +89,22 @@
 		}
 	}
 	if l.halls[at] != l.halls[end.Box] {
-		return CauseCut
+		return CauseHallLost
 	}
-	return CauseGone
+	return CauseEngineGone
 }
 
 // finishedCause tells why an answer that was passed on whole was worth less, or "".
-func finishedCause(lines []*explain.Line, end *explain.Line, a *aim) Cause {
+func finishedCause(lines []*explain.Line, end *explain.Line, a *latencyTarget) Cause {
 	if number(end, "status") >= http.StatusInternalServerError {
 		return CauseFailed
 	}
 	for _, x := range lines {
 		if x.Event == event.MoveDone.Number && a.pause > 0 && milliseconds(number(x, "pause_ms")) > a.pause {
-			return CauseLatePause
+			return CauseLateMove
 		}
 	}
-	if a.pause == 0 && milliseconds(number(end, "took_ms")) > a.answer {
+	if a.pause == 0 && milliseconds(number(end, "took_ms")) > a.response {
 		return CauseLate
 	}
 	if a.pause > 0 {
@@ -115,9 +115,9 @@
 
 // lateStreamCause tells why a stream was late, or "": its first event came late, mostly after
 // a wait for a place or mostly while its prompt was read, or a pause was too long.
-func lateStreamCause(lines []*explain.Line, end *explain.Line, a *aim) Cause {
+func lateStreamCause(lines []*explain.Line, end *explain.Line, a *latencyTarget) Cause {
 	first := milliseconds(number(end, "first_ms"))
-	if first <= a.answer {
+	if first <= a.response {
 		if milliseconds(number(end, "pause_ms")) > a.pause {
 			return CauseLateStall
 		}
@@ -128,7 +128,7 @@
 			return CauseLateWait
 		}
 	}
-	return CauseLateRead
+	return CauseLatePrefill
 }
 
 // endOf returns the line that tells how a try ended, or nil.
--- a/internal/cmd/applycmd.go
+++ b/internal/cmd/applycmd.go
@@ -15,9 +15,9 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-const inForcePoll = 200 * time.Millisecond
+const inForcePollInterval = 200 * time.Millisecond
 
-func newApplyCmd(e *environment) *cli.Command {
+func newApplyCmd(e *ioStreams) *cli.Command {
 	return &cli.Command{
 		Name:  "apply",
 		Usage: "create or replace the resources in a file",
@@ -31,7 +31,7 @@
 	}
 }
 
-func runApplyCmd(ctx context.Context, e *environment, o *operator.Client, path string, wait time.Duration) error {
+func runApplyCmd(ctx context.Context, e *ioStreams, o *operator.Client, path string, wait time.Duration) error {
 	l, err := readResources(e, path)
 	if err != nil {
 		return err
@@ -40,7 +40,7 @@
 		return slices.Index(resource.Kinds, a.Kind) - slices.Index(resource.Kinds, b.Kind)
 	})
 	for _, r := range l {
-		a, cancel := context.WithTimeout(ctx, answerPeriod)
+		a, cancel := context.WithTimeout(ctx, requestTimeout)
 		v, err := o.Apply(a, r)
 		cancel()
 		if err != nil {
@@ -63,7 +63,7 @@
 }
 
 // readResources returns the resources of a file, or all its faults.
-func readResources(e *environment, path string) ([]*resource.Resource, error) {
+func readResources(e *ioStreams, path string) ([]*resource.Resource, error) {
 	b, err := readFile(e, path)
 	if err != nil {
 		return nil, errors.Join(errBadInput, err)
@@ -75,7 +75,7 @@
 	return l, nil
 }
 
-func readFile(e *environment, path string) ([]byte, error) {
+func readFile(e *ioStreams, path string) ([]byte, error) {
 	if path == "-" {
 		return io.ReadAll(e.input)
 	}
@@ -98,7 +98,7 @@
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("%s %s is not in force everywhere: %s", r.Kind, r.Metadata.Name, last)
-		case <-time.After(inForcePoll):
+		case <-time.After(inForcePollInterval):
 		}
 	}
 }
--- a/internal/cmd/certificatecmd.go
+++ b/internal/cmd/certificatecmd.go
@@ -18,7 +18,7 @@
 	modeKey         = 0o600
 )
 
-func newCertificateCmd(e *environment) *cli.Command {
+func newCertificateCmd(e *ioStreams) *cli.Command {
 	files := []cli.Flag{
 		&cli.StringFlag{Name: "certificate", Usage: "`FILE` to write the certificate to", Required: true},
 		&cli.StringFlag{Name: "key", Usage: "`FILE` to write the key to", Required: true},
@@ -46,7 +46,7 @@
 	}
 }
 
-func runCertificateBoxCmd(e *environment, c *cli.Command) error {
+func runCertificateBoxCmd(e *ioStreams, c *cli.Command) error {
 	if c.Args().Len() < 2 {
 		return errors.Join(errBadInput, errors.New("certificate box takes NAME and at least one IP number"))
 	}
@@ -70,7 +70,7 @@
 	return writePair(e, c, p, err)
 }
 
-func writePair(e *environment, c *cli.Command, p *certificate.Pair, err error) error {
+func writePair(e *ioStreams, c *cli.Command, p *certificate.Pair, err error) error {
 	if err != nil {
 		return err
 	}
--- a/internal/cmd/checkcmd.go
+++ b/internal/cmd/checkcmd.go
@@ -11,7 +11,7 @@
 	"github.com/linetiller/linetiller/internal/settings"
 )
 
-func newCheckCmd(e *environment) *cli.Command {
+func newCheckCmd(e *ioStreams) *cli.Command {
 	return &cli.Command{
 		Name:        "check",
 		Usage:       "check settings (.toml) and resource files (.json) without a box",
@@ -26,7 +26,7 @@
 	}
 }
 
-func runCheckCmd(e *environment, paths []string) error {
+func runCheckCmd(e *ioStreams, paths []string) error {
 	var all []error
 	for _, p := range paths {
 		if err := checkFile(e, p); err != nil {
@@ -38,7 +38,7 @@
 	return errors.Join(all...)
 }
 
-func checkFile(e *environment, path string) error {
+func checkFile(e *ioStreams, path string) error {
 	if !strings.HasSuffix(path, ".toml") {
 		_, err := readResources(e, path)
 		return err
--- a/internal/cmd/cmd.go
+++ b/internal/cmd/cmd.go
@@ -29,15 +29,15 @@
 	ExitUnavailable = 6 // the box could not be reached
 )
 
-// environment is what a command reads and writes.
-type environment struct {
+// ioStreams is what a command reads and writes.
+type ioStreams struct {
 	errorOutput io.Writer
 	input       io.Reader
 	output      io.Writer
 }
 
 const (
-	answerPeriod    = 15 * time.Second
+	requestTimeout  = 15 * time.Second
 	flagOperator    = "operator"
 	flagOperatorKey = "operator-key"
 	flagOutput      = "output"
@@ -52,7 +52,7 @@
 func Main(arguments []string, input io.Reader, output, errorOutput io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT)
 	defer stop()
-	e := &environment{errorOutput: errorOutput, input: input, output: output}
+	e := &ioStreams{errorOutput: errorOutput, input: input, output: output}
 	err := newCommand(e).Run(ctx, arguments)
 	if err != nil {
 		_, _ = fmt.Fprintln(errorOutput, "linetiller:", err)
@@ -60,7 +60,7 @@
 	return exitCode(err)
 }
 
-func newCommand(e *environment) *cli.Command {
+func newCommand(e *ioStreams) *cli.Command {
 	return &cli.Command{
 		Name:                  "linetiller",
 		Usage:                 "serve text generations of unknown length on crowded engines",
@@ -90,7 +90,7 @@
 	case err == nil:
 		return ExitOK
 	case errors.As(err, &p):
-		return exitCodeOfProblem(p)
+		return problemExitCode(p)
 	case errors.Is(err, errBadInput), errorx.IsOfType(err, fail.BadInput):
 		return ExitBadInput
 	case errorx.IsOfType(err, fail.NotRun):
@@ -103,7 +103,7 @@
 	return ExitFailure
 }
 
-func exitCodeOfProblem(p *operator.Problem) int {
+func problemExitCode(p *operator.Problem) int {
 	switch p.Code {
 	case "raced", "resource_used", "stale_version":
 		return ExitConflict
--- a/internal/cmd/deletecmd.go
+++ b/internal/cmd/deletecmd.go
@@ -11,7 +11,7 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-func newDeleteCmd(e *environment) *cli.Command {
+func newDeleteCmd(e *ioStreams) *cli.Command {
 	return &cli.Command{
 		Name:      "delete",
 		Usage:     "remove a resource",
@@ -26,8 +26,8 @@
 	}
 }
 
-func runDeleteCmd(ctx context.Context, e *environment, o *operator.Client, k resource.Kind, name string) error {
-	ctx, cancel := context.WithTimeout(ctx, answerPeriod)
+func runDeleteCmd(ctx context.Context, e *ioStreams, o *operator.Client, k resource.Kind, name string) error {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	if err := o.Delete(ctx, k, name); err != nil {
 		return fmt.Errorf("%s %s: %w", k, name, err)
--- a/internal/cmd/explaincmd.go
+++ b/internal/cmd/explaincmd.go
@@ -13,7 +13,7 @@
 	"github.com/linetiller/linetiller/internal/explain"
 )
 
-func newExplainCmd(e *environment) *cli.Command {
+func newExplainCmd(e *ioStreams) *cli.Command {
 	return &cli.Command{
 		Name:      "explain",
 		Usage:     "tell what became of one request",
@@ -30,24 +30,24 @@
 	}
 }
 
-func runExplainCmd(e *environment, id string, files []string, form string) error {
+func runExplainCmd(e *ioStreams, id string, files []string, format string) error {
 	lines, err := readLogs(e, files)
 	if err != nil {
 		return errors.Join(errBadInput, err)
 	}
-	s, err := explain.Tell(lines, id)
+	t, err := explain.NewTimeline(lines, id)
 	if err != nil {
 		return fmt.Errorf("%s: %w", id, err)
 	}
-	if form == outputJSON {
-		return json.NewEncoder(e.output).Encode(s)
+	if format == outputJSON {
+		return json.NewEncoder(e.output).Encode(t)
 	}
-	_, err = io.WriteString(e.output, s.String())
+	_, err = io.WriteString(e.output, t.String())
 	return err
 }
 
 // readLogs reads the files, or standard input where there are none.
-func readLogs(e *environment, files []string) ([]explain.Line, error) {
+func readLogs(e *ioStreams, files []string) ([]explain.Line, error) {
 	if len(files) == 0 {
 		return explain.Read(e.input)
 	}
--- a/internal/cmd/generatecmd.go
+++ b/internal/cmd/generatecmd.go
@@ -13,7 +13,7 @@
 	"github.com/linetiller/linetiller/internal/client"
 )
 
-func newGenerateCmd(e *environment) *cli.Command {
+func newGenerateCmd(e *ioStreams) *cli.Command {
 	return &cli.Command{
 		Name:      "generate",
 		Usage:     "ask for a generation and show it as it comes",
@@ -47,26 +47,26 @@
 	}
 }
 
-// generated is one line of the command's JSON output.
-type generated struct {
+// generateOutput is one line of the command's JSON output.
+type generateOutput struct {
 	Boxes  int    `json:"boxes,omitempty"`  // at which it was asked for, on the last line
 	Finish string `json:"finish,omitempty"` // why it ended, on the last line
 	ID     string `json:"id,omitempty"`
 	Text   string `json:"text,omitempty"`
 }
 
-func runGenerateCmd(ctx context.Context, e *environment, g *client.Generator, a *client.GenerationRequest, form string) error {
+func runGenerateCmd(ctx context.Context, e *ioStreams, g *client.Generator, a *client.GenerationRequest, format string) error {
 	j := json.NewEncoder(e.output)
 	g.OnToken = func(id, text string) error {
-		if form == outputJSON {
-			return j.Encode(generated{ID: id, Text: text})
+		if format == outputJSON {
+			return j.Encode(generateOutput{ID: id, Text: text})
 		}
 		_, err := fmt.Fprint(e.output, text)
 		return err
 	}
 	finish, boxes, err := g.Run(ctx, a)
-	if form == outputJSON && err == nil {
-		return j.Encode(generated{Boxes: boxes, Finish: finish})
+	if format == outputJSON && err == nil {
+		return j.Encode(generateOutput{Boxes: boxes, Finish: finish})
 	}
 	_, _ = fmt.Fprintln(e.output)
 	return err
--- a/internal/cmd/getcmd.go
+++ b/internal/cmd/getcmd.go
@@ -13,7 +13,7 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-func newGetCmd(e *environment) *cli.Command {
+func newGetCmd(e *ioStreams) *cli.Command {
 	return &cli.Command{
 		Name:      "get",
 		Usage:     "show resources and how far they are in force",
@@ -28,21 +28,21 @@
 	}
 }
 
-func runGetCmd(ctx context.Context, e *environment, o *operator.Client, k resource.Kind, name, form string) error {
-	ctx, cancel := context.WithTimeout(ctx, answerPeriod)
+func runGetCmd(ctx context.Context, e *ioStreams, o *operator.Client, k resource.Kind, name, format string) error {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	if name != "" {
 		r, err := o.Get(ctx, k, name)
 		if err != nil {
 			return err
 		}
-		return printResource(e, r, form)
+		return printResource(e, r, format)
 	}
 	l, err := o.List(ctx, k)
 	if err != nil {
 		return err
 	}
-	if form == outputJSON {
+	if format == outputJSON {
 		return printJSON(e, l)
 	}
 	w := tabwriter.NewWriter(e.output, 0, 0, 2, ' ', 0)
@@ -53,14 +53,14 @@
 	return w.Flush()
 }
 
-func printJSON(e *environment, v any) error {
+func printJSON(e *ioStreams, v any) error {
 	j := json.NewEncoder(e.output)
 	j.SetIndent("", "  ")
 	return j.Encode(v)
 }
 
-func printResource(e *environment, r *resource.Resource, form string) error {
-	if form == outputJSON {
+func printResource(e *ioStreams, r *resource.Resource, format string) error {
+	if format == outputJSON {
 		return printJSON(e, r)
 	}
 	_, _ = fmt.Fprintf(e.output, "%s %s version %s generation %d\n", r.Kind, r.Metadata.Name, r.Metadata.ResourceVersion, r.Metadata.Generation)
--- a/internal/cmd/keycmd.go
+++ b/internal/cmd/keycmd.go
@@ -10,7 +10,7 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-func newKeyCmd(e *environment) *cli.Command {
+func newKeyCmd(e *ioStreams) *cli.Command {
 	return &cli.Command{
 		Name:        "key",
 		Usage:       "make a bearer key and the hash by which it is declared",
@@ -19,7 +19,7 @@
 	}
 }
 
-func runKeyCmd(e *environment) error {
+func runKeyCmd(e *ioStreams) error {
 	k := "lt-" + rand.Text()
 	_, err := fmt.Fprintf(e.output, "key  %s\nhash %s\n", k, resource.HashKey(k))
 	return err
--- a/internal/cmd/servecmd.go
+++ b/internal/cmd/servecmd.go
@@ -18,7 +18,7 @@
 	"github.com/linetiller/linetiller/internal/settings"
 )
 
-func newServeCmd(e *environment) *cli.Command {
+func newServeCmd(e *ioStreams) *cli.Command {
 	return &cli.Command{
 		Name:  "serve",
 		Usage: "run an entry box",
@@ -40,7 +40,7 @@
 	debug.SetMemoryLimit(int64(mb * mebibyte))
 }
 
-func runServeCmd(_ context.Context, e *environment, path string) error {
+func runServeCmd(_ context.Context, e *ioStreams, path string) error {
 	s, err := settings.Load(path)
 	if err != nil {
 		return errors.Join(errBadInput, err)
@@ -60,17 +60,17 @@
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
-	left := make(chan int, 1)
+	unfinished := make(chan int, 1)
 	go func() {
 		<-signals
 		b.Leave()
 		<-signals
-		left <- b.InProgress()
+		unfinished <- b.InProgress()
 		cancel()
 	}()
 	err = b.Serve(ctx)
 	select {
-	case n := <-left:
+	case n := <-unfinished:
 		return errors.Join(err, fmt.Errorf("stopped with %d requests unfinished", n))
 	default:
 		return err
--- a/internal/cmd/watchcmd.go
+++ b/internal/cmd/watchcmd.go
@@ -12,7 +12,7 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-func newWatchCmd(e *environment) *cli.Command {
+func newWatchCmd(e *ioStreams) *cli.Command {
 	return &cli.Command{
 		Name:      "watch",
 		Usage:     "show changes as they come in force",
@@ -27,45 +27,45 @@
 	}
 }
 
-// errEnough ends a watch that has shown all that was asked for.
-var errEnough = errors.New("enough")
+// errCountReached ends a watch that has shown all that was asked for.
+var errCountReached = errors.New("enough")
 
-func runWatchCmd(ctx context.Context, e *environment, o *operator.Client, k resource.Kind, after, form string, count int) error {
+func runWatchCmd(ctx context.Context, e *ioStreams, o *operator.Client, k resource.Kind, after, format string, count int) error {
 	n := 0
 	err := o.Watch(ctx, k, after, func(v *operator.WatchEvent) error {
 		if v.Type == operator.WatchBookmark {
 			return nil
 		}
 		n++
-		if err := printWatchEvent(ctx, e, o, v, form); err != nil {
+		if err := printWatchEvent(ctx, e, o, v, format); err != nil {
 			return err
 		}
 		if n == count {
-			return errEnough
+			return errCountReached
 		}
 		return nil
 	})
-	if errors.Is(err, errEnough) || ctx.Err() != nil {
+	if errors.Is(err, errCountReached) || ctx.Err() != nil {
 		return nil
 	}
 	return err
 }
 
-func printWatchEvent(ctx context.Context, e *environment, o *operator.Client, v *operator.WatchEvent, form string) error {
-	if form == outputJSON {
+func printWatchEvent(ctx context.Context, e *ioStreams, o *operator.Client, v *operator.WatchEvent, format string) error {
+	if format == outputJSON {
 		return json.NewEncoder(e.output).Encode(v)
 	}
 	m := v.Resource.Metadata
 	s := ""
 	if v.Type == operator.WatchApplied {
-		s = conditionText(ctx, o, v.Resource)
+		s = statusText(ctx, o, v.Resource)
 	}
 	_, err := fmt.Fprintf(e.output, "%s %s %s version %s%s\n", v.Type, v.Resource.Kind, m.Name, v.Revision, s)
 	return err
 }
 
-func conditionText(ctx context.Context, o *operator.Client, r *resource.Resource) string {
-	ctx, cancel := context.WithTimeout(ctx, answerPeriod)
+func statusText(ctx context.Context, o *operator.Client, r *resource.Resource) string {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	x, err := o.Get(ctx, r.Kind, r.Metadata.Name)
 	if err != nil || x.Status == nil {
--- a/internal/experiment/accountcmd.go
+++ b/internal/experiment/accountcmd.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	a := account.New(c.String("report"), r, s, l)
+	a := account.NewBreakdown(c.String("report"), r, s, l)
 	w := c.Root().Writer
 	if err := a.Print(w); err != nil {
 		return err
@@ -49,14 +49,14 @@
 	case "":
 		return nil
 	case "hall":
-		return a.PrintTries(w, account.ByHall)
+		return a.PrintAttempts(w, account.ByHall)
 	case "size":
 		return account.PrintSizes(w, l.Sizes(s, r))
 	case "window":
-		if len(a.Tries) == 0 {
+		if len(a.Attempts) == 0 {
 			return errors.New("no try was lost")
 		}
-		return a.PrintTries(w, account.ByWindow(a.Tries[0].Ended))
+		return a.PrintAttempts(w, account.ByWindow(a.Attempts[0].Ended))
 	}
 	return fmt.Errorf("tries are told by hall, window or size, not by %q", c.String("by"))
 }
--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -9,11 +9,11 @@
 	"github.com/linetiller/linetiller/internal/policy"
 )
 
-// longWait is from how many milliseconds on the wait for a place is worth a word.
-const longWait = 100
+// minReportedWaitMS is from how many milliseconds on the wait for a place is worth a word.
+const minReportedWaitMS = 100
 
-// about returns the last line before a time that tells of an upstream leaving.
-func about(lines []Line, upstream string, before time.Time) *Line {
+// leavingNotice returns the last line before a time that tells of an upstream leaving.
+func leavingNotice(lines []Line, upstream string, before time.Time) *Line {
 	var best *Line
 	for i := range lines {
 		x := &lines[i]
@@ -27,22 +27,22 @@
 	return best
 }
 
-// causeOf tells why a request ended as it did.
-func causeOf(own, all []Line) string {
-	end := endOf(own)
+// causeText tells why a request ended as it did.
+func causeText(own, all []Line) string {
+	end := endLine(own)
 	if end == nil {
 		return "its end is not in these logs: the box that held it may have been lost, or the logs are not whole"
 	}
 	switch end.Event {
 	case event.RequestFinished.Number:
-		return finishedCause(own, end)
+		return finishedText(own, end)
 	case event.CallerDisconnected.Number:
 		return fmt.Sprintf("the caller left after %s ms", end.text("took_ms"))
 	case event.RequestRefused.Number:
 		return "it was refused and did not run: " + failureText(end) + shortageText(end)
 	}
 	c := failureText(end)
-	if x := about(all, end.text("upstream"), end.Time); x != nil {
+	if x := leavingNotice(all, end.text("upstream"), end.Time); x != nil {
 		c += fmt.Sprintf("; %s had given notice %.3f s before", end.text("upstream"), end.Time.Sub(x.Time).Seconds())
 	} else if strings.HasPrefix(end.text("reason"), "stream_") {
 		c += "; no notice of its upstream's leaving was heard"
@@ -50,8 +50,8 @@
 	return c
 }
 
-// endOf returns the line that tells how a request ended, or nil.
-func endOf(own []Line) *Line {
+// endLine returns the line that tells how a request ended, or nil.
+func endLine(own []Line) *Line {
 	for i := len(own) - 1; i >= 0; i-- {
 		switch own[i].Event {
 		case event.RequestFinished.Number, event.RequestRefused.Number, event.RequestInterrupted.Number, event.CallerDisconnected.Number:
@@ -74,13 +74,13 @@
 	return ""
 }
 
-// finishedCause tells what made a request that was answered late, where something did.
-func finishedCause(own []Line, end *Line) string {
+// finishedText tells what made a request that was answered late, where something did.
+func finishedText(own []Line, end *Line) string {
 	c := fmt.Sprintf("it was answered with status %s after %s ms", end.text("status"), end.text("took_ms"))
 	for i := range own {
 		x := &own[i]
 		switch {
-		case x.Event == event.RequestPlaced.Number && x.number("waited_ms") >= longWait:
+		case x.Event == event.RequestPlaced.Number && x.number("waited_ms") >= minReportedWaitMS:
 			c += fmt.Sprintf("; it had waited %s ms for a place at %s", x.text("waited_ms"), x.text("upstream"))
 		case x.Event == event.MoveDone.Number:
 			c += fmt.Sprintf("; it paused %s ms as it moved from %s to %s", x.text("pause_ms"), x.text("from"), x.text("to"))
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -30,7 +30,7 @@
 		all = append(all, l...)
 	}
 	for _, id := range []string{"refused", "passed-over", "cut", "late", "moved", "lost", "resumed"} {
-		s, err := Tell(all, id)
+		s, err := NewTimeline(all, id)
 		if err != nil {
 			t.Errorf("%s: %v", id, err)
 			continue
@@ -49,15 +49,15 @@
 			t.Errorf("%s: got\n%s\nwant\n%s", id, got, want)
 		}
 	}
-	if _, err := Tell(all, "none"); !errors.Is(err, ErrUnknown) {
-		t.Errorf("a request that no line names: got %v, want %v", err, ErrUnknown)
+	if _, err := NewTimeline(all, "none"); !errors.Is(err, ErrNotFound) {
+		t.Errorf("a request that no line names: got %v, want %v", err, ErrNotFound)
 	}
 }
 
 // TestReasonsAreExplained checks that each reason which the relay and the calls to
 // upstreams give is told in plain words.
 func TestReasonsAreExplained(t *testing.T) {
-	given := regexp.MustCompile(`fail\.(?:New|Wrap)\(.*?"([a-z]+_[a-z_]+)"`) // step names are words apart
+	pattern := regexp.MustCompile(`fail\.(?:New|Wrap)\(.*?"([a-z]+_[a-z_]+)"`) // step names are words apart
 	seen := 0
 	for _, p := range []string{"../relay/*.go", "../../platform/engines.go"} {
 		files, _ := filepath.Glob(p)
@@ -66,7 +66,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, m := range given.FindAllStringSubmatch(string(b), -1) {
+			for _, m := range pattern.FindAllStringSubmatch(string(b), -1) {
 				if strings.HasSuffix(f, "_test.go") || m[1] == "bad_upstream_request" || m[1] == "upstream_garbled" {
 					continue
 				}
@@ -91,7 +91,7 @@
 		if err != nil {
 			return
 		}
-		if s, err := Tell(l, id); err == nil && s.Cause == "" {
+		if s, err := NewTimeline(l, id); err == nil && s.Cause == "" {
 			t.Error("a story without a cause")
 		}
 	})
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -40,7 +40,7 @@
 		if json.Unmarshal(b[i:], &m) != nil {
 			continue
 		}
-		l = append(l, lineOf(m))
+		l = append(l, lineFromFields(m))
 	}
 	return l, s.Err()
 }
@@ -63,8 +63,8 @@
 	return fmt.Sprint(v)
 }
 
-// lineOf takes the fields that every line has out of m.
-func lineOf(m map[string]any) Line {
+// lineFromFields takes the fields that every line has out of m.
+func lineFromFields(m map[string]any) Line {
 	x := Line{Fields: m}
 	x.Box, x.Message, x.Request = x.text("box"), x.text("msg"), x.text("request")
 	x.Event = int(x.number("event"))
@@ -75,8 +75,8 @@
 	return x
 }
 
-// rest returns the fields of a line in order of name.
-func rest(m map[string]any) string {
+// formatFields returns the fields of a line in order of name.
+func formatFields(m map[string]any) string {
 	var l []string
 	for k, v := range m {
 		l = append(l, fmt.Sprintf("%s=%v", k, v))
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -20,19 +20,19 @@
 	Time  time.Time     `json:"time"`
 }
 
-// Story is what became of one request.
-type Story struct {
-	Cause   string   `json:"cause"` // of its end, in one sentence
-	Request string   `json:"request"`
-	Returns []string `json:"returns,omitempty"` // requests with which its caller seems to have gone on with the stream
-	Steps   []Step   `json:"steps"`
+// Timeline is what became of one request.
+type Timeline struct {
+	Cause      string   `json:"cause"` // of its end, in one sentence
+	Request    string   `json:"request"`
+	Reconnects []string `json:"returns,omitempty"` // requests with which its caller seems to have gone on with the stream
+	Steps      []Step   `json:"steps"`
 }
 
-// ErrUnknown says that no line tells of the request.
-var ErrUnknown = errors.New("no line tells of the request")
+// ErrNotFound says that no line tells of the request.
+var ErrNotFound = errors.New("no line tells of the request")
 
-// Tell tells the story of a request from the lines of all boxes.
-func Tell(lines []Line, request string) (*Story, error) {
+// NewTimeline tells the story of a request from the lines of all boxes.
+func NewTimeline(lines []Line, request string) (*Timeline, error) {
 	var own []Line
 	for _, x := range lines {
 		if x.Request == request {
@@ -40,28 +40,28 @@
 		}
 	}
 	if len(own) == 0 {
-		return nil, ErrUnknown
+		return nil, ErrNotFound
 	}
 	slices.SortStableFunc(own, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	s := &Story{Request: request}
+	t := &Timeline{Request: request}
 	first := own[0].Time
 	for _, x := range own {
-		s.Steps = append(s.Steps, Step{After: x.Time.Sub(first), Box: x.Box, Event: x.Event, Text: textOf(&x), Time: x.Time})
+		t.Steps = append(t.Steps, Step{After: x.Time.Sub(first), Box: x.Box, Event: x.Event, Text: stepText(&x), Time: x.Time})
 	}
-	s.Cause = causeOf(own, lines)
-	s.Returns = returnsOf(own, lines)
-	return s, nil
+	t.Cause = causeText(own, lines)
+	t.Reconnects = findReconnects(own, lines)
+	return t, nil
 }
 
 // String returns the story in plain words, a step a line.
-func (s *Story) String() string {
+func (t *Timeline) String() string {
 	var b strings.Builder
-	_, _ = fmt.Fprintf(&b, "request %s\n", s.Request)
-	for _, x := range s.Steps {
+	_, _ = fmt.Fprintf(&b, "request %s\n", t.Request)
+	for _, x := range t.Steps {
 		_, _ = fmt.Fprintf(&b, "  %8.3f s  %s: %s\n", x.After.Seconds(), x.Box, x.Text)
 	}
-	_, _ = fmt.Fprintf(&b, "cause: %s\n", s.Cause)
-	for _, id := range s.Returns {
+	_, _ = fmt.Fprintf(&b, "cause: %s\n", t.Cause)
+	for _, id := range t.Reconnects {
 		_, _ = fmt.Fprintf(&b, "its caller seems to have come back as request %s\n", id)
 	}
 	return b.String()
@@ -76,8 +76,8 @@
 	return ""
 }
 
-// textOf tells one line in plain words.
-func textOf(x *Line) string {
+// stepText tells one line in plain words.
+func stepText(x *Line) string {
 	f := x.text
 	switch x.Event {
 	case event.RequestPlaced.Number:
@@ -98,5 +98,5 @@
 	case event.RequestRetried.Number:
 		return fmt.Sprintf("another upstream is tried: %s", reasonText(f("reason")))
 	}
-	return strings.TrimSpace(x.Message + " " + rest(x.Fields))
+	return strings.TrimSpace(x.Message + " " + formatFields(x.Fields))
 }
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -41,18 +41,18 @@
 	}
 	x.Metadata.ResourceVersion, x.Status = "", nil
 	v := new(resource.Resource)
-	return v, c.call(ctx, http.MethodPut, pathOf(r.Kind, r.Metadata.Name), h, &x, v)
+	return v, c.call(ctx, http.MethodPut, resourcePath(r.Kind, r.Metadata.Name), h, &x, v)
 }
 
 // Delete removes a resource.
 func (c *Client) Delete(ctx context.Context, k resource.Kind, name string) error {
-	return c.call(ctx, http.MethodDelete, pathOf(k, name), nil, nil, new(resource.Resource))
+	return c.call(ctx, http.MethodDelete, resourcePath(k, name), nil, nil, new(resource.Resource))
 }
 
 // Get returns a resource with its status.
 func (c *Client) Get(ctx context.Context, k resource.Kind, name string) (*resource.Resource, error) {
 	v := new(resource.Resource)
-	return v, c.call(ctx, http.MethodGet, pathOf(k, name), nil, nil, v)
+	return v, c.call(ctx, http.MethodGet, resourcePath(k, name), nil, nil, v)
 }
 
 // List returns the resources of a kind.
@@ -63,7 +63,7 @@
 
 // Watch hands the changes after a version to take, until ctx ends or take
 // returns an error. An empty kind means all.
-func (c *Client) Watch(ctx context.Context, k resource.Kind, after string, take func(*WatchEvent) error) error {
+func (c *Client) Watch(ctx context.Context, k resource.Kind, after string, handle func(*WatchEvent) error) error {
 	q := url.Values{"after": {after}, "kind": {string(k)}}
 	w, err := c.send(ctx, http.MethodGet, "/v1/watch?"+q.Encode(), nil, nil)
 	if err != nil {
@@ -74,9 +74,9 @@
 	for {
 		e := new(WatchEvent)
 		if err := d.Decode(e); err != nil {
-			return fail.Wrap(fail.Unavailable, c.place("watch"), "watch_cut", err)
+			return fail.Wrap(fail.Unavailable, c.origin("watch"), "watch_cut", err)
 		}
-		if err := take(e); err != nil {
+		if err := handle(e); err != nil {
 			return err
 		}
 	}
@@ -89,12 +89,12 @@
 	}
 	defer func() { _ = w.Body.Close() }()
 	if err := json.NewDecoder(w.Body).Decode(out); err != nil {
-		return fail.Wrap(fail.Unavailable, c.place(method), "box_garbled", err)
+		return fail.Wrap(fail.Unavailable, c.origin(method), "box_garbled", err)
 	}
 	return nil
 }
 
-func (c *Client) place(step string) fail.Origin {
+func (c *Client) origin(step string) fail.Origin {
 	return fail.Origin{Peer: "box " + c.address, Step: step}
 }
 
@@ -115,7 +115,7 @@
 	}
 	w, err := c.http.Do(r)
 	if err != nil {
-		return nil, fail.Wrap(fail.Unavailable, c.place(method), "box_unreachable", err)
+		return nil, fail.Wrap(fail.Unavailable, c.origin(method), "box_unreachable", err)
 	}
 	if w.StatusCode == http.StatusOK {
 		return w, nil
@@ -128,6 +128,6 @@
 	return nil, p
 }
 
-func pathOf(k resource.Kind, name string) string {
+func resourcePath(k resource.Kind, name string) string {
 	return "/v1/resources/" + url.PathEscape(string(k)) + "/" + url.PathEscape(name)
 }
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -57,14 +57,14 @@
 }
 
 const (
-	bookmarkEvery = 5 * time.Second
-	maxBodyBytes  = 256 << 10
-	// settlePeriod is how long writes wait after the store came back from a copy, for boxes to
+	bookmarkInterval = 5 * time.Second
+	maxBodyBytes     = 256 << 10
+	// restoreGracePeriod is how long writes wait after the store came back from a copy, for boxes to
 	// write again what it lost.
-	settlePeriod = 5 * time.Second
-	settleTries  = 5
-	settleWait   = 100 * time.Millisecond
-	statusPeriod = 2 * time.Second
+	restoreGracePeriod = 5 * time.Second
+	commitAttempts     = 5
+	commitBackoff      = 100 * time.Millisecond
+	statusTimeout      = 2 * time.Second
 )
 
 // New returns a server over v. Where keyHash is not empty, callers must show
@@ -98,17 +98,17 @@
 	k, n := resource.Kind(r.PathValue("kind")), r.PathValue("name")
 	row, old, err := s.current(r.Context(), k, n)
 	if err != nil {
-		s.refuseTable(w, err)
+		s.refuseTableError(w, err)
 		return
 	}
 	if old == nil {
 		s.refuse(w, http.StatusNotFound, &Problem{Code: "resource_unknown", Message: string(k) + " " + n + " does not exist"})
 		return
 	}
-	if !s.matches(w, r, old) {
+	if !s.checkIfMatch(w, r, old) {
 		return
 	}
-	if l := s.users(k, n); len(l) > 0 {
+	if l := s.referrers(k, n); len(l) > 0 {
 		s.refuse(w, http.StatusConflict, &Problem{Code: "resource_used", Message: "still named by " + strings.Join(l, ", ")})
 		return
 	}
@@ -134,7 +134,7 @@
 		return
 	}
 	c := *x
-	ctx, cancel := context.WithTimeout(r.Context(), statusPeriod)
+	ctx, cancel := context.WithTimeout(r.Context(), statusTimeout)
 	defer cancel()
 	c.Status = statusOf(&c, s.InForce(ctx), time.Now())
 	w.Header().Set("ETag", strconv.Quote(c.Metadata.ResourceVersion))
@@ -151,7 +151,7 @@
 	k := resource.Kind(r.FormValue("kind"))
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	c, e := http.NewResponseController(w), json.NewEncoder(w)
-	t := time.NewTicker(bookmarkEvery)
+	t := time.NewTicker(bookmarkInterval)
 	defer t.Stop()
 	for {
 		changed := s.view.Changed()
@@ -175,8 +175,8 @@
 	}
 }
 
-// matches checks If-Match against the version that stands.
-func (s *Server) matches(w http.ResponseWriter, r *http.Request, old *resource.Resource) bool {
+// checkIfMatch checks If-Match against the version that stands.
+func (s *Server) checkIfMatch(w http.ResponseWriter, r *http.Request, old *resource.Resource) bool {
 	m := strings.Trim(r.Header.Get("If-Match"), `"`)
 	if m == "" || (old != nil && (m == "*" || m == old.Metadata.ResourceVersion)) {
 		return true
@@ -198,10 +198,10 @@
 	}
 	row, old, err := s.current(r.Context(), x.Kind, x.Metadata.Name)
 	if err != nil {
-		s.refuseTable(w, err)
+		s.refuseTableError(w, err)
 		return
 	}
-	if !s.matches(w, r, old) {
+	if !s.checkIfMatch(w, r, old) {
 		return
 	}
 	x.Metadata.Generation = 1
@@ -222,7 +222,7 @@
 	writeJSON(w, status, p)
 }
 
-func (s *Server) refuseTable(w http.ResponseWriter, err error) {
+func (s *Server) refuseTableError(w http.ResponseWriter, err error) {
 	w.Header().Set("Retry-After", "1")
 	p := &Problem{Code: fail.Reason(err), Message: err.Error()}
 	if errorx.IsOfType(err, fail.Unknown) {
@@ -231,8 +231,8 @@
 	s.refuse(w, http.StatusServiceUnavailable, p)
 }
 
-// users names the resources that name the resource of that kind and name.
-func (s *Server) users(k resource.Kind, name string) []string {
+// referrers names the resources that name the resource of that kind and name.
+func (s *Server) referrers(k resource.Kind, name string) []string {
 	var l []string
 	for _, x := range s.view.List("") {
 		for _, f := range resource.References(x) {
@@ -248,8 +248,8 @@
 // have told this box that the store came back from a copy.
 func (s *Server) write(w http.ResponseWriter, r *http.Request, row *table.Row, v *configuration.ResourceRow) {
 	era, since := s.Era()
-	if !since.IsZero() && time.Since(since) < settlePeriod {
-		s.refuseTable(w, errRestored(fail.Unavailable, "the store was restored, and what it lost is being written again"))
+	if !since.IsZero() && time.Since(since) < restoreGracePeriod {
+		s.refuseTableError(w, errRestored(fail.Unavailable, "the store was restored, and what it lost is being written again"))
 		return
 	}
 	v.WriteID = rand.Text()
@@ -260,7 +260,7 @@
 		err = errRestored(fail.Unknown, "the store was restored meanwhile")
 	}
 	if err != nil {
-		s.refuseTable(w, err)
+		s.refuseTableError(w, err)
 		return
 	}
 	if other != nil {
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -8,8 +8,8 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// conditionForce is the condition that tells whether a resource is in force everywhere.
-const conditionForce = "InForce"
+// conditionInForce is the condition that tells whether a resource is in force everywhere.
+const conditionInForce = "InForce"
 
 // statusOf tells, for each hall, at how many boxes a resource is in force.
 func statusOf(x *resource.Resource, halls []box.HallRevisions, now time.Time) *resource.Status {
@@ -26,7 +26,7 @@
 		unknown += h.Unanswered
 		st.Halls = append(st.Halls, v)
 	}
-	c := resource.Condition{LastTransitionTime: now, Reason: "EveryBox", Status: "True", Type: conditionForce}
+	c := resource.Condition{LastTransitionTime: now, Reason: "EveryBox", Status: "True", Type: conditionInForce}
 	switch {
 	case missing > 0:
 		c.Reason, c.Status, c.Message = "Spreading", "False", strconv.Itoa(missing)+" boxes are behind"
--- a/internal/operator/table.go
+++ b/internal/operator/table.go
@@ -26,20 +26,20 @@
 		Conditions: []table.Condition{{Key: key, Revision: revision}},
 		Writes:     []table.Write{{Key: key, Value: b}},
 	}
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		r, err := s.Commit(ctx, t)
 		switch {
 		case err == nil && r.Committed:
 			return nil, r.Revision, nil
 		case err == nil:
-			return lostRace(r, v.WriteID)
-		case try == settleTries || !unsettled(err, try):
+			return resolveConflict(r, v.WriteID)
+		case attempt == commitAttempts || !outcomeUnknown(err, attempt):
 			return nil, 0, err
 		}
 		select {
 		case <-ctx.Done():
 			return nil, 0, err
-		case <-time.After(settleWait << try):
+		case <-time.After(commitBackoff << attempt):
 		}
 	}
 }
@@ -64,25 +64,25 @@
 	return row, configuration.WithRevision(v.Resource, row.Revision), nil
 }
 
-// lostRace tells a transaction that was refused because an earlier send of it
+// resolveConflict tells a transaction that was refused because an earlier send of it
 // took effect from one that lost to another write.
-func lostRace(r *table.Result, write string) (*table.Row, int64, error) {
+func resolveConflict(r *table.Result, writeID string) (*table.Row, int64, error) {
 	if len(r.Current) != 1 {
 		return nil, 0, errors.New("the platform told no reason for a refused transaction")
 	}
-	if writtenBy(&r.Current[0], write) {
+	if writtenBy(&r.Current[0], writeID) {
 		return nil, r.Current[0].Revision, nil
 	}
 	return &r.Current[0], 0, nil
 }
 
-// unsettled reports whether a write may have taken effect although it failed:
+// outcomeUnknown reports whether a write may have taken effect although it failed:
 // its answer was lost, or that of an earlier try was.
-func unsettled(err error, try int) bool {
-	return errorx.IsOfType(err, fail.Unknown) || (try > 1 && errorx.IsOfType(err, fail.Unavailable))
+func outcomeUnknown(err error, attempt int) bool {
+	return errorx.IsOfType(err, fail.Unknown) || (attempt > 1 && errorx.IsOfType(err, fail.Unavailable))
 }
 
-func writtenBy(r *table.Row, write string) bool {
+func writtenBy(r *table.Row, writeID string) bool {
 	v := new(configuration.ResourceRow)
-	return json.Unmarshal(r.Value, v) == nil && v.WriteID == write
+	return json.Unmarshal(r.Value, v) == nil && v.WriteID == writeID
 }
