--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -11,26 +11,27 @@
 	"github.com/linetiller/linetiller/internal/explain"
 )
 
-// testDay is a day of two kinds of request at two boxes of two halls.
+// testDay builds the logs of a day.
 type testDay struct{ log strings.Builder }
 
-// addLine adds a line at some seconds of the day.
+// addLine adds a log line at a time in seconds from the start of the day.
 func (d *testDay) addLine(second float64, box string, event int, fields string) {
 	at := time.Unix(1000, 0).UTC().Add(time.Duration(second * float64(time.Second)))
 	_, _ = fmt.Fprintf(&d.log, "%8.3f %s {\"time\":%q,\"box\":%q,\"event\":%d%s}\n", second, box, at.Format(time.RFC3339Nano), box, event, fields)
 }
 
-// addPlaced adds the send of a stream.
+// addPlaced adds the line of a stream that is sent to an upstream.
 func (d *testDay) addPlaced(second float64, box, id, upstream, hall string) {
 	d.addLine(second, box, 207, fmt.Sprintf(`,"request":%q,"route":"r-1","upstream":%q,"hall":%q,"try":1,"prompt_tokens":9,"hint":700`, id, upstream, hall))
 }
 
-// addBroken adds the break of a stream of box a.
+// addBroken adds the line of a stream at box a that breaks off.
 func (d *testDay) addBroken(second float64, id, upstream string) {
 	d.addLine(second, "a", 203, fmt.Sprintf(`,"request":%q,"route":"r-1","upstream":%q,"reason":"stream_broken"`, id, upstream))
 }
 
-// newTestDay returns a day on which a stream was lost for each cause.
+// newTestDay returns a day of streams and calls in two halls, with a loss for each cause that
+// TestEachLossHasItsCause expects.
 func newTestDay() *testDay {
 	d := new(testDay)
 	d.addLine(0, "a", 101, `,"hall":"h1"`)
@@ -69,7 +70,8 @@
 	return d
 }
 
-// TestEachLossHasItsCause makes the account of a day on which each cause struck once.
+// TestEachLossHasItsCause checks the number of lost requests by cause, their total worth and the
+// printed tables of a day on which losses have different causes.
 func TestEachLossHasItsCause(t *testing.T) {
 	lines, err := explain.Read(strings.NewReader(newTestDay().log.String()))
 	if err != nil {
@@ -101,10 +103,10 @@
 		}
 	}
 	if math.Abs(sum-a.Lost) > 1e-9 || a.Lost < 0.8 {
-		t.Errorf("sum over the causes: got %v, want %v", sum, a.Lost)
+		t.Errorf("sum of the losses: got %v, want %v", sum, a.Lost)
 	}
 	if got, want := a.UnservedWaits, 0.1*130/(12*130+4); math.Abs(got-want) > 1e-9 {
-		t.Errorf("waits that ended unserved: got %v, want %v", got, want)
+		t.Errorf("penalty for waits that ended unserved: got %v, want %v", got, want)
 	}
 	var b bytes.Buffer
 	if err := a.Print(&b); err != nil || !strings.Contains(b.String(), "all boxes died") {
@@ -112,15 +114,15 @@
 	}
 	b.Reset()
 	if err := a.PrintAttempts(&b, ByHall); err != nil || !strings.Contains(b.String(), "h2") {
-		t.Errorf("got %q %v, want a table by hall", b.String(), err)
+		t.Errorf("got %q %v, want a table of attempts by hall", b.String(), err)
 	}
 	if got, want := ByWindow(time.Unix(1000, 0))(&Attempt{Ended: time.Unix(1012, 0)}), " 10 s"; got != want {
 		t.Errorf("window: got %q, want %q", got, want)
 	}
 }
 
-// TestLateStreamsAreToldApart checks why streams were late by the times that their last lines
-// tell: a wait for a place, a prompt that was read slowly, a pause at the engine, or none.
+// TestLateStreamsAreToldApart checks the cause of a late stream by the times in its log lines: a
+// long wait for a place, a slow prefill or a stall at the engine. A stream in time has no cause.
 func TestLateStreamsAreToldApart(t *testing.T) {
 	a := &latencyTarget{response: 1800 * time.Millisecond, class: "long", pause: 180 * time.Millisecond}
 	for _, x := range []struct {
@@ -145,8 +147,8 @@
 	}
 }
 
-// TestSizesAreToldApart counts what became of twenty streams by their size: the largest two
-// are refused for want of a turn, one of the next is late.
+// TestSizesAreToldApart checks the outcomes of twenty streams by the size of their prompts. The two
+// largest are refused because it was never their turn, and the next one is late.
 func TestSizesAreToldApart(t *testing.T) {
 	d := new(testDay)
 	for i := range 20 {
@@ -179,7 +181,7 @@
 		}
 	}
 	if g := &got[3]; g.Served() != 0 || g.Refused["late/turn"] != 2 {
-		t.Errorf("largest tenth: got %+v, want both refused for want of a turn", *g)
+		t.Errorf("largest tenth: got %+v, want both refused as late/turn", *g)
 	}
 	var b bytes.Buffer
 	if err := PrintSizes(&b, got); err != nil || !strings.Contains(b.String(), "late/turn 2") {
--- a/internal/account/try.go
+++ b/internal/account/attempt.go
@@ -10,18 +10,19 @@
 	"github.com/linetiller/linetiller/internal/explain"
 )
 
-// Attempt is one try of a caller that did not go well.
+// Attempt is an attempt of a caller that was unsuccessful or late. It has a request ID of its own.
 type Attempt struct {
 	Cause    Cause
-	Ended    time.Time // the last word of it
-	Hall     string    // of its box
-	Class    string    // of request
-	Sent     bool      // it was sent to an upstream
-	Request  string
-	Duration time.Duration // until its end; 0 where it has none
+	Ended    time.Time     // time of its last line
+	Hall     string        // of its box
+	Class    string        // of request
+	Sent     bool          // whether it was sent to an upstream
+	Request  string        // ID
+	Duration time.Duration // until its end; 0 if the logs have none
 }
 
-// unsuccessfulAttempts returns the tries that did not go well, of the routes whose kind is known.
+// unsuccessfulAttempts returns the unsuccessful and late attempts, in order of their end. It leaves
+// out the routes whose class is unknown.
 func (l *Log) unsuccessfulAttempts(targets map[string]latencyTarget) []Attempt {
 	var all []Attempt
 	for id, lines := range l.requests {
@@ -43,7 +44,8 @@
 	return all
 }
 
-// causeOf tells why a try did not go well, or "".
+// causeOf returns why an attempt was unsuccessful or late. It is "" if the attempt was in order, ended
+// by its caller or still running at the end of the logs.
 func (l *Log) causeOf(lines []*explain.Line, a *latencyTarget) Cause {
 	end := endOf(lines)
 	if end == nil {
@@ -54,7 +56,7 @@
 		case died:
 			return CauseBoxDied
 		}
-		return "" // it was still under way
+		return "" // still running
 	}
 	switch end.Event {
 	case event.RequestFinished.Number:
@@ -67,12 +69,13 @@
 				return CauseBoxStopped
 			}
 		}
-		return "" // the caller's own will
+		return "" // the caller disconnected of its own accord
 	}
 	return l.interruptedCause(lines, end)
 }
 
-// interruptedCause tells why an answer broke off or did not come.
+// interruptedCause returns why a response broke off or did not come. It follows the moves of the
+// generation to find the upstream at which it was lost.
 func (l *Log) interruptedCause(lines []*explain.Line, end *explain.Line) Cause {
 	if text(end, "reason") == "deadline" {
 		return CauseNoAnswer
@@ -94,7 +97,7 @@
 	return CauseEngineGone
 }
 
-// finishedCause tells why an answer that was passed on whole was worth less, or "".
+// finishedCause returns why a response that was complete earned less than its full worth, or "".
 func finishedCause(lines []*explain.Line, end *explain.Line, a *latencyTarget) Cause {
 	if number(end, "status") >= http.StatusInternalServerError {
 		return CauseFailed
@@ -113,8 +116,9 @@
 	return ""
 }
 
-// lateStreamCause tells why a stream was late, or "": its first event came late, mostly after
-// a wait for a place or mostly while its prompt was read, or a pause was too long.
+// lateStreamCause returns why a stream was late, or "". If the first event was late, the cause is the
+// wait for a place if that took more than half of the time, and the prefill otherwise. If the first
+// event was in time, the cause may be a long gap between two events.
 func lateStreamCause(lines []*explain.Line, end *explain.Line, a *latencyTarget) Cause {
 	first := milliseconds(number(end, "first_ms"))
 	if first <= a.response {
@@ -131,7 +135,7 @@
 	return CauseLatePrefill
 }
 
-// endOf returns the line that tells how a try ended, or nil.
+// endOf returns the last line that reports the end of an attempt, or nil.
 func endOf(lines []*explain.Line) *explain.Line {
 	for _, x := range slices.Backward(lines) {
 		switch x.Event {
@@ -142,8 +146,8 @@
 	return nil
 }
 
-// refusedCause tells why a request was refused, or "" where that was as the configuration
-// has it.
+// refusedCause returns CauseRefused, or "" if the configuration has no such key or route, so that the
+// refusal is no loss.
 func refusedCause(end *explain.Line) Cause {
 	switch text(end, "reason") {
 	case "key_unknown", "route_unknown":
@@ -152,7 +156,7 @@
 	return CauseRefused
 }
 
-// routeOf returns the route of a try.
+// routeOf returns the route of an attempt, or "" if no line names it.
 func routeOf(lines []*explain.Line) string {
 	for _, x := range lines {
 		if r := text(x, "route"); r != "" {
--- a/internal/account/account.go
+++ b/internal/account/breakdown.go
@@ -1,10 +1,12 @@
-// Package account says where the worth of a day on the users' bench went: it reads the
-// day's report, its site and the boxes' logs, and gives each lost request a cause.
+// Package account attributes the losses of a day on the users' benchmark to causes. It reads the
+// report of the day, the site file and the logs of the boxes.
 //
-// The report tells how many requests of each kind were lost and which share of their worth
-// that was; the logs tell why tries ended. A caller's tries have ids of their own, so that
-// what the logs tell of a kind is taken in proportion: the sum over the causes is always
-// what the report says was lost.
+// The benchmark gives each request a worth, which is earned in full only by a response in time. The
+// report says how many requests of each class were lost, and which share of their worth. The logs
+// say why attempts ended. A caller that retries makes several attempts, each with its own request
+// ID, so the attempts in the logs cannot be matched to the requests in the report. Instead, the
+// causes of a class are scaled to the numbers of the report: the sum over all causes always equals
+// the loss in the report.
 package account
 
 import (
@@ -13,23 +15,23 @@
 	"slices"
 )
 
-// Breakdown is where the worth of one day went.
+// Breakdown attributes the worth lost in one day to causes.
 type Breakdown struct {
 	Day           string
-	Losses        []Loss    // the largest first
-	Lost          float64   // share of the worth owed
-	UnservedWaits float64   // share of the worth owed that waits which ended unserved count for, see waited
-	Attempts      []Attempt // that did not go well, in order of their end
+	Losses        []Loss    // largest first
+	Lost          float64   // share of the worth owed that was not earned
+	UnservedWaits float64   // penalty for waits that ended unserved, as a share of the worth owed; see unservedWaitShare
+	Attempts      []Attempt // unsuccessful and late ones, in order of their end
 }
 
 // Loss is what one cause cost.
 type Loss struct {
 	Cause    Cause
-	Requests map[string]float64 // by kind
-	Worth    float64            // share of the day's worth owed
+	Requests map[string]float64 // by class
+	Worth    float64            // share of the worth owed in the day
 }
 
-// NewBreakdown makes the account of a day.
+// NewBreakdown returns the breakdown of a day.
 func NewBreakdown(day string, r *Report, s *Site, l *Log) *Breakdown {
 	b := &Breakdown{Day: day, Attempts: l.unsuccessfulAttempts(s.targets(r, l))}
 	losses := make(map[Cause]*Loss)
@@ -58,8 +60,9 @@
 	return b
 }
 
-// causes returns how many lost requests of a kind each cause has: the lost tries of its
-// route, in proportion to what the report counts, and what no box saw.
+// causes returns the number of lost or late requests of the class by cause. The attempts of the
+// class are scaled to the counts of the report. Lost requests that no attempt accounts for go to
+// CauseNotLogged, late ones to CauseLate.
 func (c *Class) causes(attempts []Attempt) map[Cause]float64 {
 	late, lost := make(map[Cause]float64), make(map[Cause]float64)
 	for i := range attempts {
@@ -78,7 +81,8 @@
 	return lost
 }
 
-// totalLoss returns the sum of what the lost requests of a kind weigh.
+// totalLoss returns the loss over all lost and late requests of the class, in units of the worth of
+// one request.
 func (c *Class) totalLoss(attempts []Attempt, s *Site) float64 {
 	sum := 0.0
 	for cause, n := range c.causes(attempts) {
@@ -87,8 +91,8 @@
 	return sum
 }
 
-// scaleTo makes the counts sum to total: they are taken in proportion where they are more,
-// and the rest is given to another cause where they are fewer.
+// scaleTo makes the counts sum up to total. Counts that exceed it are scaled down in proportion. If
+// they fall short, the difference is added to the cause remainder.
 func scaleTo(counts map[Cause]float64, total float64, remainder Cause) {
 	sum := 0.0
 	for _, n := range counts {
--- a/internal/account/cause.go
+++ b/internal/account/cause.go
@@ -5,7 +5,7 @@
 // Cause is why a request was lost or late.
 type Cause string
 
-// The causes.
+// The causes, with the names under which they are printed.
 const (
 	CauseAllBoxesDied Cause = "all boxes died"
 	CauseBoxDied      Cause = "its box died"
@@ -24,7 +24,7 @@
 	CauseNoAnswer     Cause = "no answer in time"
 )
 
-// late reports whether a request with that cause was served, late.
+// late reports whether a request with this cause was served, but late.
 func (c Cause) late() bool {
 	return slices.Contains([]Cause{CauseLate, CauseLateMove, CauseLatePrefill, CauseLateStall, CauseLateWait}, c)
 }
--- a/internal/account/log.go
+++ b/internal/account/log.go
@@ -10,35 +10,35 @@
 	"github.com/linetiller/linetiller/internal/explain"
 )
 
-// Log is what the boxes wrote in a day.
+// Log holds the log lines of all boxes over a day, indexed.
 type Log struct {
-	end             time.Time                  // of the last line
-	halls           map[string]string          // of boxes, and of upstreams that requests went to
-	lastLine        map[string]time.Time       // by box: of its last line
-	requests        map[string][]*explain.Line // in order
-	starts          map[string][]time.Time     // of boxes, in order
-	incompleteStops map[string][]time.Time     // of boxes that ended with requests unfinished
+	end             time.Time                  // time of the last line
+	halls           map[string]string          // by box, and by upstream that requests were sent to
+	lastLine        map[string]time.Time       // by box: time of its last line
+	requests        map[string][]*explain.Line // by request ID, in order of time
+	starts          map[string][]time.Time     // by box: times at which it started, in order
+	incompleteStops map[string][]time.Time     // by box: times at which it stopped with requests unfinished
 }
 
-// routeStats is what was asked of one route.
+// routeStats sums up the attempts on a route.
 type routeStats struct {
-	hint     float64 // tokens of output that callers expect, of all tries; 0 for calls
+	hint     float64 // sum of the output tokens that callers expect; 0 for calls, which do not stream
 	attempts int
 }
 
 const (
-	// restartWindow is how far apart the boxes start again that died together: each takes
-	// its own time to come up.
+	// restartWindow is the maximum distance between the restarts of boxes that died at the same
+	// time, since some take longer to start than others.
 	restartWindow = 3 * time.Second
-	// allBoxesShare is the share of the boxes that counts for all of them: some may have left
-	// for good before.
+	// allBoxesShare is the share of the boxes that has to restart together for all boxes to be
+	// considered dead. It is below 1 since some boxes may have left for good before.
 	allBoxesShare = 0.6
-	// silentBoxPeriod is how long before the end of the logs a box wrote its last line that has
-	// died for good.
+	// silentBoxPeriod is the time between the last line of a box and the end of the logs from
+	// which on a box that did not restart is considered dead.
 	silentBoxPeriod = 5 * time.Second
 )
 
-// NewLog takes in the lines of all boxes.
+// NewLog indexes the lines of all boxes. It sorts lines by time.
 func NewLog(lines []explain.Line) *Log {
 	l := &Log{
 		halls: make(map[string]string), lastLine: make(map[string]time.Time), requests: make(map[string][]*explain.Line),
@@ -64,7 +64,7 @@
 	return l
 }
 
-// ReadLog reads the logs in files.
+// ReadLog reads the log files of all boxes.
 func ReadLog(paths []string) (*Log, error) {
 	var all []explain.Line
 	for _, p := range paths {
@@ -73,7 +73,7 @@
 			return nil, err
 		}
 		l, err := explain.Read(f)
-		_ = f.Close() // only read
+		_ = f.Close() // opened for reading only
 		if err != nil {
 			return nil, err
 		}
@@ -82,8 +82,8 @@
 	return NewLog(all), nil
 }
 
-// boxDiedAfter tells whether the box that held a request has died since a time, and whether
-// most boxes did then.
+// boxDiedAfter reports whether a box died after a time, and whether most boxes did so together. A
+// box has died if it started again after that time, or wrote nothing up to the end of the logs.
 func (l *Log) boxDiedAfter(box string, after time.Time) (died, all bool) {
 	at := firstAfter(l.starts[box], after)
 	if at.IsZero() && l.lastLine[box].Add(silentBoxPeriod).After(l.end) {
@@ -102,8 +102,8 @@
 	return true, float64(started) >= allBoxesShare*float64(len(l.starts))
 }
 
-// closestCallRoute returns the route of calls, not among those known, whose number of tries is
-// nearest to a number; "" where there is none.
+// closestCallRoute returns the route of calls, other than those in known, whose number of attempts is
+// closest to n by ratio; "" if there is none.
 func (l *Log) closestCallRoute(n int, known map[string]latencyTarget) string {
 	best, least := "", math.Inf(1)
 	for route, x := range l.routes() {
@@ -117,7 +117,7 @@
 	return best
 }
 
-// routes returns what was asked of each route.
+// routes returns the statistics of each route. An attempt counts for the route of its first placement.
 func (l *Log) routes() map[string]routeStats {
 	m := make(map[string]routeStats)
 	for _, lines := range l.requests {
@@ -134,7 +134,7 @@
 	return m
 }
 
-// firstAfter returns the first of some times after another, or the zero time.
+// firstAfter returns the first time in the sorted list l that is after the given one, or the zero time.
 func firstAfter(l []time.Time, after time.Time) time.Time {
 	for _, t := range l {
 		if t.After(after) {
--- a/internal/account/print.go
+++ b/internal/account/print.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// windowLength is the length of the windows that tries are counted by.
+// windowLength is the length of the time windows of ByWindow.
 const windowLength = 5 * time.Second
 
-// Print writes the account: each cause with what it cost, in requests of each kind and in
-// the share of the worth owed.
+// Print writes a table of the causes, with the share of the worth owed that each cost and the number
+// of requests by class.
 func (b *Breakdown) Print(w io.Writer) error {
 	kinds := make(map[string]bool)
 	for _, x := range b.Losses {
@@ -40,7 +40,7 @@
 	return t.Flush()
 }
 
-// PrintAttempts writes how many tries of each cause there were in each group.
+// PrintAttempts writes a table of the number of attempts by cause and group.
 func (b *Breakdown) PrintAttempts(w io.Writer, group func(t *Attempt) string) error {
 	counts, groups := make(map[Cause]map[string]int), make(map[string]bool)
 	for i := range b.Attempts {
@@ -69,10 +69,11 @@
 	return t.Flush()
 }
 
-// ByHall groups tries by the hall of their box.
+// ByHall groups attempts by the hall of their box.
 func ByHall(t *Attempt) string { return t.Hall }
 
-// ByWindow returns a grouping of tries by when they ended, from a moment on.
+// ByWindow returns a function that groups attempts by the time window in which they ended, counted
+// in seconds since from.
 func ByWindow(from time.Time) func(t *Attempt) string {
 	return func(t *Attempt) string {
 		return fmt.Sprintf("%3d s", int(t.Ended.Sub(from)/windowLength)*int(windowLength/time.Second))
--- a/internal/account/report.go
+++ b/internal/account/report.go
@@ -5,12 +5,12 @@
 	"os"
 )
 
-// Report is what is read of a day's report by the users' bench.
+// Report holds the fields used here of the report that the users' benchmark writes for a day.
 type Report struct {
 	Classes []Class `json:"classes"`
 }
 
-// Class is what became of the requests of one kind.
+// Class counts the outcomes of the requests of one class.
 type Class struct {
 	Failed  int     `json:"failed"`
 	Late    int     `json:"late"`
@@ -18,10 +18,10 @@
 	NotOwed int     `json:"not_owed"`
 	Count   int     `json:"n"`
 	Refused int     `json:"refused"`
-	Worth   float64 `json:"worth"` // share of the worth owed that it earned
+	Worth   float64 `json:"worth"` // share of the worth owed to the class that it earned
 }
 
-// ReadReport reads a report.
+// ReadReport reads a report in JSON.
 func ReadReport(path string) (*Report, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/account/site.go
+++ b/internal/account/site.go
@@ -8,14 +8,14 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Site is what is read of a site's file.
+// Site holds the fields used here of the site file of the users' benchmark.
 type Site struct {
 	Classes []SiteClass `toml:"classes"`
 }
 
-// SiteClass is one kind of request.
+// SiteClass describes a class of requests.
 type SiteClass struct {
-	TargetMS   float64     `toml:"aim_ms"` // within which the answer, or its first event, is wanted
+	TargetMS   float64     `toml:"aim_ms"` // target time to the response, or to the first event of a stream
 	DeadlineMS float64     `toml:"deadline_ms"`
 	LateWorth  float64     `toml:"late_worth"`
 	Name       string      `toml:"name"`
@@ -23,25 +23,26 @@
 	Worth      float64     `toml:"worth"`
 }
 
-// SiteStream describes the answers of a kind of request that are streams.
+// SiteStream describes the streams of a class whose responses are streams.
 type SiteStream struct {
-	GapTargetMS float64 `toml:"gap_aim_ms"` // between two events
+	GapTargetMS float64 `toml:"gap_aim_ms"` // target for the longest gap between two events
 	Events      struct {
 		Mean float64 `toml:"mean"`
-	} `toml:"pieces"` // events
+	} `toml:"pieces"` // number of events in a stream
 }
 
-// latencyTarget is the kind of request of a route, with what is wanted of it.
+// latencyTarget is the class of the requests on a route, with its target times to the response or
+// first event, and between two events of a stream. The latter is 0 for calls.
 type latencyTarget struct {
 	response, pause time.Duration
 	class           string
 }
 
-// tokensPerEvent is how many tokens an event of a stream holds; callers'
-// estimates are in tokens.
+// tokensPerEvent is the number of tokens in an event of a stream. It converts the lengths of the site
+// file, in events, to the callers' estimates, in tokens.
 const tokensPerEvent = 4
 
-// ReadSite reads a site's file.
+// ReadSite reads a site file in TOML.
 func ReadSite(path string) (*Site, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -54,9 +55,10 @@
 	return s, nil
 }
 
-// targets finds the kind of request of each route. Routes have other names each day, and a kind
-// may have several. A route of streams is of the kind whose streams are about as long as its
-// callers expect; another one is that whose number of tries is nearest to the report's.
+// targets finds the class of the requests on each route. The names of routes change every day and a
+// class may have several routes, so they are matched by their traffic. A route of streams belongs to
+// the class whose mean stream length is closest to the callers' estimates. A class of calls gets the
+// route whose number of attempts is closest to its number of requests in the report.
 func (s *Site) targets(r *Report, l *Log) map[string]latencyTarget {
 	m := make(map[string]latencyTarget)
 	for route, x := range l.routes() {
@@ -84,8 +86,8 @@
 	return m
 }
 
-// closestClass returns the kind of request whose ratio is nearest to 1, among those where it is
-// not 0; nil where there is none.
+// closestClass returns the class whose ratio is closest to 1 on a logarithmic scale, leaving out those
+// of ratio 0; nil if there is none.
 func (s *Site) closestClass(ratio func(c *SiteClass) float64) *SiteClass {
 	var best *SiteClass
 	least := math.Inf(1)
@@ -98,7 +100,8 @@
 	return best
 }
 
-// class returns a kind of request; of one that the site does not have, nothing is owed.
+// class returns the class of the given name. For one that is not in the site file, it returns an
+// empty class, to which nothing is owed.
 func (s *Site) class(name string) *SiteClass {
 	for i := range s.Classes {
 		if s.Classes[i].Name == name {
@@ -108,7 +111,7 @@
 	return new(SiteClass)
 }
 
-// owedShares returns the share of the day's worth that each kind was owed.
+// owedShares returns, by class, the share of the worth owed in the day.
 func (s *Site) owedShares(r *Report) map[string]float64 {
 	m, sum := make(map[string]float64), s.totalOwedWorth(r)
 	for _, c := range r.Classes {
@@ -117,7 +120,7 @@
 	return m
 }
 
-// totalOwedWorth returns the day's worth.
+// totalOwedWorth returns the worth owed in the day, over all classes.
 func (s *Site) totalOwedWorth(r *Report) float64 {
 	sum := 0.0
 	for _, c := range r.Classes {
@@ -126,10 +129,10 @@
 	return sum
 }
 
-// unservedWaitShare returns what the users' stricter measure charges for waits, as a share of the
-// worth owed: a request that is held, never sent to an upstream and not served costs the
-// share of its worth that its wait was of the time it had, without steps; each try of a
-// caller by itself.
+// unservedWaitShare returns the penalty for waits that ended unserved, as a share of the worth owed.
+// It follows the stricter measure of the users: a request that was held, never sent to an upstream
+// and not served costs its worth times the fraction of its deadline that it waited, linearly and not
+// in steps. Each attempt of a caller is charged separately.
 func (s *Site) unservedWaitShare(r *Report, attempts []Attempt) float64 {
 	charged := 0.0
 	for i := range attempts {
@@ -142,7 +145,7 @@
 	return charged / s.totalOwedWorth(r)
 }
 
-// lossFraction returns which share of a request's worth a cause costs.
+// lossFraction returns the share of the worth of a request that is lost by the cause.
 func (s *Site) lossFraction(class string, cause Cause) float64 {
 	if c := s.class(class); cause.late() && c.Worth > 0 {
 		return 1 - c.LateWorth/c.Worth
--- a/internal/account/sizes.go
+++ b/internal/account/sizes.go
@@ -12,32 +12,32 @@
 	"github.com/linetiller/linetiller/internal/explain"
 )
 
-// SizeClass is what became of the tries of a kind of request whose prompts are of like size.
+// SizeClass counts the outcomes of the attempts of a class whose prompts are of similar size.
 type SizeClass struct {
 	Class           string
 	Late            int            // served, but late
 	Name            string         // such as "largest tenth"
-	MinPromptTokens int            // tokens of its smallest prompt
-	Refused         map[string]int // by reason, and by what was lacking
+	MinPromptTokens int            // length of its shortest prompt, in tokens
+	Refused         map[string]int // by "reason/shortage", or by reason if no shortage was logged
 	Attempts        int
 	Unknown         int // neither served nor refused
 }
 
-// sizedAttempt is a try with its size.
+// sizedAttempt is the outcome of an attempt with the length of its prompt in tokens.
 type sizedAttempt struct {
 	late, served bool
 	promptTokens int
-	refused      string // why
+	refused      string // as in SizeClass.Refused; "" if it was not refused
 }
 
-// sizeClasses are the size classes with the share of tries that they start at, by size.
+// sizeClasses are the size classes, each with the quantile of the prompt length at which it starts.
 var sizeClasses = []struct {
 	from float64
 	name string
 }{{0, "smallest half"}, {0.5, "fifth above"}, {0.7, "fifth below the largest"}, {0.9, "largest tenth"}}
 
-// Sizes returns what became of the tries of each kind of request by the size of its prompt.
-// A caller's tries have ids of their own: each counts by itself.
+// Sizes returns the outcomes of the attempts of each class by the size of the prompt. Attempts have
+// request IDs of their own, so each attempt of a caller counts separately.
 func (l *Log) Sizes(s *Site, r *Report) []SizeClass {
 	attempts := make(map[string][]sizedAttempt)
 	targets := s.targets(r, l)
@@ -63,7 +63,7 @@
 	return all
 }
 
-// Served returns how many tries were served, late ones included.
+// Served returns the number of attempts that were served, including late ones.
 func (c *SizeClass) Served() int {
 	n := c.Attempts - c.Unknown
 	for _, x := range c.Refused {
@@ -72,7 +72,7 @@
 	return n
 }
 
-// PrintSizes writes what became of the tries by size, and why they were refused.
+// PrintSizes writes a table of the outcomes by size, with the reasons of refusals.
 func PrintSizes(w io.Writer, sizes []SizeClass) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "kind\tsize\tfrom tokens\ttries\tserved\tof them late\tneither\trefused")
@@ -84,7 +84,7 @@
 	return t.Flush()
 }
 
-// newSizeClass counts tries of one size class.
+// newSizeClass counts the outcomes of attempts, which are sorted by prompt length.
 func newSizeClass(class, name string, attempts []sizedAttempt) SizeClass {
 	c := SizeClass{Class: class, Name: name, Refused: make(map[string]int), Attempts: len(attempts)}
 	if len(attempts) > 0 {
@@ -103,7 +103,8 @@
 	return c
 }
 
-// sizeAttempt returns a try with its size; false where it has no prompt or no end.
+// sizeAttempt returns the outcome of an attempt with its size. It returns false if the logs lack the
+// end or the prompt length of the attempt, or if the class is unknown.
 func (l *Log) sizeAttempt(lines []*explain.Line, a *latencyTarget) (sizedAttempt, bool) {
 	end := endOf(lines)
 	if end == nil || a.class == "" {
@@ -120,7 +121,7 @@
 	return t, t.promptTokens > 0
 }
 
-// formatCounts writes counts in order of their size.
+// formatCounts returns the keys with their counts, largest count first.
 func formatCounts(m map[string]int) string {
 	var l []string
 	for k := range m {
--- a/internal/cmd/applycmd.go
+++ b/internal/cmd/applycmd.go
@@ -15,6 +15,7 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
+// inForcePollInterval is the pause between two queries for whether a resource is in force.
 const inForcePollInterval = 200 * time.Millisecond
 
 func newApplyCmd(e *ioStreams) *cli.Command {
@@ -62,7 +63,7 @@
 	return nil
 }
 
-// readResources returns the resources of a file, or all its faults.
+// readResources reads the resources in a file. The error lists every fault of the file.
 func readResources(e *ioStreams, path string) ([]*resource.Resource, error) {
 	b, err := readFile(e, path)
 	if err != nil {
@@ -75,6 +76,7 @@
 	return l, nil
 }
 
+// readFile reads a file, or standard input if path is "-".
 func readFile(e *ioStreams, path string) ([]byte, error) {
 	if path == "-" {
 		return io.ReadAll(e.input)
@@ -82,7 +84,8 @@
 	return os.ReadFile(path)
 }
 
-// waitInForce waits until every box has the resource in force.
+// waitInForce polls until every box has the resource in force. If ctx ends first, the error says
+// what the last poll returned.
 func waitInForce(ctx context.Context, o *operator.Client, r *resource.Resource) error {
 	last := "no answer yet"
 	for {
--- a/internal/cmd/certificatecmd.go
+++ b/internal/cmd/certificatecmd.go
@@ -70,6 +70,7 @@
 	return writePair(e, c, p, err)
 }
 
+// writePair writes the certificate and the key to the files that the flags name, unless err is set.
 func writePair(e *ioStreams, c *cli.Command, p *certificate.Pair, err error) error {
 	if err != nil {
 		return err
--- a/internal/cmd/checkcmd.go
+++ b/internal/cmd/checkcmd.go
@@ -38,6 +38,8 @@
 	return errors.Join(all...)
 }
 
+// checkFile checks settings if path ends in .toml, and resources otherwise. The error has one line
+// for each fault.
 func checkFile(e *ioStreams, path string) error {
 	if !strings.HasSuffix(path, ".toml") {
 		_, err := readResources(e, path)
--- a/internal/cmd/cmd.go
+++ b/internal/cmd/cmd.go
@@ -1,4 +1,4 @@
-// Package cmd holds the commands of linetiller, one file a command.
+// Package cmd implements the commands of linetiller, with one file for each command.
 package cmd
 
 import (
@@ -18,18 +18,18 @@
 	"github.com/linetiller/linetiller/internal/operator"
 )
 
-// The exit codes.
+// The exit codes of the program.
 const (
 	ExitOK          = 0
-	ExitFailure     = 1 // anything else
-	ExitBadInput    = 2 // the command line, settings or a resource are wrong
-	ExitConflict    = 3 // another write came first
-	ExitNotRun      = 4 // the request did not run and may be made again
-	ExitInterrupted = 5 // the request started and did not reach its end, or that is not known
-	ExitUnavailable = 6 // the box could not be reached
+	ExitFailure     = 1 // any other error
+	ExitBadInput    = 2 // the command line, the settings or a resource are invalid
+	ExitConflict    = 3 // a resource was changed by another write, or is still referenced
+	ExitNotRun      = 4 // the request did not run and can be retried safely
+	ExitInterrupted = 5 // the request started and did not finish, or its outcome is unknown
+	ExitUnavailable = 6 // the box or the platform's store could not be reached
 )
 
-// ioStreams is what a command reads and writes.
+// ioStreams are the standard streams of a command.
 type ioStreams struct {
 	errorOutput io.Writer
 	input       io.Reader
@@ -45,10 +45,11 @@
 	outputText      = "text"
 )
 
-// errBadInput says that the command line or a file is wrong.
+// errBadInput marks errors of the command line or of a file that it names.
 var errBadInput = errors.New("bad input")
 
-// Main runs one command and returns its exit code.
+// Main runs one command and returns its exit code. Errors are printed to errorOutput. SIGINT cancels
+// the command.
 func Main(arguments []string, input io.Reader, output, errorOutput io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT)
 	defer stop()
@@ -115,7 +116,7 @@
 	return ExitFailure
 }
 
-// operatorFlags are the flags of the commands that speak to an operator address.
+// operatorFlags returns the flags of the commands that call the operator interface.
 func operatorFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{
--- a/internal/cmd/explaincmd.go
+++ b/internal/cmd/explaincmd.go
@@ -46,7 +46,7 @@
 	return err
 }
 
-// readLogs reads the files, or standard input where there are none.
+// readLogs reads the logs in files, or standard input if there are none.
 func readLogs(e *ioStreams, files []string) ([]explain.Line, error) {
 	if len(files) == 0 {
 		return explain.Read(e.input)
--- a/internal/cmd/generatecmd.go
+++ b/internal/cmd/generatecmd.go
@@ -47,10 +47,10 @@
 	}
 }
 
-// generateOutput is one line of the command's JSON output.
+// generateOutput is one line of the JSON output.
 type generateOutput struct {
-	Boxes  int    `json:"boxes,omitempty"`  // at which it was asked for, on the last line
-	Finish string `json:"finish,omitempty"` // why it ended, on the last line
+	Boxes  int    `json:"boxes,omitempty"`  // last line only: number of boxes that were asked
+	Finish string `json:"finish,omitempty"` // last line only: why the generation ended
 	ID     string `json:"id,omitempty"`
 	Text   string `json:"text,omitempty"`
 }
--- a/internal/cmd/reload.go
+++ b/internal/cmd/reload.go
@@ -11,13 +11,13 @@
 	"github.com/linetiller/linetiller/internal/settings"
 )
 
-// settingsPollInterval is how often the settings file is looked at: it may change without a
-// signal.
+// settingsPollInterval is the interval at which the settings file is checked for changes, since it
+// may change without a signal.
 const settingsPollInterval = 5 * time.Second
 
-// watchSettings reads the settings anew at each SIGHUP and each change of their
-// file, and hands them, or what is wrong with them, to take. The result stops it
-// and waits.
+// watchSettings loads the settings again on each SIGHUP and each time that their file changes, and
+// calls onChange with the settings or the error. The returned function stops watching and waits for
+// the goroutine to end.
 func watchSettings(ctx context.Context, path string, onChange func(*settings.Settings, error)) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	hangups := make(chan os.Signal, 1)
@@ -48,8 +48,7 @@
 	}
 }
 
-// modTime returns when a file was last changed, or the zero time where that
-// cannot be told.
+// modTime returns the modification time of a file, or the zero time if it cannot be read.
 func modTime(path string) time.Time {
 	i, err := os.Stat(path)
 	if err != nil {
--- a/internal/cmd/servecmd.go
+++ b/internal/cmd/servecmd.go
@@ -31,7 +31,8 @@
 	}
 }
 
-// limitMemory has the collector keep the process below a number of MiB; 0 sets no limit.
+// limitMemory sets the soft memory limit of the Go runtime, in MiB; 0 leaves it unset. A limit that
+// overflows an int64 number of bytes is ignored.
 func limitMemory(mb float64) {
 	const mebibyte = 1 << 20
 	if mb == 0 || mb >= math.MaxInt64/mebibyte {
@@ -53,7 +54,8 @@
 	if err != nil {
 		return err
 	}
-	// The box has its own handling of signals: the first one lets it finish.
+	// The context that Main cancels on SIGINT is not used: on the first signal the box finishes the
+	// requests in progress, and only on the second one it stops.
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	defer watchSettings(ctx, path, b.Reload)()
--- a/internal/cmd/watchcmd.go
+++ b/internal/cmd/watchcmd.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// errCountReached ends a watch that has shown all that was asked for.
-var errCountReached = errors.New("enough")
+// errCountReached ends a watch that has shown the number of changes that --count asks for.
+var errCountReached = errors.New("requested number of changes shown")
 
 func runWatchCmd(ctx context.Context, e *ioStreams, o *operator.Client, k resource.Kind, after, format string, count int) error {
 	n := 0
@@ -64,6 +64,8 @@
 	return err
 }
 
+// statusText returns the conditions of a resource, and for each hall at how many of its boxes the
+// resource is in force. It is empty if the status cannot be read.
 func statusText(ctx context.Context, o *operator.Client, r *resource.Resource) string {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -9,10 +9,11 @@
 	"github.com/linetiller/linetiller/internal/policy"
 )
 
-// minReportedWaitMS is from how many milliseconds on the wait for a place is worth a word.
+// minReportedWaitMS is the shortest wait for a place, in milliseconds, that the cause mentions.
 const minReportedWaitMS = 100
 
-// leavingNotice returns the last line before a time that tells of an upstream leaving.
+// leavingNotice returns the last line, at or before a time, by which a box learned that an upstream
+// is leaving or is gone from the configuration; nil if there is none.
 func leavingNotice(lines []Line, upstream string, before time.Time) *Line {
 	var best *Line
 	for i := range lines {
@@ -27,7 +28,8 @@
 	return best
 }
 
-// causeText tells why a request ended as it did.
+// causeText explains why a request ended as it did. The lines of the request are own; all are those
+// of every request and box, which may say that its upstream was leaving.
 func causeText(own, all []Line) string {
 	end := endLine(own)
 	if end == nil {
@@ -50,7 +52,7 @@
 	return c
 }
 
-// endLine returns the line that tells how a request ended, or nil.
+// endLine returns the last line that reports the end of the request, or nil.
 func endLine(own []Line) *Line {
 	for i := len(own) - 1; i >= 0; i-- {
 		switch own[i].Event {
@@ -61,12 +63,12 @@
 	return nil
 }
 
-// failureText tells the failure of the request that a line tells of, and where it arose.
+// failureText describes the failure that a line reports, with its step and peer.
 func failureText(x *Line) string {
 	return fmt.Sprintf("%s (%s at %s)", reasonText(x.text("reason")), x.text("step"), x.text("peer"))
 }
 
-// shortageText tells what a request had waited for that was refused, or "".
+// shortageText describes what a refused request was waiting for. It is empty if the line does not say.
 func shortageText(x *Line) string {
 	if s := x.text("short_of"); s != "" {
 		return "; it had waited for " + shortages[policy.Shortage(s)]
@@ -74,7 +76,7 @@
 	return ""
 }
 
-// finishedText tells what made a request that was answered late, where something did.
+// finishedText describes the response to a request, with the long waits and the moves that delayed it.
 func finishedText(own []Line, end *Line) string {
 	c := fmt.Sprintf("it was answered with status %s after %s ms", end.text("status"), end.text("took_ms"))
 	for i := range own {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -11,10 +11,10 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// TestStories tells the stories of a refused, a cut, a late and a resumed request from the
-// recorded logs of two boxes, and compares them with golden files.
+// TestStories compares the timelines of requests that were refused, interrupted, late, moved, lost
+// or resumed with golden files. The timelines are built from the recorded logs of two boxes.
 func TestStories(t *testing.T) {
 	var all []Line
 	for _, n := range []string{"box-1.log", "box-2.log"} {
@@ -50,14 +50,14 @@
 		}
 	}
 	if _, err := NewTimeline(all, "none"); !errors.Is(err, ErrNotFound) {
-		t.Errorf("a request that no line names: got %v, want %v", err, ErrNotFound)
+		t.Errorf("timeline of a request that is not in the logs: got %v, want %v", err, ErrNotFound)
 	}
 }
 
-// TestReasonsAreExplained checks that each reason which the relay and the calls to
-// upstreams give is told in plain words.
+// TestReasonsAreExplained checks that each error reason in the sources of the relay and of the calls
+// to upstreams has an entry in reasons. Without one, the explanation shows the bare reason.
 func TestReasonsAreExplained(t *testing.T) {
-	pattern := regexp.MustCompile(`fail\.(?:New|Wrap)\(.*?"([a-z]+_[a-z_]+)"`) // step names are words apart
+	pattern := regexp.MustCompile(`fail\.(?:New|Wrap)\(.*?"([a-z]+_[a-z_]+)"`) // the underscore tells reasons from step names
 	seen := 0
 	for _, p := range []string{"../relay/*.go", "../../platform/engines.go"} {
 		files, _ := filepath.Glob(p)
@@ -72,7 +72,7 @@
 				}
 				seen++
 				if reasons[m[1]] == "" {
-					t.Errorf("%s: reason %q is not told in plain words", f, m[1])
+					t.Errorf("%s: reason %q has no entry in reasons", f, m[1])
 				}
 			}
 		}
@@ -82,7 +82,7 @@
 	}
 }
 
-// FuzzRead reads any log and tells any request's story without a panic.
+// FuzzRead checks that no log and request ID cause a panic, and that each timeline has a cause.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(`{"time":"2026-12-02T10:00:00Z","msg":"x","event":203,"request":"r","reason":7}`), "r")
 	f.Add([]byte("12.3 box-1 {\"event\":\"x\",\"request\":\"r\"}\n{}\nnothing"), "r")
@@ -92,7 +92,7 @@
 			return
 		}
 		if s, err := NewTimeline(l, id); err == nil && s.Cause == "" {
-			t.Error("a story without a cause")
+			t.Error("got a timeline without a cause")
 		}
 	})
 }
--- a/internal/explain/reason.go
+++ b/internal/explain/reason.go
@@ -2,8 +2,8 @@
 
 import "github.com/linetiller/linetiller/internal/policy"
 
-// reasons tells the reasons of failures in plain words; a test holds them and those
-// that the relay gives together.
+// reasons maps the reasons of errors to explanations. A test checks that every reason in the sources
+// of the relay and of the calls to upstreams has one.
 var reasons = map[string]string{
 	"answer_crossed":         "the upstream answered another request",
 	"answer_cut":             "the upstream's answer broke off",
@@ -41,7 +41,7 @@
 	"upstreams_out_of_reach": "none of the upstreams had answered a connection a moment before",
 }
 
-// reasonText returns a reason in plain words, or as it stands.
+// reasonText returns the explanation of a reason, or the reason itself if it has none.
 func reasonText(r string) string {
 	if t := reasons[r]; t != "" {
 		return t
@@ -49,7 +49,7 @@
 	return r
 }
 
-// shortages tells in plain words what refused work had waited for.
+// shortages maps what a refused request was waiting for to its description.
 var shortages = map[policy.Shortage]string{
 	policy.ShortageBatch:   "a place in the engine's batch",
 	policy.ShortageMemory:  "room in the engine's memory",
--- a/internal/explain/returns.go
+++ b/internal/explain/reconnect.go
@@ -6,13 +6,14 @@
 	"github.com/linetiller/linetiller/internal/event"
 )
 
-// reconnectWindow is how long after a request was placed its caller's return is looked for: a
-// day's longest route holds a request for less.
+// reconnectWindow limits how long after the placement of a request its caller may have reconnected.
+// It exceeds the time for which any route of a benchmark day holds a request.
 const reconnectWindow = 2 * time.Minute
 
-// findReconnects returns the ids of the requests with which the caller of a request seems to have
-// gone on with its stream. Each try has an id of its own, so that they are known by what the
-// caller asks for: the same route, workspace, prompt and estimate, after an event.
+// findReconnects returns the IDs of the requests with which the caller of a request probably resumed
+// its stream. Every attempt of a caller has its own request ID, so the match is a heuristic: a later
+// request that resumes after an event and has the same route, workspace, prompt length and length
+// estimate.
 func findReconnects(own, all []Line) []string {
 	p := firstPlacement(own)
 	if p == nil {
@@ -33,7 +34,7 @@
 	return l
 }
 
-// firstPlacement returns the line of a request's first send, or nil.
+// firstPlacement returns the line of the first time that a request was sent to an upstream, or nil.
 func firstPlacement(own []Line) *Line {
 	for i := range own {
 		if own[i].Event == event.RequestPlaced.Number {
@@ -43,7 +44,7 @@
 	return nil
 }
 
-// sameRequestFields reports whether two sends are of what one caller asks for.
+// sameRequestFields reports whether two placements agree in the fields that identify a caller's request.
 func sameRequestFields(a, b *Line) bool {
 	for _, k := range []string{"route", "workspace", "prompt_tokens", "hint"} {
 		if a.text(k) != b.text(k) {
--- a/internal/explain/story.go
+++ b/internal/explain/timeline.go
@@ -1,4 +1,4 @@
-// Package explain tells the story of one request from the logs of boxes.
+// Package explain reconstructs what happened to a request from the logs of the boxes.
 package explain
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/linetiller/linetiller/internal/event"
 )
 
-// Step is one step of a story.
+// Step is one step of a timeline.
 type Step struct {
 	After time.Duration `json:"afterNanoseconds"` // since the first step
 	Box   string        `json:"box"`
@@ -20,18 +20,19 @@
 	Time  time.Time     `json:"time"`
 }
 
-// Timeline is what became of one request.
+// Timeline is what happened to one request, in order of time.
 type Timeline struct {
-	Cause      string   `json:"cause"` // of its end, in one sentence
+	Cause      string   `json:"cause"` // why the request ended as it did
 	Request    string   `json:"request"`
-	Reconnects []string `json:"returns,omitempty"` // requests with which its caller seems to have gone on with the stream
+	Reconnects []string `json:"returns,omitempty"` // IDs of the requests with which its caller probably resumed the stream
 	Steps      []Step   `json:"steps"`
 }
 
-// ErrNotFound says that no line tells of the request.
+// ErrNotFound is returned if the logs have no line of the request.
 var ErrNotFound = errors.New("no line tells of the request")
 
-// NewTimeline tells the story of a request from the lines of all boxes.
+// NewTimeline builds the timeline of a request from the lines of all boxes, in any order. It returns
+// ErrNotFound if no line carries the ID of the request.
 func NewTimeline(lines []Line, request string) (*Timeline, error) {
 	var own []Line
 	for _, x := range lines {
@@ -53,7 +54,7 @@
 	return t, nil
 }
 
-// String returns the story in plain words, a step a line.
+// String returns the timeline as text: a line for each step, then the cause and the reconnects.
 func (t *Timeline) String() string {
 	var b strings.Builder
 	_, _ = fmt.Fprintf(&b, "request %s\n", t.Request)
@@ -67,8 +68,8 @@
 	return b.String()
 }
 
-// afterEvent tells after which event of its stream a request goes on, where it is not from
-// the beginning.
+// afterEvent describes after which event of its stream a request resumes. It is empty for a request
+// that starts from the beginning.
 func afterEvent(x *Line) string {
 	if id := x.text("last_event"); id != "" {
 		return ", after event " + id
@@ -76,7 +77,8 @@
 	return ""
 }
 
-// stepText tells one line in plain words.
+// stepText describes a line. A line of an event without a description of its own is shown as its
+// message and fields.
 func stepText(x *Line) string {
 	f := x.text
 	switch x.Event {
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -13,26 +13,28 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// Client drives a box's operator interface. It is safe for concurrent use.
+// Client calls the operator interface of a box. It is safe for concurrent use.
 type Client struct {
 	address string
 	http    *http.Client
 	key     string
 }
 
-// Error returns the problem's message with its code.
+// Error returns the code and the message of the problem.
 func (p *Problem) Error() string {
 	return p.Code + ": " + p.Message
 }
 
-// NewClient returns a client of the box at address that shows the operators'
-// key, where it is not empty.
+// NewClient returns a client of the box at address, which is a URL without a path. A key that is
+// not empty is sent as bearer token with each request.
 func NewClient(address, key string, h *http.Client) *Client {
 	return &Client{address: address, http: h, key: key}
 }
 
-// Apply creates or replaces a resource. Where the resource carries a version,
-// only that one is replaced.
+// Apply creates or replaces a resource and returns it as stored. If r carries a version, the
+// resource is replaced only if that is still its current version; otherwise the error is a
+// *Problem of code "stale_version" or "raced". The version goes into the If-Match header, not into
+// the body, and the status is not sent.
 func (c *Client) Apply(ctx context.Context, r *resource.Resource) (*resource.Resource, error) {
 	h := make(http.Header)
 	x := *r
@@ -44,7 +46,7 @@
 	return v, c.call(ctx, http.MethodPut, resourcePath(r.Kind, r.Metadata.Name), h, &x, v)
 }
 
-// Delete removes a resource.
+// Delete removes a resource, whatever its version is.
 func (c *Client) Delete(ctx context.Context, k resource.Kind, name string) error {
 	return c.call(ctx, http.MethodDelete, resourcePath(k, name), nil, nil, new(resource.Resource))
 }
@@ -61,8 +63,9 @@
 	return v, c.call(ctx, http.MethodGet, "/v1/resources/"+url.PathEscape(string(k)), nil, nil, v)
 }
 
-// Watch hands the changes after a version to take, until ctx ends or take
-// returns an error. An empty kind means all.
+// Watch calls handle with each change after a version and with each bookmark. It returns only with
+// an error: that of the request, that of handle, or one of reason "watch_cut" if the stream ends,
+// also because ctx is done. An empty kind watches all kinds.
 func (c *Client) Watch(ctx context.Context, k resource.Kind, after string, handle func(*WatchEvent) error) error {
 	q := url.Values{"after": {after}, "kind": {string(k)}}
 	w, err := c.send(ctx, http.MethodGet, "/v1/watch?"+q.Encode(), nil, nil)
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -1,13 +1,13 @@
-// Package operator is the interface by which operators drive the system: they
-// declare resources, and watch them until they are in force.
+// Package operator provides the HTTP interface for operators, and its client. Operators declare
+// resources, and watch until these are in force at every box.
 //
-//	GET    /v1/resources/KIND            the resources of a kind
-//	GET    /v1/resources/KIND/NAME       one resource, with its status
-//	PUT    /v1/resources/KIND/NAME       creates or replaces it; If-Match names the version replaced
-//	DELETE /v1/resources/KIND/NAME       removes it
-//	GET    /v1/watch?after=VERSION&kind= changes after a version, one JSON a line
+//	GET    /v1/resources/KIND            lists the resources of a kind
+//	GET    /v1/resources/KIND/NAME       returns a resource with its status
+//	PUT    /v1/resources/KIND/NAME       creates or replaces a resource; If-Match names the version to replace
+//	DELETE /v1/resources/KIND/NAME       removes a resource; If-Match names the version to remove
+//	GET    /v1/watch?after=VERSION&kind= streams the changes after a version as newline-delimited JSON
 //
-// A write is answered once it is committed in the platform's table.
+// The response to a write is sent once the write is committed in the platform's table.
 package operator
 
 import (
@@ -35,18 +35,18 @@
 	"github.com/linetiller/linetiller/internal/table"
 )
 
-// Server answers operators. It is an http.Handler.
+// Server serves the operator interface. It is an http.Handler.
 type Server struct {
-	// Commit applies a transaction of the table; a seam.
+	// Commit applies a transaction to the table.
 	Commit func(ctx context.Context, t *table.Transaction) (*table.Result, error)
-	// Era returns the era of the store as this box knows it, and when it learned that the
-	// store came back from a copy, zero where it never did; a seam.
+	// Era returns the era of the store as this box knows it, and when this box learned that the
+	// store was restored from a backup. The time is zero if it never was.
 	Era func() (era int64, since time.Time)
-	// Get reads a row of the table; a seam.
+	// Get reads a row of the table. It returns nil if the row does not exist.
 	Get func(ctx context.Context, key string) (*table.Row, error)
-	// InForce tells which revisions the boxes of each hall have in force; a seam.
+	// InForce returns the revisions that the boxes of each hall have in force.
 	InForce func(ctx context.Context) []box.HallRevisions
-	// Refresh brings the view up to date from the table; a seam.
+	// Refresh updates the view from the table.
 	Refresh func(ctx context.Context) error
 
 	keyHash string
@@ -59,16 +59,17 @@
 const (
 	bookmarkInterval = 5 * time.Second
 	maxBodyBytes     = 256 << 10
-	// restoreGracePeriod is how long writes wait after the store came back from a copy, for boxes to
-	// write again what it lost.
+	// restoreGracePeriod is how long writes are refused after the store was restored from a backup,
+	// so that boxes can first write back the rows that it lost.
 	restoreGracePeriod = 5 * time.Second
 	commitAttempts     = 5
 	commitBackoff      = 100 * time.Millisecond
 	statusTimeout      = 2 * time.Second
 )
 
-// New returns a server over v. Where keyHash is not empty, callers must show
-// the bearer key of that SHA-256 hash.
+// New returns a server of the resources in v. If keyHash is not empty, requests must carry the
+// bearer key that has this SHA-256 hash. Commit, Get, InForce and Refresh must be set before
+// the first request.
 func New(v *resource.View, m *metric.Set, l *slog.Logger, keyHash string) *Server {
 	s := &Server{Era: func() (int64, time.Time) { return 0, time.Time{} }, keyHash: keyHash, log: l, metrics: m, mux: http.NewServeMux(), view: v}
 	s.mux.HandleFunc("DELETE /v1/resources/{kind}/{name}", s.deleteResource)
@@ -82,7 +83,7 @@
 	return s
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP checks the operators' key and serves the request.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if s.keyHash != "" {
 		k := strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -94,6 +95,17 @@
 	s.mux.ServeHTTP(w, r)
 }
 
+// checkIfMatch compares the If-Match header with the current version of the resource; old is nil if
+// there is none. If they differ, it responds with a conflict and returns false.
+func (s *Server) checkIfMatch(w http.ResponseWriter, r *http.Request, old *resource.Resource) bool {
+	m := strings.Trim(r.Header.Get("If-Match"), `"`)
+	if m == "" || (old != nil && (m == "*" || m == old.Metadata.ResourceVersion)) {
+		return true
+	}
+	s.refuse(w, http.StatusConflict, &Problem{Code: "stale_version", Current: old, Message: "the resource has changed since version " + m})
+	return false
+}
+
 func (s *Server) deleteResource(w http.ResponseWriter, r *http.Request) {
 	k, n := resource.Kind(r.PathValue("kind")), r.PathValue("name")
 	row, old, err := s.current(r.Context(), k, n)
@@ -116,8 +128,8 @@
 }
 
 func (s *Server) getList(w http.ResponseWriter, r *http.Request) {
-	// The revision is read first: a change in between is then told twice by a
-	// watch from there, never left out.
+	// The revision is read before the resources, so that a watch from this revision repeats a
+	// change made in between instead of missing it.
 	v := strconv.FormatInt(s.view.Revision(), 10)
 	l := s.view.List(resource.Kind(r.PathValue("kind")))
 	if l == nil {
@@ -141,7 +153,8 @@
 	writeJSON(w, http.StatusOK, &c)
 }
 
-// getWatch tells changes after a version, and then goes on as they come.
+// getWatch streams the changes after a version and then each new one, with a bookmark after each
+// bookmarkInterval, until the client disconnects.
 func (s *Server) getWatch(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.FormValue("after"), 10, 64)
 	if err != nil && r.FormValue("after") != "" {
@@ -175,16 +188,6 @@
 	}
 }
 
-// checkIfMatch checks If-Match against the version that stands.
-func (s *Server) checkIfMatch(w http.ResponseWriter, r *http.Request, old *resource.Resource) bool {
-	m := strings.Trim(r.Header.Get("If-Match"), `"`)
-	if m == "" || (old != nil && (m == "*" || m == old.Metadata.ResourceVersion)) {
-		return true
-	}
-	s.refuse(w, http.StatusConflict, &Problem{Code: "stale_version", Current: old, Message: "the resource has changed since version " + m})
-	return false
-}
-
 func (s *Server) putResource(w http.ResponseWriter, r *http.Request) {
 	x, p := readResource(w, r)
 	if p != nil {
@@ -216,6 +219,19 @@
 	s.write(w, r, row, &configuration.ResourceRow{Resource: x})
 }
 
+// referrers returns the kind and name of each resource that references the given one.
+func (s *Server) referrers(k resource.Kind, name string) []string {
+	var l []string
+	for _, x := range s.view.List("") {
+		for _, f := range resource.References(x) {
+			if f.Kind == k && f.Name == name {
+				l = append(l, string(x.Kind)+" "+x.Metadata.Name)
+			}
+		}
+	}
+	return l
+}
+
 func (s *Server) refuse(w http.ResponseWriter, status int, p *Problem) {
 	s.metrics.Count(metric.Refusals, "reason", p.Code)
 	event.ResourceRefused.Log(s.log, "reason", p.Code, "message", p.Message)
@@ -231,25 +247,13 @@
 	s.refuse(w, http.StatusServiceUnavailable, p)
 }
 
-// referrers names the resources that name the resource of that kind and name.
-func (s *Server) referrers(k resource.Kind, name string) []string {
-	var l []string
-	for _, x := range s.view.List("") {
-		for _, f := range resource.References(x) {
-			if f.Kind == k && f.Name == name {
-				l = append(l, string(x.Kind)+" "+x.Metadata.Name)
-			}
-		}
-	}
-	return l
-}
-
-// write commits v over row, which was read, and answers with what now stands. That read may
-// have told this box that the store came back from a copy.
+// write replaces row, as read before, by v and responds with the resource as stored. It takes the
+// era of the store only now, since reading row may have shown that the store was restored from a
+// backup. If the era changes during the commit, the outcome is unknown.
 func (s *Server) write(w http.ResponseWriter, r *http.Request, row *table.Row, v *configuration.ResourceRow) {
 	era, since := s.Era()
 	if !since.IsZero() && time.Since(since) < restoreGracePeriod {
-		s.refuseTableError(w, errRestored(fail.Unavailable, "the store was restored, and what it lost is being written again"))
+		s.refuseTableError(w, errRestored(fail.Unavailable, "the store was restored from a backup, and boxes are writing back what it lost"))
 		return
 	}
 	v.WriteID = rand.Text()
@@ -278,12 +282,14 @@
 	writeJSON(w, http.StatusOK, configuration.WithRevision(v.Resource, at))
 }
 
-// errRestored returns the error of a write around the moment at which the store comes back from
-// a copy.
+// errRestored returns the error of a write that coincides with a restore of the store from a
+// backup.
 func errRestored(t *errorx.Type, message string) error {
 	return fail.New(t, fail.Origin{Peer: "platform", Step: "write resource"}, "platform_restored", "%s", message)
 }
 
+// readResource decodes the resource in the body and checks that its kind and name are those of the
+// path.
 func readResource(w http.ResponseWriter, r *http.Request) (*resource.Resource, *Problem) {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
@@ -308,6 +314,7 @@
 	return x, nil
 }
 
+// sameJSON reports whether a and b are equal apart from white space.
 func sameJSON(a, b json.RawMessage) bool {
 	var x, y bytes.Buffer
 	if json.Compact(&x, a) != nil || json.Compact(&y, b) != nil {
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -8,10 +8,11 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// conditionInForce is the condition that tells whether a resource is in force everywhere.
+// conditionInForce is the type of the condition that a resource is in force at every box.
 const conditionInForce = "InForce"
 
-// statusOf tells, for each hall, at how many boxes a resource is in force.
+// statusOf returns the status of a resource: for each hall, at how many boxes it is in force, and
+// the condition over all halls.
 func statusOf(x *resource.Resource, halls []box.HallRevisions, now time.Time) *resource.Status {
 	st := &resource.Status{ObservedGeneration: x.Metadata.Generation}
 	missing, unknown := 0, 0
--- a/internal/operator/table.go
+++ b/internal/operator/table.go
@@ -14,9 +14,11 @@
 	"github.com/linetiller/linetiller/internal/table"
 )
 
-// commit writes a row whose last revision is known. Where the answer is lost,
-// it sends the same write again: the condition then fails if the first took
-// effect, and the row tells whose write it was.
+// commit writes v to a row on the condition that the row still has the given revision, 0 for a row
+// that does not exist. It returns the new revision, or the current row if another write came first.
+//
+// If the response is lost, commit sends the same write again. Should the earlier one have taken
+// effect, the condition fails, and the write ID in the row shows whose write it was.
 func (s *Server) commit(ctx context.Context, key string, revision int64, v *configuration.ResourceRow) (*table.Row, int64, error) {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -44,7 +46,8 @@
 	}
 }
 
-// current returns the row of a resource, and what it holds unless that was deleted.
+// current reads the row of a resource, and the resource in it. The resource is nil if it does not
+// exist or is deleted; a row that does not exist is returned with revision 0.
 func (s *Server) current(ctx context.Context, k resource.Kind, name string) (*table.Row, *resource.Resource, error) {
 	key := configuration.ResourceKey(k, name)
 	row, err := s.Get(ctx, key)
@@ -64,11 +67,19 @@
 	return row, configuration.WithRevision(v.Resource, row.Revision), nil
 }
 
-// resolveConflict tells a transaction that was refused because an earlier send of it
-// took effect from one that lost to another write.
+// outcomeUnknown reports whether a write may have taken effect although the attempt failed. From
+// the second attempt on this includes an unavailable store: the response to an earlier attempt was
+// lost.
+func outcomeUnknown(err error, attempt int) bool {
+	return errorx.IsOfType(err, fail.Unknown) || (attempt > 1 && errorx.IsOfType(err, fail.Unavailable))
+}
+
+// resolveConflict returns the result of a transaction whose condition failed. If the row carries
+// writeID, an earlier attempt of the same write took effect and its revision is returned; otherwise
+// the row of the other write is.
 func resolveConflict(r *table.Result, writeID string) (*table.Row, int64, error) {
 	if len(r.Current) != 1 {
-		return nil, 0, errors.New("the platform told no reason for a refused transaction")
+		return nil, 0, errors.New("the platform rejected a transaction without returning the conflicting row")
 	}
 	if writtenBy(&r.Current[0], writeID) {
 		return nil, r.Current[0].Revision, nil
@@ -76,12 +87,7 @@
 	return &r.Current[0], 0, nil
 }
 
-// outcomeUnknown reports whether a write may have taken effect although it failed:
-// its answer was lost, or that of an earlier try was.
-func outcomeUnknown(err error, attempt int) bool {
-	return errorx.IsOfType(err, fail.Unknown) || (attempt > 1 && errorx.IsOfType(err, fail.Unavailable))
-}
-
+// writtenBy reports whether the row was written by the write of the given ID.
 func writtenBy(r *table.Row, writeID string) bool {
 	v := new(configuration.ResourceRow)
 	return json.Unmarshal(r.Value, v) == nil && v.WriteID == writeID
