--- a/bench_test.go
+++ b/bench_test.go
@@ -20,8 +20,8 @@
 	benchTokens  = 500
 )
 
-// fastEngine answers every start with benchTokens tokens as fast as it can.
-func fastEngine() http.Handler {
+// unpacedEngine answers every start with benchTokens tokens as fast as it can.
+func unpacedEngine() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET /v1/load", func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(upstream.Load{AsOf: time.Now(), Instance: "i", KVTokens: 1 << 24, StepMicros: 1000})
@@ -46,7 +46,7 @@
 // run, and reports their ratios.
 func BenchmarkBoxAgainstDirect(b *testing.B) {
 	h := newHall(b, 1, 1)
-	h.serve("fast", fastEngine())
+	h.serve("fast", unpacedEngine())
 	h.apply(newResource(resource.KindModel, "fast", resource.ModelSpec{MaxTokens: 1 << 19}))
 	h.apply(newResource(resource.KindUpstream, "fast", resource.UpstreamSpec{
 		Address: h.servers["fast"].URL, Hall: "upperhill-a", KVTokens: 1 << 24, MaxBatch: 1024, Models: []string{"fast"}, Type: resource.UpstreamEngine,
@@ -73,7 +73,7 @@
 		_, _, err := g.Run(b.Context(), &client.GenerationRequest{MaxTokens: tokens, Model: "fast", Prompt: "x"})
 		return err
 	}
-	many := func(f func(int) error) time.Duration {
+	concurrent := func(f func(int) error) time.Duration {
 		began := time.Now()
 		var g sync.WaitGroup
 		for range benchStreams {
@@ -86,7 +86,7 @@
 		g.Wait()
 		return time.Since(began)
 	}
-	one := func(f func(int) error) time.Duration {
+	sequential := func(f func(int) error) time.Duration {
 		began := time.Now()
 		for range benchStreams {
 			if err := f(1); err != nil {
@@ -95,17 +95,17 @@
 		}
 		return time.Since(began) / benchStreams
 	}
-	var manyBox, manyDirect, oneBox, oneDirect time.Duration
+	var concurrentBox, concurrentDirect, sequentialBox, sequentialDirect time.Duration
 	n := 0
 	for b.Loop() {
-		manyDirect += many(direct)
-		manyBox += many(box)
-		oneDirect += one(direct)
-		oneBox += one(box)
+		concurrentDirect += concurrent(direct)
+		concurrentBox += concurrent(box)
+		sequentialDirect += sequential(direct)
+		sequentialBox += sequential(box)
 		n++
 	}
-	b.ReportMetric(float64(manyDirect)/float64(manyBox), "tokens/s-ratio")
-	b.ReportMetric(float64(n*benchStreams*benchTokens)/manyBox.Seconds(), "tokens/s-box")
-	b.ReportMetric(float64((oneBox-oneDirect).Microseconds())/float64(n), "added-µs/request")
-	b.ReportMetric(float64(oneBox)/float64(oneDirect), "request-time-ratio")
+	b.ReportMetric(float64(concurrentDirect)/float64(concurrentBox), "tokens/s-ratio")
+	b.ReportMetric(float64(n*benchStreams*benchTokens)/concurrentBox.Seconds(), "tokens/s-box")
+	b.ReportMetric(float64((sequentialBox-sequentialDirect).Microseconds())/float64(n), "added-µs/request")
+	b.ReportMetric(float64(sequentialBox)/float64(sequentialDirect), "request-time-ratio")
 }
--- a/cold_test.go
+++ b/cold_test.go
@@ -24,35 +24,35 @@
 	slack := func(s *settings.Settings) { s.Cold.Slack = testColdSlack }
 	for _, x := range []struct {
 		name   string
-		bounce func(r *routes, name string)
+		bounce func(r *routedRegion, name string)
 	}{
-		{"killed", func(r *routes, name string) {
+		{"killed", func(r *routedRegion, name string) {
 			r.kill(name)
 			time.Sleep(50 * time.Millisecond)
 			r.link.Down(name, false)
 			r.link.Down(name+"-entry", false)
-			r.startRouter(name, slack)
+			r.startEntryBox(name, slack)
 		}},
-		{"paused", func(r *routes, name string) {
-			r.setFrozen(name, true)
+		{"paused", func(r *routedRegion, name string) {
+			r.setPaused(name, true)
 			time.Sleep(2 * time.Second)
-			r.setFrozen(name, false)
+			r.setPaused(name, false)
 		}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			withLimited(t, func(t *testing.T, r *routes, c *crowd) {
+			withPlainUpstreams(t, func(t *testing.T, r *routedRegion, c *callers) {
 				r.configureCold(2)
 				for _, b := range r.boxes {
 					b.settings.Cold.Slack = testColdSlack
 				}
 				time.Sleep(2 * time.Second)
 				began := time.Now()
-				r.listRoutedCold("s-a1", "ready", 8000)
-				for _, n := range limited[1:] {
-					r.listRouted(n, "draining") // so that the cold one is the only one
+				r.listColdUpstream("s-a1", "ready", 8000)
+				for _, n := range plainUpstreams[1:] {
+					r.listUpstream(n, "draining") // so that the cold one is the only one
 				}
 				var g sync.WaitGroup
-				for i, n := range limitedBoxes {
+				for i, n := range boxesByHall {
 					g.Go(func() {
 						for range 3 {
 							time.Sleep(time.Duration(i+1) * 400 * time.Millisecond)
@@ -60,12 +60,12 @@
 						}
 					})
 				}
-				c.paced(8*time.Second, 10*time.Millisecond, false, inTurn)
+				c.sendPaced(8*time.Second, 10*time.Millisecond, false, roundRobin)
 				g.Wait()
-				if got, most := r.mostInSecond("s-a1", began, began.Add(8*time.Second)), testColdPerSecond+testColdSlack; got > most {
+				if got, most := r.maxPerSecond("s-a1", began, began.Add(8*time.Second)), testColdPerSecond+testColdSlack; got > most {
 					t.Errorf("requests in a second at the cold upstream: got %d, want at most %d", got, most)
 				}
-				if got, least := r.got("s-a1", began), 8; got < least {
+				if got, least := r.requestsSince("s-a1", began), 8; got < least {
 					t.Errorf("requests in all: got %d, want at least %d", got, least)
 				}
 			})
@@ -75,16 +75,16 @@
 
 // configureCold writes a version of the configuration by which plain upstreams bear few requests a
 // second while they are cold.
-func (r *routes) configureCold(version int) {
+func (r *routedRegion) configureCold(version int) {
 	r.platform.Put("op/config", json.RawMessage(fmt.Sprintf(`{"version":%d,"routes":[
 {"name":"r-call","host":%q,"path_prefix":"/call/","kind":"safe","timeout_ms":1500,"target_latency_ms":300,"priority":0,"service":"desk","max_attempts":2}],
 "services":[{"name":"desk","cold_per_s":%d}],"tenants":[{"name":"w","api_keys":[%q]}]}`, version, routedHost, testColdPerSecond, routedKey)))
 }
 
-// mostInSecond returns the most requests that an upstream got in any second between two times.
-func (r *routes) mostInSecond(upstream string, from, to time.Time) int {
+// maxPerSecond returns the most requests that an upstream got in any second between two times.
+func (r *routedRegion) maxPerSecond(upstream string, from, to time.Time) int {
 	var l []time.Time
-	for _, at := range r.routed[upstream].Arrivals() {
+	for _, at := range r.upstreams[upstream].Arrivals() {
 		if !at.Before(from) && at.Before(to) {
 			l = append(l, at)
 		}
--- a/crashes_test.go
+++ b/crashes_test.go
@@ -19,17 +19,17 @@
 // it from then on. A hall that is cut off goes by what it has seen itself.
 func TestBoxesHearUnderWhatUpstreamsCrash(t *testing.T) {
 	for _, cut := range []bool{false, true} {
-		withRoutes(t, func(t *testing.T, r *routes) {
-			ended := 0
+		withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
+			crashes := 0
 			for _, n := range []string{"s-a1", "s-a2", "s-a3", "s-b1", "s-b2", "s-b3"} {
-				r.startRouted(n)
-				r.routed[n].Crashed = func(string) {
-					r.link.Down(routedAddress(n), true)
-					ended++
+				r.startUpstream(n)
+				r.upstreams[n].Crashed = func(string) {
+					r.link.Down(upstreamAddress(n), true)
+					crashes++
 				}
 			}
 			time.Sleep(time.Second)
-			r.cutHallB(cut)
+			r.isolateHallB(cut)
 			time.Sleep(5 * time.Second)
 			for i := range 5 {
 				for _, b := range []string{"box-a1", "box-b1", "box-a2", "box-b2"} {
@@ -44,8 +44,8 @@
 			if cut {
 				want = 4 // two in each part
 			}
-			if ended != want {
-				t.Errorf("cut %v: upstreams that ended: got %d, want %d", cut, ended, want)
+			if crashes != want {
+				t.Errorf("cut %v: upstreams that ended: got %d, want %d", cut, crashes, want)
 			}
 			for n := range r.boxes {
 				got := 0
@@ -64,27 +64,27 @@
 // ended, as all boxes know: it is cleared at all of them, or what many ask for would be refused
 // as soon as any two upstreams end.
 func TestRequestThatIsServedIsCleared(t *testing.T) {
-	withRoutes(t, func(t *testing.T, r *routes) {
+	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 		for _, n := range []string{"s-a1", "s-a2", "s-b1", "s-b2"} {
-			r.startRouted(n)
-			r.routed[n].Crashed = func(string) { r.link.Down(routedAddress(n), true) }
+			r.startUpstream(n)
+			r.upstreams[n].Crashed = func(string) { r.link.Down(upstreamAddress(n), true) }
 		}
 		time.Sleep(time.Second)
 		const body = "asked by many"
 		for round := range 3 {
-			ends := func(upstream string) {
+			recordCrash := func(upstream string) {
 				p := relay.FingerprintOf(&relay.Request{Body: []byte(body), Host: routedHost, Method: http.MethodPost, Target: "/call/x"})
 				for _, b := range r.boxes {
 					b.relay.RecordCrashes([]policy.Crash{{At: time.Now(), Suspects: []policy.Suspect{{Fingerprint: p}}, Upstream: fmt.Sprint(upstream, round)}}, "")
 				}
 				time.Sleep(time.Second)
 			}
-			ends("first")
+			recordCrash("first")
 			if got := r.post("box-a1", fmt.Sprint("served-", round), body); got != http.StatusOK {
 				t.Errorf("round %d: after one end: got status %d, want 200", round, got)
 			}
 			time.Sleep(time.Second)
-			ends("second")
+			recordCrash("second")
 			for n := range r.boxes {
 				if got := r.post(n, fmt.Sprint(n, "-", round), body); got != http.StatusOK {
 					t.Errorf("round %d: %s: after another one: got status %d, want 200", round, n, got)
@@ -95,7 +95,7 @@
 }
 
 // post sends a call with a body through a box and returns its status, 0 for none.
-func (r *routes) post(box, id, body string) int {
+func (r *routedRegion) post(box, id, body string) int {
 	q, err := http.NewRequestWithContext(r.t.Context(), http.MethodPost, "http://"+box+"-entry/call/x", strings.NewReader(body))
 	if err != nil {
 		r.t.Fatal(err)
@@ -114,9 +114,9 @@
 // TestBoxThatServedARequestVouchesForIt has upstreams crash under a call at one box, while another
 // box has served it before: that one vouches for it, within some moments.
 func TestBoxThatServedARequestVouchesForIt(t *testing.T) {
-	withRoutes(t, func(t *testing.T, r *routes) {
+	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 		for _, n := range []string{"s-a1", "s-a2", "s-b1"} {
-			r.startRouted(n)
+			r.startUpstream(n)
 		}
 		time.Sleep(time.Second)
 		const body = "asked by many"
--- a/docs_test.go
+++ b/docs_test.go
@@ -15,7 +15,7 @@
 	"github.com/linetiller/linetiller/internal/metric"
 )
 
-func read(t *testing.T, path string) string {
+func readFile(t *testing.T, path string) string {
 	t.Helper()
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -27,7 +27,7 @@
 // TestPromisesNameTests checks that every test named in the tables exists in the
 // package named beside it.
 func TestPromisesNameTests(t *testing.T) {
-	pages := read(t, "docs/PROMISES.md") + read(t, "docs/design/platform.md")
+	pages := readFile(t, "docs/PROMISES.md") + readFile(t, "docs/design/platform.md")
 	names := regexp.MustCompile("`((?:Test|Fuzz)\\w+)` \\(([^)]+)\\)").FindAllStringSubmatch(pages, -1)
 	if got, want := len(names), 60; got < want {
 		t.Errorf("tests named: got %d, want at least %d", got, want)
@@ -36,7 +36,7 @@
 		files, _ := filepath.Glob(filepath.Join(n[2], "*_test.go"))
 		found := false
 		for _, f := range files {
-			found = found || strings.Contains(read(t, f), "func "+n[1]+"(")
+			found = found || strings.Contains(readFile(t, f), "func "+n[1]+"(")
 		}
 		if !found {
 			t.Errorf("%s is not in %s", n[1], n[2])
@@ -45,7 +45,7 @@
 }
 
 func TestEventsAreCatalogued(t *testing.T) {
-	page := read(t, "docs/EVENTS.md")
+	page := readFile(t, "docs/EVENTS.md")
 	for _, e := range event.All {
 		if want := fmt.Sprintf("| %d | %s | %s |", e.Number, e.Name, strings.ToLower(e.Level.String())); !strings.Contains(page, want) {
 			t.Errorf("page: got no row that begins with %q", want)
@@ -57,7 +57,7 @@
 }
 
 func TestMetricsAreListed(t *testing.T) {
-	page := read(t, "docs/reference.md")
+	page := readFile(t, "docs/reference.md")
 	for _, n := range metric.Names {
 		if !strings.Contains(page, "`"+string(n)+"`") {
 			t.Errorf("page: got no %s", n)
@@ -74,7 +74,7 @@
 	}
 	seen := 0
 	for _, p := range pages {
-		for _, l := range regexp.MustCompile(`(?m)^    linetiller (.*)$`).FindAllStringSubmatch(read(t, p), -1) {
+		for _, l := range regexp.MustCompile(`(?m)^    linetiller (.*)$`).FindAllStringSubmatch(readFile(t, p), -1) {
 			seen++
 			arguments := []string{"linetiller"}
 			for _, w := range strings.Fields(l[1]) {
@@ -100,7 +100,7 @@
 // TestLayoutNamesEveryPackage checks that the developer guide's section on the layout names
 // each package under internal.
 func TestLayoutNamesEveryPackage(t *testing.T) {
-	_, rest, _ := strings.Cut(read(t, "docs/developer-guide.md"), "## Layout")
+	_, rest, _ := strings.Cut(readFile(t, "docs/developer-guide.md"), "## Layout")
 	layout, _, _ := strings.Cut(rest, "\n## ")
 	l, err := os.ReadDir("internal")
 	if err != nil {
@@ -118,7 +118,7 @@
 	pages, _ := filepath.Glob("docs/*.md")
 	more, _ := filepath.Glob("docs/*/*.md")
 	for _, p := range append(append(pages, more...), "README.md") {
-		for _, l := range regexp.MustCompile(`\]\(([^)#:]+)\)`).FindAllStringSubmatch(read(t, p), -1) {
+		for _, l := range regexp.MustCompile(`\]\(([^)#:]+)\)`).FindAllStringSubmatch(readFile(t, p), -1) {
 			if _, err := os.Stat(filepath.Join(filepath.Dir(p), l[1])); err != nil {
 				t.Errorf("%s: %v", p, err)
 			}
@@ -142,7 +142,7 @@
 			return nil
 		}
 		seen++
-		if n := names.FindString(read(t, path)); n != "" {
+		if n := names.FindString(readFile(t, path)); n != "" {
 			t.Errorf("%s: got %q, which belongs into platform/", path, n)
 		}
 		return nil
--- a/evacuation_test.go
+++ b/evacuation_test.go
@@ -19,7 +19,7 @@
 const evacuationBound = 5 * time.Second
 
 // evacuate sets or withdraws the evacuation of halls.
-func (r *routes) evacuate(withdrawn bool, halls ...string) {
+func (r *routedRegion) evacuate(withdrawn bool, halls ...string) {
 	for _, h := range halls {
 		if withdrawn {
 			r.platform.Remove("op/evacuate/" + h)
@@ -29,10 +29,10 @@
 	}
 }
 
-// reached returns how many requests have reached the engines of a hall.
-func (r *routes) reached(hall string) int {
+// engineRequests returns how many requests have reached the engines of a hall.
+func (r *routedRegion) engineRequests(hall string) int {
 	n := 0
-	for name, e := range r.routed {
+	for name, e := range r.upstreams {
 		if name[2:3] == hall {
 			n += len(e.Requests())
 		}
@@ -40,22 +40,22 @@
 	return n
 }
 
-// askAll sends a short stream to every box and returns how many came whole.
-func (r *routes) askAll(round string) int {
+// streamThroughAll sends a short stream to every box and returns how many came whole.
+func (r *routedRegion) streamThroughAll(round string) int {
 	var g sync.WaitGroup
 	var mutex sync.Mutex
-	whole := 0
+	complete := 0
 	for n := range r.boxes {
 		g.Go(func() {
-			if _, ok, _ := r.plan(n, round+"-"+n, routedKey, 8); ok {
+			if _, ok, _ := r.streamPlan(n, round+"-"+n, routedKey, 8); ok {
 				mutex.Lock()
-				whole++
+				complete++
 				mutex.Unlock()
 			}
 		})
 	}
 	g.Wait()
-	return whole
+	return complete
 }
 
 // TestEvacuationIsInForceInTime evacuates hall a while other things go wrong. Once the
@@ -64,31 +64,31 @@
 func TestEvacuationIsInForceInTime(t *testing.T) {
 	for _, x := range []struct {
 		name    string
-		trouble func(r *routes)
+		trouble func(r *routedRegion)
 	}{
-		{"nothing else", func(*routes) {}},
-		{"the first reader is frozen", func(r *routes) {
+		{"nothing else", func(*routedRegion) {}},
+		{"the first reader is frozen", func(r *routedRegion) {
 			first := r.firstReader()
-			r.setFrozen(first, true)
-			time.AfterFunc(20*time.Second, func() { r.setFrozen(first, false) })
+			r.setPaused(first, true)
+			time.AfterFunc(20*time.Second, func() { r.setPaused(first, false) })
 		}},
-		{"the first reader is killed", func(r *routes) { r.kill(r.firstReader()) }},
-		{"the store turns a third of the boxes away", func(r *routes) { r.refuse("box-a1", "box-a2", "box-b1") }},
-		{"the store is slow", func(r *routes) { r.platform.SetFaults(fakeplatform.Faults{DelayMilliseconds: 200}) }},
-		{"the store forgets its history", func(r *routes) {
+		{"the first reader is killed", func(r *routedRegion) { r.kill(r.firstReader()) }},
+		{"the store turns a third of the boxes away", func(r *routedRegion) { r.refuseBoxes("box-a1", "box-a2", "box-b1") }},
+		{"the store is slow", func(r *routedRegion) { r.platform.SetFaults(fakeplatform.Faults{DelayMilliseconds: 200}) }},
+		{"the store forgets its history", func(r *routedRegion) {
 			time.AfterFunc(time.Millisecond, r.platform.ForgetHistory)
 		}},
-		{"a configuration follows at once", func(r *routes) {
+		{"a configuration follows at once", func(r *routedRegion) {
 			time.AfterFunc(time.Millisecond, func() { r.configure(2, routedKey) })
 		}},
-		{"a box starts", func(r *routes) {
+		{"a box starts", func(r *routedRegion) {
 			r.kill("box-b2")
 			time.AfterFunc(time.Second, func() {
 				r.link.Down("box-b2", false)
-				r.startRouter("box-b2")
+				r.startEntryBox("box-b2")
 			})
 		}},
-		{"set, withdrawn and set", func(r *routes) {
+		{"set, withdrawn and set", func(r *routedRegion) {
 			r.evacuate(false, "a")
 			time.Sleep(100 * time.Millisecond)
 			r.evacuate(true, "a")
@@ -96,26 +96,26 @@
 		}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			withRoutes(t, func(t *testing.T, r *routes) {
+			withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 				x.trouble(r)
 				r.evacuate(false, "a")
 				time.Sleep(evacuationBound)
-				before := r.reached("a")
+				before := r.engineRequests("a")
 				for i := range 5 {
-					if got := r.askAll(fmt.Sprint("round-", i)); got < len(r.boxes)-1 {
+					if got := r.streamThroughAll(fmt.Sprint("round-", i)); got < len(r.boxes)-1 {
 						t.Errorf("round %d: got %d of %d boxes that serve", i, got, len(r.boxes))
 					}
 					time.Sleep(200 * time.Millisecond)
 				}
-				if got := r.reached("a") - before; got != 0 {
+				if got := r.engineRequests("a") - before; got != 0 {
 					t.Errorf("requests that reached the evacuated hall: got %d, want 0", got)
 				}
 				r.evacuate(true, "a")
 				time.Sleep(evacuationBound)
 				for i := range 5 {
-					r.askAll(fmt.Sprint("back-", i))
+					r.streamThroughAll(fmt.Sprint("back-", i))
 				}
-				if r.reached("a") == before {
+				if r.engineRequests("a") == before {
 					t.Error("the hall that was taken back gets nothing")
 				}
 			})
@@ -126,22 +126,22 @@
 // TestAllHallsAreEvacuated evacuates every hall: requests are refused at once, truthfully,
 // with a time to come back, and what runs goes on.
 func TestAllHallsAreEvacuated(t *testing.T) {
-	withRoutes(t, func(t *testing.T, r *routes) {
+	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 		ended := make(chan bool, 1)
 		go func() {
-			_, whole, _ := r.plan("box-a1", "running", routedKey, 1600)
-			ended <- whole
+			_, complete, _ := r.streamPlan("box-a1", "running", routedKey, 1600)
+			ended <- complete
 		}()
 		time.Sleep(time.Second)
 		r.evacuate(false, "a", "b")
 		time.Sleep(2 * time.Second)
 		for n := range r.boxes {
 			began := time.Now()
-			_, _, status := r.plan(n, "late-"+n, routedKey, 8)
+			_, _, status := r.streamPlan(n, "late-"+n, routedKey, 8)
 			if took := time.Since(began); status != http.StatusServiceUnavailable || took > 100*time.Millisecond {
 				t.Errorf("%s: got status %d after %v, want 503 at once", n, status, took)
 			}
-			if got := r.runs("late-" + n); got != 0 {
+			if got := r.runCount("late-" + n); got != 0 {
 				t.Errorf("%s: a request that was refused ran %d times", n, got)
 			}
 		}
@@ -150,7 +150,7 @@
 		}
 		r.evacuate(true, "a", "b")
 		time.Sleep(2 * time.Second)
-		if got := r.askAll("back"); got != len(r.boxes) {
+		if got := r.streamThroughAll("back"); got != len(r.boxes) {
 			t.Errorf("taken back: got %d of %d boxes that serve", got, len(r.boxes))
 		}
 	})
--- a/foreign_rows_test.go
+++ b/foreign_rows_test.go
@@ -40,13 +40,13 @@
 	for name, value := range foreignRows {
 		for _, table := range []string{"servers", "box"} {
 			t.Run(name+" in "+table, func(t *testing.T) {
-				withRoutes(t, func(t *testing.T, r *routes) {
-					r.startRouted("s-a1")
+				withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
+					r.startUpstream("s-a1")
 					time.Sleep(2 * time.Second)
 					r.platform.Put(table+"/foreign", json.RawMessage(value))
 					time.Sleep(2 * time.Second)
-					r.startRouted("s-b1")
-					r.die("s-a1")
+					r.startUpstream("s-b1")
+					r.killUpstream("s-a1")
 					r.configure(2, "new-key")
 					time.Sleep(3 * time.Second)
 					if got := r.ignoredRows(); table == "servers" && (got == 0 || got > len(r.boxes)) {
@@ -59,7 +59,7 @@
 						if b.view.Upstream("s-b1") == nil || b.view.Upstream("s-a1") != nil {
 							t.Errorf("%s: has not heard of an upstream that started and one that went", n)
 						}
-						if _, whole, status := r.plan(n, fmt.Sprint("id-", n), "new-key", 8); !whole || status != http.StatusOK {
+						if _, complete, status := r.streamPlan(n, fmt.Sprint("id-", n), "new-key", 8); !complete || status != http.StatusOK {
 							t.Errorf("%s: got status %d for a new key, want a whole stream", n, status)
 						}
 					}
@@ -72,8 +72,8 @@
 // TestUpstreamIsOverwrittenByAForeignRow has the row of an upstream be overwritten by one that names
 // none, and written again: it gets nothing new in between.
 func TestUpstreamIsOverwrittenByAForeignRow(t *testing.T) {
-	withRoutes(t, func(t *testing.T, r *routes) {
-		r.startRouted("s-a1")
+	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
+		r.startUpstream("s-a1")
 		time.Sleep(2 * time.Second)
 		if got := r.post("box-a1", "before", "x"); got != http.StatusOK {
 			t.Fatalf("before: got status %d, want 200", got)
@@ -85,7 +85,7 @@
 				t.Errorf("%s: between: got status %d, want 503", n, got)
 			}
 		}
-		r.listRouted("s-a1", "ready")
+		r.listUpstream("s-a1", "ready")
 		time.Sleep(3 * time.Second)
 		for n := range r.boxes {
 			if got := r.post(n, "after-"+n, "x"); got != http.StatusOK {
@@ -96,7 +96,7 @@
 }
 
 // ignoredRows returns how many rows all boxes counted as ignored.
-func (r *routes) ignoredRows() int {
+func (r *routedRegion) ignoredRows() int {
 	n := 0
 	for _, b := range r.boxes {
 		for _, x := range []platform.RowReason{platform.RowAddress, platform.RowNumber, platform.RowService, platform.RowState, platform.RowType, platform.RowZone} {
--- a/hall_test.go
+++ b/hall_test.go
@@ -27,13 +27,13 @@
 
 // hall is a data hall of boxes with stand-ins, in this process over loopback.
 type hall struct {
-	boxes    []*linetiller.Box
-	engines  []*engine.Server
-	platform *fakeplatform.Platform
-	service  *fakeservice.Service
-	servers  map[string]*httptest.Server // of the stand-ins
-	settings func(*settings.Settings)
-	t        testing.TB
+	boxes          []*linetiller.Box
+	engines        []*engine.Server
+	platform       *fakeplatform.Platform
+	service        *fakeservice.Service
+	servers        map[string]*httptest.Server // of the stand-ins
+	changeSettings func(*settings.Settings)
+	t              testing.TB
 }
 
 // newHall starts boxes and engines and waits until every box has the resources
@@ -122,8 +122,8 @@
 	s.Timeouts.Drain.Duration = 300 * time.Millisecond
 	s.Timeouts.Report.Duration = 100 * time.Millisecond
 	s.Timeouts.Heartbeat.Duration = 200 * time.Millisecond
-	if h.settings != nil {
-		h.settings(&s)
+	if h.changeSettings != nil {
+		h.changeSettings(&s)
 	}
 	b, err := linetiller.New(&s, linetiller.WithLog(slog.New(slog.NewTextHandler(h.t.Output(), nil))))
 	if err != nil {
--- a/innocent_test.go
+++ b/innocent_test.go
@@ -14,22 +14,22 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// withServedBefore runs f once four boxes have served one call again and again, and have all been
+// withRestartedBoxes runs f once four boxes have served one call again and again, and have all been
 // restarted.
-func withServedBefore(t *testing.T, f func(t *testing.T, r *routes, c *crowd)) {
+func withRestartedBoxes(t *testing.T, f func(t *testing.T, r *routedRegion, c *callers)) {
 	t.Helper()
-	withLimited(t, func(t *testing.T, r *routes, c *crowd) {
-		c.paced(10*time.Second, 100*time.Millisecond, false, inTurn)
+	withPlainUpstreams(t, func(t *testing.T, r *routedRegion, c *callers) {
+		c.sendPaced(10*time.Second, 100*time.Millisecond, false, roundRobin)
 		if got, want := c.served, len(c.sent); got != want {
 			t.Fatalf("served before: got %d, want all %d", got, want)
 		}
-		for _, n := range limitedBoxes {
+		for _, n := range boxesByHall {
 			r.kill(n)
 		}
-		for _, n := range limitedBoxes {
+		for _, n := range boxesByHall {
 			r.link.Down(n, false)
 			r.link.Down(n+"-entry", false)
-			r.startRouter(n)
+			r.startEntryBox(n)
 		}
 		time.Sleep(5 * time.Second)
 		f(t, r, c)
@@ -73,13 +73,13 @@
 // TestServedRequestAfterAllBoxesRestarted guards against a request that is refused for the crashes of
 // another one, although it was served again and again until all boxes restarted and forgot that.
 func TestServedRequestAfterAllBoxesRestarted(t *testing.T) {
-	withServedBefore(t, func(t *testing.T, r *routes, c *crowd) {
+	withRestartedBoxes(t, func(t *testing.T, r *routedRegion, c *callers) {
 		_, end := r.crashAll("box-a1")
 		c.call("box-a1", "bystander") // two upstreams crash as it runs there
 		end()
 		time.Sleep(time.Second)
-		for _, n := range limitedBoxes {
-			if got, _ := c.callWhole(n, "next-"+n); got != http.StatusOK {
+		for _, n := range boxesByHall {
+			if got, _ := c.callStatus(n, "next-"+n); got != http.StatusOK {
 				t.Errorf("%s: got status %d, want 200", n, got)
 			}
 		}
@@ -89,7 +89,7 @@
 // TestRequestThatTurnsPoisonAfterAllBoxesRestarted guards against a request that crashes one upstream
 // after another since it was served before: that speaks for it once.
 func TestRequestThatTurnsPoisonAfterAllBoxesRestarted(t *testing.T) {
-	withServedBefore(t, func(t *testing.T, r *routes, c *crowd) {
+	withRestartedBoxes(t, func(t *testing.T, r *routedRegion, c *callers) {
 		crashed, end := r.crashAll("box-a1")
 		defer end()
 		for range 20 {
--- a/kept_test.go
+++ b/kept_test.go
@@ -17,31 +17,31 @@
 
 // servingFleet is a fleet of four boxes that serves calls again and again, and loses boxes.
 type servingFleet struct {
-	*routes
-	sent     int
-	t        *testing.T
-	withheld atomic.Bool
+	*routedRegion
+	sentCalls     int
+	t             *testing.T
+	keptReadsFail atomic.Bool
 }
 
-// withholding is a way to the store over which reads of one table fail.
-type withholding struct {
-	next http.RoundTripper
-	on   *atomic.Bool
+// keptReadFaults is a way to the store over which reads of one table fail.
+type keptReadFaults struct {
+	next   http.RoundTripper
+	active *atomic.Bool
 }
 
 // RoundTrip makes one call.
-func (w *withholding) RoundTrip(q *http.Request) (*http.Response, error) {
-	if w.on.Load() && q.URL.Query().Get("table") == keptTable {
+func (w *keptReadFaults) RoundTrip(q *http.Request) (*http.Response, error) {
+	if w.active.Load() && q.URL.Query().Get("table") == keptTable {
 		return nil, errRefused
 	}
 	return w.next.RoundTrip(q)
 }
 
-// popular is the call that is served all the time before upstreams crash under it.
-const popular = "popular"
+// servedBody is the call that is served all the time before upstreams crash under it.
+const servedBody = "popular"
 
-// servedEvery is the time between two calls.
-const servedEvery = 100 * time.Millisecond
+// servedCallInterval is the time between two calls.
+const servedCallInterval = 100 * time.Millisecond
 
 // crash has the two upstreams that a call runs at crash, at each of some boxes at once.
 func (f *servingFleet) crash(boxes ...string) {
@@ -57,7 +57,7 @@
 	done := make(chan struct{})
 	for _, n := range boxes {
 		go func() {
-			f.post(n, "bystander-"+n, popular)
+			f.post(n, "bystander-"+n, servedBody)
 			done <- struct{}{}
 		}()
 	}
@@ -66,20 +66,20 @@
 	}
 }
 
-// refuseStore has the platform's store turn all boxes away, or take their calls again.
-func (f *servingFleet) refuseStore(on bool) {
+// setStoreRefuses has the platform's store turn all boxes away, or take their calls again.
+func (f *servingFleet) setStoreRefuses(on bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	for _, n := range limitedBoxes {
-		f.refused[n] = on
+	for _, n := range boxesByHall {
+		f.refusedBoxes[n] = on
 	}
 }
 
-// withholdKept has reads of the kept rows fail, or succeed again, for boxes that start from now on.
-func (f *servingFleet) withholdKept(on bool) {
-	f.withheld.Store(on)
-	for _, n := range limitedBoxes {
-		f.platformOf[n] = &withholding{next: &reach{from: n, region: f.region}, on: &f.withheld}
+// setKeptReadsFail has reads of the kept rows fail, or succeed again, for boxes that start from now on.
+func (f *servingFleet) setKeptReadsFail(on bool) {
+	f.keptReadsFail.Store(on)
+	for _, n := range boxesByHall {
+		f.storeTransports[n] = &keptReadFaults{next: &boxTransport{from: n, region: f.region}, active: &f.keptReadsFail}
 	}
 }
 
@@ -91,14 +91,14 @@
 	for _, n := range boxes {
 		f.link.Down(n, false)
 		f.link.Down(n+"-entry", false)
-		f.startRouter(n)
+		f.startEntryBox(n)
 	}
 	time.Sleep(5 * time.Second)
 }
 
-// restartInTurn restarts one box after another.
-func (f *servingFleet) restartInTurn() {
-	for _, n := range limitedBoxes {
+// restartOneByOne restarts one box after another.
+func (f *servingFleet) restartOneByOne() {
+	for _, n := range boxesByHall {
 		f.restart(n)
 	}
 }
@@ -107,17 +107,17 @@
 func (f *servingFleet) serve(period time.Duration, boxes []string, bodies ...string) {
 	f.t.Helper()
 	for i, began := 0, time.Now(); time.Since(began) < period; i++ {
-		f.sent++
+		f.sentCalls++
 		box, body := boxes[(i/len(bodies))%len(boxes)], bodies[i%len(bodies)]
-		if got := f.post(box, fmt.Sprint("call-", f.sent), body); got != http.StatusOK {
+		if got := f.post(box, fmt.Sprint("call-", f.sentCalls), body); got != http.StatusOK {
 			f.t.Fatalf("%s of %s: got status %d, want 200", body, box, got)
 		}
-		time.Sleep(servedEvery)
+		time.Sleep(servedCallInterval)
 	}
 }
 
-// others returns the bodies of other calls.
-func others(name string, count int) []string {
+// numberedBodies returns the bodies of other calls.
+func numberedBodies(name string, count int) []string {
 	var l []string
 	for i := range count {
 		l = append(l, fmt.Sprint(name, "-", i))
@@ -128,108 +128,108 @@
 // TestServedRequestIsNotForgotten guards against a request that is refused at all boxes for the crashes
 // of another one, although it was served again and again, since the boxes that served it restarted.
 func TestServedRequestIsNotForgotten(t *testing.T) {
-	all := limitedBoxes
+	all := boxesByHall
 	type scenario struct {
 		name string
 		play func(f *servingFleet)
 	}
 	l := []scenario{
 		{"all restart", func(f *servingFleet) {
-			f.serve(10*time.Second, all, popular)
+			f.serve(10*time.Second, all, servedBody)
 			f.restart(all...)
 			f.crash("box-a1")
 		}},
 		{"other requests are served after the restart", func(f *servingFleet) {
-			f.serve(10*time.Second, all, popular)
+			f.serve(10*time.Second, all, servedBody)
 			f.restart(all...)
-			f.serve(time.Minute, all, others("after", 5)...)
+			f.serve(time.Minute, all, numberedBodies("after", 5)...)
 			f.crash("box-a1")
 		}},
 		{"a hundred are frequent", func(f *servingFleet) {
-			f.serve(100*time.Second, all, append(others("before", 99), popular)...)
+			f.serve(100*time.Second, all, append(numberedBodies("before", 99), servedBody)...)
 			f.restart(all...)
 			f.crash("box-a1")
 		}},
 		{"a hundred others are frequent later", func(f *servingFleet) {
-			f.serve(10*time.Second, all, popular)
-			f.serve(100*time.Second, all, others("later", 100)...)
+			f.serve(10*time.Second, all, servedBody)
+			f.serve(100*time.Second, all, numberedBodies("later", 100)...)
 			f.restart(all...)
 			f.crash("box-a1")
 		}},
 		{"frequent once others have been", func(f *servingFleet) {
-			f.serve(10*time.Second, all, others("first", 5)...)
-			f.serve(10*time.Second, all, popular)
+			f.serve(10*time.Second, all, numberedBodies("first", 5)...)
+			f.serve(10*time.Second, all, servedBody)
 			f.restart(all...)
 			f.crash("box-a1")
 		}},
 		{"served once at each of three boxes", func(f *servingFleet) {
-			f.serve(300*time.Millisecond, all, popular)
+			f.serve(300*time.Millisecond, all, servedBody)
 			time.Sleep(10 * time.Second)
 			f.restart(all...)
 			f.crash("box-a1")
 		}},
 		{"all restart twice", func(f *servingFleet) {
-			f.serve(10*time.Second, all, popular)
+			f.serve(10*time.Second, all, servedBody)
 			f.restart(all...)
 			f.restart(all...)
 			f.crash("box-a1")
 		}},
 		{"all restart twice, others are served between", func(f *servingFleet) {
-			f.serve(10*time.Second, all, popular)
+			f.serve(10*time.Second, all, servedBody)
 			f.restart(all...)
-			f.serve(time.Minute, all, others("between", 5)...)
+			f.serve(time.Minute, all, numberedBodies("between", 5)...)
 			f.restart(all...)
 			f.crash("box-a1")
 		}},
 		{"all restart in turn", func(f *servingFleet) {
-			f.serve(10*time.Second, all, popular)
-			f.restartInTurn()
+			f.serve(10*time.Second, all, servedBody)
+			f.restartOneByOne()
 			f.crash("box-a1")
 		}},
 		{"all restart in turn, others are served between", func(f *servingFleet) {
-			f.serve(10*time.Second, all, popular)
+			f.serve(10*time.Second, all, servedBody)
 			for _, n := range all {
 				f.restart(n)
-				f.serve(20*time.Second, all, others("between", 5)...)
+				f.serve(20*time.Second, all, numberedBodies("between", 5)...)
 			}
 			f.crash("box-a1")
 		}},
 		{"four minutes later", func(f *servingFleet) {
-			f.serve(10*time.Second, all, popular)
+			f.serve(10*time.Second, all, servedBody)
 			f.restart(all...)
 			time.Sleep(4 * time.Minute)
 			f.crash("box-a1")
 		}},
 		{"the store is away as they crash", func(f *servingFleet) {
-			f.serve(10*time.Second, all, popular)
+			f.serve(10*time.Second, all, servedBody)
 			f.restart(all...)
-			f.refuseStore(true)
+			f.setStoreRefuses(true)
 			f.crash("box-a1")
 		}},
 		{"the store tells nothing of it until some time after they crashed", func(f *servingFleet) {
-			f.serve(10*time.Second, all, popular)
-			f.withholdKept(true)
+			f.serve(10*time.Second, all, servedBody)
+			f.setKeptReadsFail(true)
 			f.restart(all...)
 			f.crash("box-a1")
 			time.Sleep(time.Minute)
-			f.withholdKept(false)
+			f.setKeptReadsFail(false)
 			time.Sleep(10 * time.Second)
 		}},
 		{"the store comes back from a copy that lacks it", func(f *servingFleet) {
 			f.platform.Copy()
-			f.serve(10*time.Second, all, popular)
+			f.serve(10*time.Second, all, servedBody)
 			f.platform.Restore()
 			time.Sleep(20 * time.Second)
 			f.restart(all...)
 			f.crash("box-a1")
 		}},
 		{"two boxes see crashes at once", func(f *servingFleet) {
-			f.serve(10*time.Second, all, popular)
+			f.serve(10*time.Second, all, servedBody)
 			f.restart(all...)
 			f.crash("box-a1", "box-b2")
 		}},
 		{"a hall's boxes that served it are lost", func(f *servingFleet) {
-			f.serve(10*time.Second, all[:2], popular)
+			f.serve(10*time.Second, all[:2], servedBody)
 			f.kill("box-a1")
 			f.kill("box-a2")
 			time.Sleep(5 * time.Second)
@@ -238,22 +238,22 @@
 	}
 	for _, n := range all {
 		l = append(l, scenario{"served by " + n + " alone, all restart", func(f *servingFleet) {
-			f.serve(10*time.Second, []string{n}, popular)
+			f.serve(10*time.Second, []string{n}, servedBody)
 			f.restart(all...)
 			f.crash("box-a1")
 		}}, scenario{"served by " + n + " alone, which restarts", func(f *servingFleet) {
-			f.serve(10*time.Second, []string{n}, popular)
+			f.serve(10*time.Second, []string{n}, servedBody)
 			f.restart(n)
 			f.crash("box-a1")
 		}})
 	}
 	for _, x := range l {
 		t.Run(x.name, func(t *testing.T) {
-			withLimited(t, func(t *testing.T, r *routes, _ *crowd) {
-				x.play(&servingFleet{routes: r, t: t})
+			withPlainUpstreams(t, func(t *testing.T, r *routedRegion, _ *callers) {
+				x.play(&servingFleet{routedRegion: r, t: t})
 				time.Sleep(time.Second)
 				for n := range r.boxes {
-					if got := r.post(n, "next-"+n, popular); got != http.StatusOK {
+					if got := r.post(n, "next-"+n, servedBody); got != http.StatusOK {
 						t.Errorf("%s: got status %d, want 200", n, got)
 					}
 				}
@@ -265,25 +265,25 @@
 // TestQuarantineAfterAllBoxesRestarted guards against a poison request that crashes two more upstreams each
 // time that all boxes restart, since the boxes alone knew of it.
 func TestQuarantineAfterAllBoxesRestarted(t *testing.T) {
-	withPoison(t, func(t *testing.T, p *poison) {
+	withPoisonFleet(t, func(t *testing.T, p *poisonFleet) {
 		restart := func() {
-			for _, n := range allBoxes {
+			for _, n := range boxesAlternatingHalls {
 				p.kill(n)
 			}
-			for _, n := range allBoxes {
-				p.startRouter(n)
+			for _, n := range boxesAlternatingHalls {
+				p.startEntryBox(n)
 			}
 			time.Sleep(5 * time.Second)
 		}
 		for range 3 {
-			for _, n := range allBoxes {
+			for _, n := range boxesAlternatingHalls {
 				p.send(n, routed.Deadly)
 				time.Sleep(time.Second)
 			}
 			time.Sleep(10 * time.Second)
 			restart()
 		}
-		if got, want := p.crashed(routed.Deadly), 2; got != want {
+		if got, want := p.crashCount(routed.Deadly), 2; got != want {
 			t.Errorf("crashes: got %d, want %d", got, want)
 		}
 	})
@@ -292,22 +292,22 @@
 // TestClearedRequestAfterAllBoxesRestarted guards against a request that is quarantined again by a row
 // that was written before it was cleared.
 func TestClearedRequestAfterAllBoxesRestarted(t *testing.T) {
-	withLimited(t, func(t *testing.T, r *routes, _ *crowd) {
-		f := &servingFleet{routes: r, t: t}
+	withPlainUpstreams(t, func(t *testing.T, r *routedRegion, _ *callers) {
+		f := &servingFleet{routedRegion: r, t: t}
 		f.crash("box-a1")
 		time.Sleep(10 * time.Second)
-		f.restart(limitedBoxes...)
-		if got, want := f.post("box-b1", "refused", popular), http.StatusBadGateway; got != want {
+		f.restart(boxesByHall...)
+		if got, want := f.post("box-b1", "refused", servedBody), http.StatusBadGateway; got != want {
 			t.Errorf("after the restart: got status %d, want %d", got, want)
 		}
 		time.Sleep(10 * time.Minute)
-		if got, want := f.post("box-b1", "trial", popular), http.StatusOK; got != want {
+		if got, want := f.post("box-b1", "trial", servedBody), http.StatusOK; got != want {
 			t.Errorf("ten minutes later: got status %d, want %d", got, want)
 		}
 		time.Sleep(10 * time.Second)
-		f.restart(limitedBoxes...)
-		for _, n := range limitedBoxes {
-			if got, want := f.post(n, "cleared-"+n, popular), http.StatusOK; got != want {
+		f.restart(boxesByHall...)
+		for _, n := range boxesByHall {
+			if got, want := f.post(n, "cleared-"+n, servedBody), http.StatusOK; got != want {
 				t.Errorf("%s, after the next restart: got status %d, want %d", n, got, want)
 			}
 		}
--- a/layers_test.go
+++ b/layers_test.go
@@ -12,10 +12,10 @@
 
 const modulePath = "github.com/linetiller/linetiller"
 
-// layerOf returns the layers that the developer guide lists, by package, from 1.
-func layerOf(t *testing.T) map[string]int {
+// layersByPackage returns the layers that the developer guide lists, by package, from 1.
+func layersByPackage(t *testing.T) map[string]int {
 	t.Helper()
-	_, page, found := strings.Cut(read(t, "docs/developer-guide.md"), "### Layers\n")
+	_, page, found := strings.Cut(readFile(t, "docs/developer-guide.md"), "### Layers\n")
 	if !found {
 		t.Fatal("the guide lists no layers")
 	}
@@ -34,8 +34,8 @@
 func layerName(path string) (name string, listed bool) {
 	path = strings.TrimPrefix(path, modulePath)
 	path = strings.TrimPrefix(strings.TrimPrefix(path, "/"), "internal/")
-	for _, beside := range []string{"fake/", "measure", "process"} {
-		if strings.HasPrefix(path, beside) {
+	for _, prefix := range []string{"fake/", "measure", "process"} {
+		if strings.HasPrefix(path, prefix) {
 			return path, false
 		}
 	}
@@ -48,7 +48,7 @@
 // TestLayersHold checks every import of one package of ours by another against the layers
 // that the developer guide lists.
 func TestLayersHold(t *testing.T) {
-	layers := layerOf(t)
+	layers := layersByPackage(t)
 	checked := 0
 	err := filepath.WalkDir(".", func(path string, _ fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || strings.HasPrefix(path, "cmd/") {
@@ -100,7 +100,7 @@
 		if _, listed := layerName(strings.TrimSuffix(filepath.Dir(path), ".")); !listed {
 			return nil
 		}
-		if s := read(t, path); strings.Contains(s, ".UnixNano()") || strings.Contains(s, "time.Unix(0,") {
+		if s := readFile(t, path); strings.Contains(s, ".UnixNano()") || strings.Contains(s, "time.Unix(0,") {
 			t.Errorf("%s: got a time of day in nanoseconds, want a time.Time", path)
 		}
 		return nil
--- a/leaving_test.go
+++ b/leaving_test.go
@@ -16,46 +16,46 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// drainBound is how long after its word that it leaves an upstream may still get requests.
-const drainBound = 2 * time.Second
+// leavingBound is how long after its word that it leaves an upstream may still get requests.
+const leavingBound = 2 * time.Second
 
-// journey is a request that a test sent.
-type journey struct {
+// sentRequest is a request that a test sent.
+type sentRequest struct {
 	box    string
 	sentAt time.Time
 }
 
-// crowd sends requests through every box at a steady pace, and remembers where each went.
-type crowd struct {
+// callers sends requests through every box at a steady pace, and remembers where each went.
+type callers struct {
 	mutex  sync.Mutex
-	routes *routes
-	sent   map[string]journey
+	region *routedRegion
+	sent   map[string]sentRequest
 	served int
 }
 
-// newCrowd returns a crowd that has sent nothing.
-func newCrowd(r *routes) *crowd {
-	return &crowd{routes: r, sent: make(map[string]journey)}
+// newCallers returns a crowd that has sent nothing.
+func newCallers(r *routedRegion) *callers {
+	return &callers{region: r, sent: make(map[string]sentRequest)}
 }
 
 // call sends one call of the plain service and reports whether it was served.
-func (c *crowd) call(box, id string) bool {
-	status, _ := c.callWhole(box, id)
+func (c *callers) call(box, id string) bool {
+	status, _ := c.callStatus(box, id)
 	return status == http.StatusOK
 }
 
-// callWhole sends one call of the plain service and returns the status of its answer, 0 where that
+// callStatus sends one call of the plain service and returns the status of its answer, 0 where that
 // was not whole, and when its caller may come back.
-func (c *crowd) callWhole(box, id string) (status int, retryAfter string) {
-	q, err := http.NewRequestWithContext(c.routes.t.Context(), http.MethodGet, "http://"+box+"-entry/call/x", http.NoBody)
+func (c *callers) callStatus(box, id string) (status int, retryAfter string) {
+	q, err := http.NewRequestWithContext(c.region.t.Context(), http.MethodGet, "http://"+box+"-entry/call/x", http.NoBody)
 	if err != nil {
-		c.routes.t.Error(err)
+		c.region.t.Error(err)
 		return 0, ""
 	}
 	q.Host = routedHost
 	q.Header.Set("Authorization", "Bearer "+routedKey)
 	q.Header.Set("X-Linetiller-Request-Id", id)
-	w, err := c.routes.link.RoundTrip(q)
+	w, err := c.region.link.RoundTrip(q)
 	if err != nil {
 		return 0, ""
 	}
@@ -68,21 +68,21 @@
 
 // Between two requests through one box: calls, and streams, of which engines read few a second.
 const (
-	callEvery = 50 * time.Millisecond
-	planEvery = 400 * time.Millisecond
+	callInterval   = 50 * time.Millisecond
+	streamInterval = 400 * time.Millisecond
 )
 
-// run sends calls or, where plans is set, short streams through every box for a time, and
+// sendFromAll sends calls or, where plans is set, short streams through every box for a time, and
 // waits for their ends.
-func (c *crowd) run(period time.Duration, plans bool) {
-	every := callEvery
-	if plans {
-		every = planEvery
+func (c *callers) sendFromAll(period time.Duration, streams bool) {
+	interval := callInterval
+	if streams {
+		interval = streamInterval
 	}
 	var g sync.WaitGroup
 	send := func(box, id string, do func() bool) {
 		c.mutex.Lock()
-		c.sent[id] = journey{box, time.Now()}
+		c.sent[id] = sentRequest{box, time.Now()}
 		c.mutex.Unlock()
 		g.Go(func() {
 			ok := do()
@@ -94,34 +94,34 @@
 		})
 	}
 	for i, began := 0, time.Now(); time.Since(began) < period; i++ {
-		for b := range c.routes.boxes {
+		for b := range c.region.boxes {
 			id := fmt.Sprintf("%s/%d", b, i)
-			if plans {
+			if streams {
 				send(b, id, func() bool {
-					_, whole, _ := c.routes.plan(b, id, routedKey, 40)
-					return whole
+					_, complete, _ := c.region.streamPlan(b, id, routedKey, 40)
+					return complete
 				})
 				continue
 			}
 			send(b, id, func() bool { return c.call(b, id) })
 		}
-		time.Sleep(every)
+		time.Sleep(interval)
 	}
 	g.Wait()
 }
 
-// from tells from which box a request came.
-func (c *crowd) from(request string) (box string, sentAt time.Time) {
+// sender tells from which box a request came.
+func (c *callers) sender(request string) (box string, sentAt time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	j := c.sent[request]
 	return j.box, j.sentAt
 }
 
-// fromAny tells the same as if all boxes were one: what one of them hears, the others are
+// anySender tells the same as if all boxes were one: what one of them hears, the others are
 // to hear from it.
-func (c *crowd) fromAny(request string) (box string, sentAt time.Time) {
-	_, sentAt = c.from(request)
+func (c *callers) anySender(request string) (box string, sentAt time.Time) {
+	_, sentAt = c.sender(request)
 	return "the boxes", sentAt
 }
 
@@ -133,53 +133,53 @@
 //
 // Whatever the list says later that is older than the upstream's own word changes nothing.
 func TestUpstreamThatSaysItLeavesGetsNothingNew(t *testing.T) {
-	away := func(r *routes) { r.platform.SetFaults(fakeplatform.Faults{Down: true}) }
+	away := func(r *routedRegion) { r.platform.SetFaults(fakeplatform.Faults{Down: true}) }
 	for _, x := range []struct {
 		name    string
 		leaves  string
 		plans   bool
-		before  func(r *routes)
-		trouble func(r *routes) // once it leaves
+		before  func(r *routedRegion)
+		trouble func(r *routedRegion) // once it leaves
 	}{
-		{"the store is away", "s-a1", false, away, func(*routes) {}},
-		{"the store is away, and an engine leaves", "i-a1", true, away, func(*routes) {}},
-		{"an entry written before comes later", "s-a1", false, func(*routes) {}, func(r *routes) {
-			time.AfterFunc(time.Second, func() { r.listRoutedCold("s-a1", "ready", 300) })
+		{"the store is away", "s-a1", false, away, func(*routedRegion) {}},
+		{"the store is away, and an engine leaves", "i-a1", true, away, func(*routedRegion) {}},
+		{"an entry written before comes later", "s-a1", false, func(*routedRegion) {}, func(r *routedRegion) {
+			time.AfterFunc(time.Second, func() { r.listColdUpstream("s-a1", "ready", 300) })
 		}},
-		{"an entry written before comes later, of an engine", "i-a1", true, func(*routes) {}, func(r *routes) {
-			time.AfterFunc(time.Second, func() { r.listRoutedCold("i-a1", "ready", 300) })
+		{"an entry written before comes later, of an engine", "i-a1", true, func(*routedRegion) {}, func(r *routedRegion) {
+			time.AfterFunc(time.Second, func() { r.listColdUpstream("i-a1", "ready", 300) })
 		}},
-		{"its entry lapses and comes back", "s-a1", false, away, func(r *routes) {
+		{"its entry lapses and comes back", "s-a1", false, away, func(r *routedRegion) {
 			time.AfterFunc(2*time.Second, func() {
 				r.platform.Remove("servers/s-a1")
 				r.platform.SetFaults(fakeplatform.Faults{})
 			})
-			time.AfterFunc(3*time.Second, func() { r.listRouted("s-a1", "ready") })
+			time.AfterFunc(3*time.Second, func() { r.listUpstream("s-a1", "ready") })
 		}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			withRoutes(t, func(t *testing.T, r *routes) {
+			withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 				for _, n := range []string{"s-a1", "s-a2", "s-b1"} {
-					r.startRouted(n)
+					r.startUpstream(n)
 				}
 				time.Sleep(time.Second)
 				x.before(r)
 				time.Sleep(3 * time.Second)
-				c := newCrowd(r)
+				c := newCallers(r)
 				time.AfterFunc(time.Second, func() {
-					r.routed[x.leaves].Leave()
+					r.upstreams[x.leaves].Leave()
 					x.trouble(r)
 				})
-				c.run(8*time.Second, x.plans)
-				for _, from := range []routed.Sender{c.from, c.fromAny} {
-					if l := r.routed[x.leaves].Unheeded(from, drainBound); len(l) > 0 {
+				c.sendFromAll(8*time.Second, x.plans)
+				for _, from := range []routed.Sender{c.sender, c.anySender} {
+					if l := r.upstreams[x.leaves].Unheeded(from, leavingBound); len(l) > 0 {
 						t.Errorf("got %d requests too late, want none, the first: %s", len(l), l[0])
 					}
 				}
 				if got, want := c.served, len(c.sent); got != want {
 					t.Errorf("served: got %d, want all %d", got, want)
 				}
-				if len(r.routed[x.leaves].Visits()) == 0 {
+				if len(r.upstreams[x.leaves].Visits()) == 0 {
 					t.Error("the upstream got nothing at all, want some before it leaves")
 				}
 			})
@@ -190,19 +190,19 @@
 // TestBoxesHearOfLeavingFromOneAnother has an upstream say that it leaves to a single box: the
 // others send it nothing more, without having asked it.
 func TestBoxesHearOfLeavingFromOneAnother(t *testing.T) {
-	withRoutes(t, func(t *testing.T, r *routes) {
-		r.startRouted("s-a1")
+	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
+		r.startUpstream("s-a1")
 		time.Sleep(time.Second)
 		r.platform.SetFaults(fakeplatform.Faults{Down: true})
-		r.routed["s-a1"].Leave()
-		c := newCrowd(r)
+		r.upstreams["s-a1"].Leave()
+		c := newCallers(r)
 		c.call("box-a1", "first")
 		time.Sleep(time.Second)
 		for n := range r.boxes {
 			c.call(n, "later-"+n)
 		}
 		var got []string
-		for _, v := range r.routed["s-a1"].Visits() {
+		for _, v := range r.upstreams["s-a1"].Visits() {
 			got = append(got, v.Request)
 		}
 		if want := "first"; strings.Join(got, " ") != want {
@@ -228,9 +228,9 @@
 				}
 			}
 		}
-		r.cutHallB(true)
+		r.isolateHallB(true)
 		time.Sleep(10 * time.Second)
-		if n, err := r.run("", "length=20", "box-a1"); err != nil || n != 20 {
+		if n, err := r.generate("", "length=20", "box-a1"); err != nil || n != 20 {
 			t.Errorf("once it is taken back: got %d tokens, %v; want 20", n, err)
 		}
 	})
--- a/limit_test.go
+++ b/limit_test.go
@@ -15,48 +15,48 @@
 	"github.com/linetiller/linetiller/internal/fake/routed"
 )
 
-// limited are the plain upstreams of the tests of limits, two in each data hall.
-var limited = []string{"s-a1", "s-a2", "s-b1", "s-b2"}
+// plainUpstreams are the plain upstreams of the tests of limits, two in each data hall.
+var plainUpstreams = []string{"s-a1", "s-a2", "s-b1", "s-b2"}
 
-// limitedBoxes are the boxes of these tests, in the order in which calls go to them.
-var limitedBoxes = []string{"box-a1", "box-a2", "box-b1", "box-b2"}
+// boxesByHall are the boxes of these tests, in the order in which calls go to them.
+var boxesByHall = []string{"box-a1", "box-a2", "box-b1", "box-b2"}
 
-// withLimited runs f with four plain upstreams behind four boxes.
-func withLimited(t *testing.T, f func(t *testing.T, r *routes, c *crowd)) {
+// withPlainUpstreams runs f with four plain upstreams behind four boxes.
+func withPlainUpstreams(t *testing.T, f func(t *testing.T, r *routedRegion, c *callers)) {
 	t.Helper()
-	withRoutes(t, func(t *testing.T, r *routes) {
-		for _, n := range limited {
-			r.startRouted(n)
+	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
+		for _, n := range plainUpstreams {
+			r.startUpstream(n)
 		}
 		time.Sleep(time.Second)
-		f(t, r, newCrowd(r))
+		f(t, r, newCallers(r))
 	})
 }
 
 // setLimit makes upstreams name a limit.
-func (r *routes) setLimit(limit string, upstreams ...string) {
+func (r *routedRegion) setLimit(limit string, upstreams ...string) {
 	for _, n := range upstreams {
-		r.routed[n].SetLimit(limit)
+		r.upstreams[n].SetLimit(limit)
 	}
 }
 
-// paced sends calls, or short streams where plans is set, one after each time every, to the box
+// sendPaced sends calls, or short streams where plans is set, one after each time every, to the box
 // that to returns for each, for a time, and waits for their ends. A box that is not there gets none.
-func (c *crowd) paced(period, every time.Duration, plans bool, to func(i int) string) {
+func (c *callers) sendPaced(period, interval time.Duration, streams bool, target func(i int) string) {
 	var g sync.WaitGroup
 	for i, began := 0, time.Now(); time.Since(began) < period; i++ {
-		box, id := to(i), fmt.Sprintf("paced-%d-%d", began.UnixMilli(), i)
-		c.routes.mutex.Lock()
-		there := c.routes.boxes[box] != nil
-		c.routes.mutex.Unlock()
-		if there {
+		box, id := target(i), fmt.Sprintf("paced-%d-%d", began.UnixMilli(), i)
+		c.region.mutex.Lock()
+		running := c.region.boxes[box] != nil
+		c.region.mutex.Unlock()
+		if running {
 			c.mutex.Lock()
-			c.sent[id] = journey{box, time.Now()}
+			c.sent[id] = sentRequest{box, time.Now()}
 			c.mutex.Unlock()
 			g.Go(func() {
 				var ok bool
-				if plans {
-					_, ok, _ = c.routes.plan(box, id, routedKey, 40)
+				if streams {
+					_, ok, _ = c.region.streamPlan(box, id, routedKey, 40)
 				} else {
 					ok = c.call(box, id)
 				}
@@ -67,19 +67,19 @@
 				}
 			})
 		}
-		time.Sleep(every)
+		time.Sleep(interval)
 	}
 	g.Wait()
 }
 
-// inTurn sends to all boxes in turn.
-func inTurn(i int) string { return limitedBoxes[i%len(limitedBoxes)] }
+// roundRobin sends to all boxes in turn.
+func roundRobin(i int) string { return boxesByHall[i%len(boxesByHall)] }
 
 // checkLimits checks that no upstream got more than the limits that it named allow.
-func (c *crowd) checkLimits(t *testing.T) {
+func (c *callers) checkLimits(t *testing.T) {
 	t.Helper()
-	for n, e := range c.routes.routed {
-		for _, from := range []routed.Sender{c.from, c.fromAny} {
+	for n, e := range c.region.upstreams {
+		for _, from := range []routed.Sender{c.sender, c.anySender} {
 			if broken := e.OverLimit(from); broken != "" {
 				t.Errorf("%s: %s", n, broken)
 			}
@@ -101,24 +101,24 @@
 		to        func(i int) string
 		then      string // the limit after 5 s, "" where it stays
 	}{
-		{"one of four", "2.8", limited[:1], busy, false, inTurn, ""},
-		{"all", "2.8", limited, busy, false, inTurn, ""},
-		{"one request in five seconds", "0.2", limited, busy, false, inTurn, ""},
-		{"none at all", "0", limited, busy, false, inTurn, ""},
-		{"many a second", "20", limited[:2], 5 * time.Millisecond, false, inTurn, ""},
-		{"all calls at one box", "8", limited[:1], busy, false, atOne, ""},
-		{"all calls at one box, which moves each second", "2.8", limited, busy, false, func(i int) string { return inTurn(i / 40) }, ""},
-		{"lowered", "20", limited[:2], busy, false, inTurn, "1"},
-		{"raised", "1", limited, busy, false, inTurn, "5"},
-		{"engines", "0.5", []string{"i-a1", "i-a2", "i-b1", "i-b2"}, 100 * time.Millisecond, true, inTurn, ""},
+		{"one of four", "2.8", plainUpstreams[:1], busy, false, roundRobin, ""},
+		{"all", "2.8", plainUpstreams, busy, false, roundRobin, ""},
+		{"one request in five seconds", "0.2", plainUpstreams, busy, false, roundRobin, ""},
+		{"none at all", "0", plainUpstreams, busy, false, roundRobin, ""},
+		{"many a second", "20", plainUpstreams[:2], 5 * time.Millisecond, false, roundRobin, ""},
+		{"all calls at one box", "8", plainUpstreams[:1], busy, false, atOne, ""},
+		{"all calls at one box, which moves each second", "2.8", plainUpstreams, busy, false, func(i int) string { return roundRobin(i / 40) }, ""},
+		{"lowered", "20", plainUpstreams[:2], busy, false, roundRobin, "1"},
+		{"raised", "1", plainUpstreams, busy, false, roundRobin, "5"},
+		{"engines", "0.5", []string{"i-a1", "i-a2", "i-b1", "i-b2"}, 100 * time.Millisecond, true, roundRobin, ""},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			withLimited(t, func(t *testing.T, r *routes, c *crowd) {
+			withPlainUpstreams(t, func(t *testing.T, r *routedRegion, c *callers) {
 				time.AfterFunc(time.Second, func() { r.setLimit(x.limit, x.upstreams...) })
 				if x.then != "" {
 					time.AfterFunc(5*time.Second, func() { r.setLimit(x.then, x.upstreams...) })
 				}
-				c.paced(14*time.Second, x.every, x.plans, x.to)
+				c.sendPaced(14*time.Second, x.every, x.plans, x.to)
 				c.checkLimits(t)
 			})
 		})
@@ -128,59 +128,59 @@
 // TestLimitHoldsWhileBoxesComeAndGo guards against a share of a rate limit that is given out twice
 // while boxes join, restart, stop, are killed, pause or are cut off.
 func TestLimitHoldsWhileBoxesComeAndGo(t *testing.T) {
-	restart := func(r *routes, name string) {
+	restart := func(r *routedRegion, name string) {
 		r.kill(name)
 		time.Sleep(200 * time.Millisecond)
 		r.link.Down(name, false)
 		r.link.Down(name+"-entry", false)
-		r.startRouter(name)
+		r.startEntryBox(name)
 	}
 	for _, x := range []struct {
 		name    string
-		trouble func(r *routes)
+		trouble func(r *routedRegion)
 	}{
-		{"restarted in turn", func(r *routes) {
-			for _, n := range limitedBoxes {
+		{"restarted in turn", func(r *routedRegion) {
+			for _, n := range boxesByHall {
 				time.Sleep(2 * time.Second)
 				restart(r, n)
 			}
 		}},
-		{"killed in turn", func(r *routes) {
-			for _, n := range limitedBoxes[1:] {
+		{"killed in turn", func(r *routedRegion) {
+			for _, n := range boxesByHall[1:] {
 				time.Sleep(2 * time.Second)
 				r.kill(n)
 			}
 		}},
-		{"stopped", func(r *routes) {
+		{"stopped", func(r *routedRegion) {
 			time.Sleep(2 * time.Second)
 			r.boxes["box-a1"].Leave()
 		}},
-		{"joined", func(r *routes) {
+		{"joined", func(r *routedRegion) {
 			time.Sleep(2 * time.Second)
 			for _, n := range []string{"box-a3", "box-b3"} {
-				r.startRouter(n)
+				r.startEntryBox(n)
 			}
 		}},
-		{"paused", func(r *routes) {
-			for _, n := range limitedBoxes {
-				r.setFrozen(n, true)
+		{"paused", func(r *routedRegion) {
+			for _, n := range boxesByHall {
+				r.setPaused(n, true)
 				time.Sleep(2 * time.Second)
-				r.setFrozen(n, false)
+				r.setPaused(n, false)
 			}
 		}},
-		{"a hall cut off", func(r *routes) {
+		{"a hall cut off", func(r *routedRegion) {
 			time.Sleep(2 * time.Second)
-			r.cutHallB(true)
+			r.isolateHallB(true)
 			time.Sleep(4 * time.Second)
-			r.cutHallB(false)
+			r.isolateHallB(false)
 		}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			withLimited(t, func(t *testing.T, r *routes, c *crowd) {
-				r.setLimit("2.8", limited...)
+			withPlainUpstreams(t, func(t *testing.T, r *routedRegion, c *callers) {
+				r.setLimit("2.8", plainUpstreams...)
 				var g sync.WaitGroup
 				g.Go(func() { x.trouble(r) })
-				c.paced(16*time.Second, 25*time.Millisecond, false, inTurn)
+				c.sendPaced(16*time.Second, 25*time.Millisecond, false, roundRobin)
 				g.Wait()
 				c.checkLimits(t)
 			})
@@ -188,11 +188,11 @@
 	}
 }
 
-// got returns how many requests an upstream got from a time on.
-func (r *routes) got(upstream string, from time.Time) int {
+// requestsSince returns how many requests an upstream got from a time on.
+func (r *routedRegion) requestsSince(upstream string, since time.Time) int {
 	n := 0
-	for _, at := range r.routed[upstream].Arrivals() {
-		if !at.Before(from) {
+	for _, at := range r.upstreams[upstream].Arrivals() {
+		if !at.Before(since) {
 			n++
 		}
 	}
@@ -210,30 +210,30 @@
 		every     time.Duration
 		to        func(i int) string
 	}{
-		{"one of four", 2.8, limited[:1], busy, inTurn},
-		{"three of four", 2.8, limited[:3], busy, inTurn},
-		{"all", 2.8, limited, busy, inTurn},
-		{"all, many a second", 20, limited, 8 * time.Millisecond, inTurn},
-		{"all calls at one box", 2.8, limited, busy, func(int) string { return "box-a1" }},
-		{"all calls at one box, which moves each second", 2.8, limited, busy, func(i int) string { return inTurn(i / 40) }},
+		{"one of four", 2.8, plainUpstreams[:1], busy, roundRobin},
+		{"three of four", 2.8, plainUpstreams[:3], busy, roundRobin},
+		{"all", 2.8, plainUpstreams, busy, roundRobin},
+		{"all, many a second", 20, plainUpstreams, 8 * time.Millisecond, roundRobin},
+		{"all calls at one box", 2.8, plainUpstreams, busy, func(int) string { return "box-a1" }},
+		{"all calls at one box, which moves each second", 2.8, plainUpstreams, busy, func(i int) string { return roundRobin(i / 40) }},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			withLimited(t, func(t *testing.T, r *routes, c *crowd) {
+			withPlainUpstreams(t, func(t *testing.T, r *routedRegion, c *callers) {
 				r.setLimit(fmt.Sprint(x.limit), x.upstreams...)
-				c.paced(3*time.Second, x.every, false, x.to)
+				c.sendPaced(3*time.Second, x.every, false, x.to)
 				began := time.Now()
 				const period = 10 * time.Second
-				c.served, c.sent = 0, make(map[string]journey)
-				c.paced(period, x.every, false, x.to)
+				c.served, c.sent = 0, make(map[string]sentRequest)
+				c.sendPaced(period, x.every, false, x.to)
 				sum := 0
 				for _, n := range x.upstreams {
-					sum += r.got(n, began)
+					sum += r.requestsSince(n, began)
 				}
 				want := 0.8 * x.limit * period.Seconds() * float64(len(x.upstreams))
 				if float64(sum) < want {
 					t.Errorf("got %d requests, want at least %.0f", sum, want)
 				}
-				if got, want := c.served, len(c.sent); len(x.upstreams) < len(limited) && got != want {
+				if got, want := c.served, len(c.sent); len(x.upstreams) < len(plainUpstreams) && got != want {
 					t.Errorf("served: got %d, want all %d", got, want)
 				}
 				t.Logf("used %.2f, served %d of %d", float64(sum)/want*0.8, c.served, len(c.sent))
@@ -244,13 +244,13 @@
 
 // TestLimitIsLifted guards against a limit that holds on once its upstream names none any more.
 func TestLimitIsLifted(t *testing.T) {
-	withLimited(t, func(t *testing.T, r *routes, c *crowd) {
-		r.setLimit("2.8", limited...)
-		c.paced(5*time.Second, 25*time.Millisecond, false, inTurn)
-		r.setLimit("", limited...)
-		c.paced(2*time.Second, 25*time.Millisecond, false, inTurn)
-		c.served, c.sent = 0, make(map[string]journey)
-		c.paced(2*time.Second, 25*time.Millisecond, false, inTurn)
+	withPlainUpstreams(t, func(t *testing.T, r *routedRegion, c *callers) {
+		r.setLimit("2.8", plainUpstreams...)
+		c.sendPaced(5*time.Second, 25*time.Millisecond, false, roundRobin)
+		r.setLimit("", plainUpstreams...)
+		c.sendPaced(2*time.Second, 25*time.Millisecond, false, roundRobin)
+		c.served, c.sent = 0, make(map[string]sentRequest)
+		c.sendPaced(2*time.Second, 25*time.Millisecond, false, roundRobin)
 		if got, want := c.served, len(c.sent); got != want {
 			t.Errorf("served from 2 s after the last limit on: got %d, want all %d", got, want)
 		}
@@ -259,13 +259,13 @@
 
 // withManyBoxes runs f with that many boxes in two halls before the four plain upstreams, and tells
 // their names.
-func withManyBoxes(t *testing.T, boxes int, f func(t *testing.T, r *routes, c *crowd, names []string)) {
+func withManyBoxes(t *testing.T, boxes int, f func(t *testing.T, r *routedRegion, c *callers, names []string)) {
 	t.Helper()
-	withLimited(t, func(t *testing.T, r *routes, c *crowd) {
-		names := append([]string(nil), limitedBoxes...)
+	withPlainUpstreams(t, func(t *testing.T, r *routedRegion, c *callers) {
+		names := append([]string(nil), boxesByHall...)
 		for i := len(names); i < boxes; i++ {
 			n := fmt.Sprintf("box-%c%d", 'a'+i%2, i)
-			r.startRouter(n)
+			r.startEntryBox(n)
 			names = append(names, n)
 		}
 		time.Sleep(20 * time.Second) // until all know each other
@@ -281,12 +281,12 @@
 		limit string
 	}{{8, "0.2"}, {8, "2.8"}, {40, "0.2"}, {40, "2.8"}, {40, "40"}, {300, "2.8"}} {
 		t.Run(fmt.Sprint(x.boxes, " boxes, ", x.limit, " a second"), func(t *testing.T) {
-			withManyBoxes(t, x.boxes, func(t *testing.T, r *routes, c *crowd, names []string) {
+			withManyBoxes(t, x.boxes, func(t *testing.T, r *routedRegion, c *callers, names []string) {
 				to := func(i int) string { return names[i%len(names)] }
-				r.setLimit(x.limit, limited...)
-				c.paced(6*time.Second, 10*time.Millisecond, false, to)
-				c.paced(4*time.Second, time.Second, false, to)
-				c.paced(time.Second, time.Millisecond, false, to)
+				r.setLimit(x.limit, plainUpstreams...)
+				c.sendPaced(6*time.Second, 10*time.Millisecond, false, to)
+				c.sendPaced(4*time.Second, time.Second, false, to)
+				c.sendPaced(time.Second, time.Millisecond, false, to)
 				c.checkLimits(t)
 			})
 		})
@@ -295,12 +295,12 @@
 
 // TestBoxThatStartsKnowsLimits guards against a box that learns of limits only from its own requests.
 func TestBoxThatStartsKnowsLimits(t *testing.T) {
-	withLimited(t, func(t *testing.T, r *routes, c *crowd) {
-		r.setLimit("0.2", limited...)
-		c.paced(2*time.Second, 25*time.Millisecond, false, inTurn)
-		r.startRouter("box-b3")
+	withPlainUpstreams(t, func(t *testing.T, r *routedRegion, c *callers) {
+		r.setLimit("0.2", plainUpstreams...)
+		c.sendPaced(2*time.Second, 25*time.Millisecond, false, roundRobin)
+		r.startEntryBox("box-b3")
 		time.Sleep(3 * time.Second)
-		for _, n := range limited {
+		for _, n := range plainUpstreams {
 			if l := r.boxes["box-b3"].relay.Limits().Get(n, 0, time.Now()); l == nil || l.PerSecond != 0.2 {
 				t.Errorf("%s: got %v, want 0.2 a second", n, l)
 			}
@@ -311,12 +311,12 @@
 // TestRefusedAtOnceWhileAllAreLimited guards against a wait that ends in a refusal, and against a
 // refusal without a time to come back.
 func TestRefusedAtOnceWhileAllAreLimited(t *testing.T) {
-	withLimited(t, func(t *testing.T, r *routes, c *crowd) {
-		r.setLimit("0.2", limited...)
-		c.paced(8*time.Second, 25*time.Millisecond, false, inTurn)
+	withPlainUpstreams(t, func(t *testing.T, r *routedRegion, c *callers) {
+		r.setLimit("0.2", plainUpstreams...)
+		c.sendPaced(8*time.Second, 25*time.Millisecond, false, roundRobin)
 		for i := range 40 {
 			began := time.Now()
-			status, again := c.callWhole(inTurn(i), fmt.Sprint("call-", i))
+			status, retryAfter := c.callStatus(roundRobin(i), fmt.Sprint("call-", i))
 			took := time.Since(began)
 			switch {
 			case status == http.StatusOK:
@@ -324,8 +324,8 @@
 				t.Errorf("call %d: got status %d, want 503", i, status)
 			case took > 50*time.Millisecond:
 				t.Errorf("call %d: refused after %s, want at once", i, took)
-			case again == "" || again == "0":
-				t.Errorf("call %d: got %q as the time to come back, want some", i, again)
+			case retryAfter == "" || retryAfter == "0":
+				t.Errorf("call %d: got %q as the time to come back, want some", i, retryAfter)
 			}
 			time.Sleep(25 * time.Millisecond)
 		}
@@ -335,24 +335,24 @@
 // TestMovedRunsSpareALimitedEngine guards against runs that are moved to an engine which has named a
 // limit, while others have none.
 func TestMovedRunsSpareALimitedEngine(t *testing.T) {
-	withRoutes(t, func(t *testing.T, r *routes) {
-		c := newCrowd(r)
+	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
+		c := newCallers(r)
 		r.setLimit("0.5", "i-a2")
-		c.paced(8*time.Second, 200*time.Millisecond, true, inTurn)
+		c.sendPaced(8*time.Second, 200*time.Millisecond, true, roundRobin)
 		var g sync.WaitGroup
 		for i := range 16 {
 			id := fmt.Sprint("long-", i)
-			c.sent[id] = journey{inTurn(i), time.Now()}
+			c.sent[id] = sentRequest{roundRobin(i), time.Now()}
 			g.Go(func() {
-				if events, whole, _ := r.plan(inTurn(i), id, routedKey, 1200); events != 300 || !whole {
-					t.Errorf("%s: got %d events, whole %v; want 300, whole", id, events, whole)
+				if events, complete, _ := r.streamPlan(roundRobin(i), id, routedKey, 1200); events != 300 || !complete {
+					t.Errorf("%s: got %d events, whole %v; want 300, whole", id, events, complete)
 				}
 			})
 		}
 		time.Sleep(2 * time.Second)
-		r.listRouted("i-a1", "draining")
+		r.listUpstream("i-a1", "draining")
 		time.Sleep(1500 * time.Millisecond)
-		r.die("i-a1")
+		r.killUpstream("i-a1")
 		g.Wait()
 		c.checkLimits(t)
 	})
@@ -363,14 +363,14 @@
 func TestLimitHoldsOnceAHallsBoxesAreGone(t *testing.T) {
 	for _, x := range []struct {
 		name string
-		lose func(r *routes, box string)
+		lose func(r *routedRegion, box string)
 	}{
-		{"killed", func(r *routes, box string) { r.kill(box) }},
-		{"paused", func(r *routes, box string) { r.setFrozen(box, true) }},
+		{"killed", func(r *routedRegion, box string) { r.kill(box) }},
+		{"paused", func(r *routedRegion, box string) { r.setPaused(box, true) }},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			withManyBoxes(t, 16, func(t *testing.T, r *routes, c *crowd, names []string) {
-				r.setLimit("2.8", limited...)
+			withManyBoxes(t, 16, func(t *testing.T, r *routedRegion, c *callers, names []string) {
+				r.setLimit("2.8", plainUpstreams...)
 				var left []string
 				for _, n := range names {
 					if n[4] == 'a' {
@@ -378,17 +378,17 @@
 					}
 				}
 				to := func(i int) string { return left[i%len(left)] }
-				c.paced(4*time.Second, 10*time.Millisecond, false, to)
+				c.sendPaced(4*time.Second, 10*time.Millisecond, false, to)
 				for _, n := range names {
 					if n[4] == 'b' {
 						x.lose(r, n)
 					}
 				}
 				lost := time.Now()
-				c.paced(8*time.Second, 10*time.Millisecond, false, to)
+				c.sendPaced(8*time.Second, 10*time.Millisecond, false, to)
 				c.checkLimits(t)
 				for _, n := range []string{"s-b1", "s-b2"} {
-					if got, least := r.got(n, lost.Add(4*time.Second)), 2; got < least {
+					if got, least := r.requestsSince(n, lost.Add(4*time.Second)), 2; got < least {
 						t.Errorf("%s: got %d requests from 4 s after its hall's boxes were lost on, want at least %d", n, got, least)
 					}
 				}
@@ -400,8 +400,8 @@
 // TestBoxThatDoesNotKnowPermitsStays guards against boxes of an earlier version that are held for gone,
 // and lose the upstreams that they own, as they answer an ask for a permit with an error.
 func TestBoxThatDoesNotKnowPermitsStays(t *testing.T) {
-	withLimited(t, func(t *testing.T, r *routes, c *crowd) {
-		r.answerCalls(func(to string, q *box.Request) *box.Call {
+	withPlainUpstreams(t, func(t *testing.T, r *routedRegion, c *callers) {
+		r.interceptCalls(func(to string, q *box.Request) *box.Call {
 			if q.Kind != box.KindPermit {
 				return nil
 			}
@@ -410,8 +410,8 @@
 				return nil
 			}}
 		})
-		r.setLimit("2.8", limited...)
-		c.paced(5*time.Second, 25*time.Millisecond, false, inTurn)
+		r.setLimit("2.8", plainUpstreams...)
+		c.sendPaced(5*time.Second, 25*time.Millisecond, false, roundRobin)
 		for n, b := range r.boxes {
 			if got, want := len(b.members.Alive("")), len(r.boxes); got != want {
 				t.Errorf("%s: boxes believed to serve: got %d, want %d", n, got, want)
@@ -423,22 +423,22 @@
 // TestLimitEndsWithItsUpstream guards against a limit that is held against an upstream which has
 // started again under its name and names none.
 func TestLimitEndsWithItsUpstream(t *testing.T) {
-	withLimited(t, func(t *testing.T, r *routes, c *crowd) {
-		born := func(at int64) {
-			for _, n := range limited {
+	withPlainUpstreams(t, func(t *testing.T, r *routedRegion, c *callers) {
+		listStartedAt := func(at int64) {
+			for _, n := range plainUpstreams {
 				r.platform.Put("servers/"+n, json.RawMessage(fmt.Sprintf(
-					`{"service":"desk","address":%q,"zone":%q,"state":"ready","cold_left_ms":0,"models":[{"name":"m"}],"born":%d}`, routedAddress(n), n[2:3], at)))
+					`{"service":"desk","address":%q,"zone":%q,"state":"ready","cold_left_ms":0,"models":[{"name":"m"}],"born":%d}`, upstreamAddress(n), n[2:3], at)))
 			}
 			time.Sleep(2 * time.Second)
 		}
-		born(1_790_000_000_000)
-		r.setLimit("0.2", limited...)
-		c.paced(4*time.Second, 25*time.Millisecond, false, inTurn)
+		listStartedAt(1_790_000_000_000)
+		r.setLimit("0.2", plainUpstreams...)
+		c.sendPaced(4*time.Second, 25*time.Millisecond, false, roundRobin)
 		c.checkLimits(t)
-		r.setLimit("", limited...)
-		born(1_790_000_060_000)
-		c.served, c.sent = 0, make(map[string]journey)
-		c.paced(time.Second, 25*time.Millisecond, false, inTurn)
+		r.setLimit("", plainUpstreams...)
+		listStartedAt(1_790_000_060_000)
+		c.served, c.sent = 0, make(map[string]sentRequest)
+		c.sendPaced(time.Second, 25*time.Millisecond, false, roundRobin)
 		if got, want := c.served, len(c.sent); got != want {
 			t.Errorf("served by upstreams born again: got %d, want all %d", got, want)
 		}
@@ -459,21 +459,21 @@
 		{"100", 5 * time.Millisecond, 2000, 1000},
 	} {
 		t.Run(x.limit, func(t *testing.T) {
-			withLimited(t, func(t *testing.T, r *routes, c *crowd) {
-				messages := r.countLimits()
+			withPlainUpstreams(t, func(t *testing.T, r *routedRegion, c *callers) {
+				messages := r.countLimitMessages()
 				stop := time.Now().Add(period)
 				var g sync.WaitGroup
 				g.Go(func() {
 					for i := 0; time.Now().Before(stop); i++ {
-						r.setLimit([]string{x.limit, ""}[i%2], limited...)
+						r.setLimit([]string{x.limit, ""}[i%2], plainUpstreams...)
 						time.Sleep(20 * time.Millisecond)
 					}
 				})
 				began := time.Now()
-				c.paced(period, x.every, false, inTurn)
+				c.sendPaced(period, x.every, false, roundRobin)
 				g.Wait()
-				for _, n := range limited {
-					if got := r.got(n, began.Add(2*time.Second)); got > x.got {
+				for _, n := range plainUpstreams {
+					if got := r.requestsSince(n, began.Add(2*time.Second)); got > x.got {
 						t.Errorf("%s: got %d requests in 8 s, want at most %d", n, got, x.got)
 					}
 				}
@@ -485,10 +485,10 @@
 	}
 }
 
-// countLimits counts the messages about limits between boxes.
-func (r *routes) countLimits() *atomic.Int64 {
+// countLimitMessages counts the messages about limits between boxes.
+func (r *routedRegion) countLimitMessages() *atomic.Int64 {
 	n := new(atomic.Int64)
-	r.answerCalls(func(_ string, q *box.Request) *box.Call {
+	r.interceptCalls(func(_ string, q *box.Request) *box.Call {
 		if q.Kind == box.KindLimits {
 			n.Add(1)
 		}
--- a/outage_test.go
+++ b/outage_test.go
@@ -17,9 +17,9 @@
 func TestPlatformOutage(t *testing.T) {
 	h := newHall(t, 2, 1)
 	run := func(key string) (int, error) {
-		c := new(checker)
+		c := new(tokenChecker)
 		g := h.client(0)
-		g.OnToken = c.take
+		g.OnToken = c.check
 		_, _, err := g.Run(t.Context(), &client.GenerationRequest{Key: key, Model: testModel, Prompt: "length=5"})
 		return c.next, err
 	}
@@ -27,11 +27,11 @@
 	if n, err := run(""); err != nil || n != 5 {
 		t.Errorf("without a key: got %d tokens, %v, want 5", n, err)
 	}
-	before := h.started()
+	before := h.startedGenerations()
 	if _, err := run("k"); !errorx.IsOfType(err, fail.NotRun) || fail.Reason(err) != "table_unavailable" {
 		t.Errorf("with a key: got %v, want not run for want of the table", err)
 	}
-	if got, want := h.started(), before; got != want {
+	if got, want := h.startedGenerations(), before; got != want {
 		t.Errorf("generations started: got %d, want %d", got, want)
 	}
 	if _, err := h.operator(0).Apply(t.Context(), newResource(resource.KindModel, "new", resource.ModelSpec{MaxTokens: 5})); err == nil {
@@ -48,11 +48,11 @@
 func TestBoxStartsWhilePlatformIsDown(t *testing.T) {
 	h := newHall(t, 2, 1)
 	h.platform.SetFaults(fakeplatform.Faults{Down: true})
-	h.settings = withPeers(h.boxes[0].BoxAddress())
+	h.changeSettings = withPeers(h.boxes[0].BoxAddress())
 	h.startBox()
-	c := new(checker)
+	c := new(tokenChecker)
 	g := h.client(2)
-	g.OnToken = c.take
+	g.OnToken = c.check
 	for {
 		_, _, err := g.Run(t.Context(), &client.GenerationRequest{Model: testModel, Prompt: "length=5"})
 		if err == nil {
--- a/readers_test.go
+++ b/readers_test.go
@@ -14,17 +14,17 @@
 	"github.com/linetiller/linetiller/internal/fake/routed"
 )
 
-// withHalls runs f with halls of four boxes each, and one engine in the first.
-func withHalls(t *testing.T, halls string, f func(t *testing.T, r *routes)) {
+// withLargeHalls runs f with halls of four boxes each, and one engine in the first.
+func withLargeHalls(t *testing.T, halls string, f func(t *testing.T, r *routedRegion)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		r := &routes{region: newRegion(t), routed: make(map[string]*routed.Engine)}
+		r := &routedRegion{region: newRegion(t), upstreams: make(map[string]*routed.Engine)}
 		defer r.close()
 		r.configure(1, routedKey)
-		r.startRouted("i-a1")
+		r.startUpstream("i-a1")
 		for _, h := range halls {
 			for i := range 4 {
-				r.startRouter(fmt.Sprintf("box-%c%d", h, i+1))
+				r.startEntryBox(fmt.Sprintf("box-%c%d", h, i+1))
 			}
 		}
 		time.Sleep(10 * time.Second)
@@ -36,7 +36,7 @@
 func (r *region) storeCalls() map[string]int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return maps.Clone(r.calls)
+	return maps.Clone(r.storeCallCounts)
 }
 
 // firstReader returns the box that calls the store most.
@@ -52,8 +52,8 @@
 	return first
 }
 
-// callsDuring returns how many calls of the store all boxes make in some time.
-func (r *region) callsDuring(d time.Duration) int {
+// storeCallsDuring returns how many calls of the store all boxes make in some time.
+func (r *region) storeCallsDuring(d time.Duration) int {
 	total := func() int {
 		n := 0
 		for _, c := range r.storeCalls() {
@@ -66,12 +66,12 @@
 	return total() - before
 }
 
-// knowsBy checks that every box but one knows by a time that an engine leaves.
-func (r *routes) knowsBy(t *testing.T, engine, but string, d time.Duration) {
+// checkLeavingKnown checks that every box but one knows by a time that an engine leaves.
+func (r *routedRegion) checkLeavingKnown(t *testing.T, engine, except string, d time.Duration) {
 	t.Helper()
 	time.Sleep(d)
 	for n, b := range r.boxes {
-		if u := b.view.Upstream(engine); n != but && u != nil && u.AcceptsWork(time.Now()) {
+		if u := b.view.Upstream(engine); n != except && u != nil && u.AcceptsWork(time.Now()) {
 			t.Errorf("%s: %v after its notice the engine is still used", n, d)
 		}
 	}
@@ -81,8 +81,8 @@
 // with five.
 func TestCallsDoNotGrowWithHalls(t *testing.T) {
 	for _, halls := range []string{"a", "abcde"} {
-		withHalls(t, halls, func(t *testing.T, r *routes) {
-			if got, most := r.callsDuring(time.Minute), 90; got > most {
+		withLargeHalls(t, halls, func(t *testing.T, r *routedRegion) {
+			if got, most := r.storeCallsDuring(time.Minute), 90; got > most {
 				t.Errorf("halls %s: got %d calls in a minute, want at most %d", halls, got, most)
 			}
 		})
@@ -92,9 +92,9 @@
 // TestOutageCostsFewCalls has the store silent, and then refusing, for 8 s: one source is
 // read to notice its return, by boxes that wait longer the farther they are from it.
 func TestOutageCostsFewCalls(t *testing.T) {
-	withHalls(t, "abcde", func(t *testing.T, r *routes) {
+	withLargeHalls(t, "abcde", func(t *testing.T, r *routedRegion) {
 		r.platform.SetFaults(fakeplatform.Faults{Down: true})
-		if got, most := r.callsDuring(8*time.Second), 70; got > most {
+		if got, most := r.storeCallsDuring(8*time.Second), 70; got > most {
 			t.Errorf("got %d calls in 8 s, want at most %d", got, most)
 		}
 		r.platform.SetFaults(fakeplatform.Faults{})
@@ -102,7 +102,7 @@
 		r.configure(2, "new-key")
 		time.Sleep(time.Second)
 		for n := range r.boxes {
-			if _, _, status := r.plan(n, "id-"+n, routedKey, 8); status != http.StatusUnauthorized {
+			if _, _, status := r.streamPlan(n, "id-"+n, routedKey, 8); status != http.StatusUnauthorized {
 				t.Errorf("%s: a key taken away after the return: got status %d, want 401", n, status)
 			}
 		}
@@ -112,26 +112,26 @@
 // TestFirstReaderFreezes freezes the box that reads the store for all, and then has an
 // engine give notice: all others know within a second.
 func TestFirstReaderFreezes(t *testing.T) {
-	withHalls(t, "abc", func(t *testing.T, r *routes) {
+	withLargeHalls(t, "abc", func(t *testing.T, r *routedRegion) {
 		first := r.firstReader()
-		r.setFrozen(first, true)
+		r.setPaused(first, true)
 		time.Sleep(50 * time.Millisecond)
-		r.listRouted("i-a1", "draining")
-		r.knowsBy(t, "i-a1", first, 1500*time.Millisecond)
-		r.setFrozen(first, false)
+		r.listUpstream("i-a1", "draining")
+		r.checkLeavingKnown(t, "i-a1", first, 1500*time.Millisecond)
+		r.setPaused(first, false)
 	})
 }
 
 // TestFirstReaderIsTurnedAway has the store refuse the box that reads it for all, and then
 // has an engine give notice: all know within half a second, and calls stay few.
 func TestFirstReaderIsTurnedAway(t *testing.T) {
-	withHalls(t, "abcde", func(t *testing.T, r *routes) {
+	withLargeHalls(t, "abcde", func(t *testing.T, r *routedRegion) {
 		first := r.firstReader()
-		r.refuse(first)
+		r.refuseBoxes(first)
 		time.Sleep(3 * time.Second)
-		r.listRouted("i-a1", "draining")
-		r.knowsBy(t, "i-a1", "", 500*time.Millisecond)
-		if got, most := r.callsDuring(20*time.Second), 80; got > most {
+		r.listUpstream("i-a1", "draining")
+		r.checkLeavingKnown(t, "i-a1", "", 500*time.Millisecond)
+		if got, most := r.storeCallsDuring(20*time.Second), 80; got > most {
 			t.Errorf("got %d calls in 20 s, want at most %d", got, most)
 		}
 	})
@@ -141,12 +141,12 @@
 // repeats a read, and before others read in its place: that is learned, and costs calls only once.
 func TestSlowStoreCostsFewCalls(t *testing.T) {
 	for _, delay := range []int{200, 400, 600, 900} {
-		withHalls(t, "abc", func(t *testing.T, r *routes) {
+		withLargeHalls(t, "abc", func(t *testing.T, r *routedRegion) {
 			r.platform.SetFaults(fakeplatform.Faults{DelayMilliseconds: delay})
-			if got, most := r.callsDuring(20*time.Second), 120; got > most {
+			if got, most := r.storeCallsDuring(20*time.Second), 120; got > most {
 				t.Errorf("answers after %d ms: got %d calls in 20 s, want at most %d", delay, got, most)
 			}
-			if got, most := r.callsDuring(20*time.Second), 40; got > most {
+			if got, most := r.storeCallsDuring(20*time.Second), 40; got > most {
 				t.Errorf("answers after %d ms: got %d calls in the next 20 s, want at most %d", delay, got, most)
 			}
 		})
--- a/region_test.go
+++ b/region_test.go
@@ -32,27 +32,27 @@
 
 // region is halls of whole boxes, joined in memory, in virtual time.
 type region struct {
-	boxes      map[string]*Box
-	answers    func(to string, q *box.Request) *box.Call // answers calls between boxes in their place; may be nil
-	calls      map[string]int                            // of the platform's store, by box
-	crashing   map[string]*atomic.Int64                  // by box: crashes of upstreams, where all crash that it sends to
-	cut        map[string]bool                           // halls cut off from all others and the platform
-	dark       map[string]bool                           // boxes without power: calls to them hang, and nobody is told
-	delivered  func(from string, q *box.Request)         // is told of each call that arrives at a box; may be nil
-	done       sync.WaitGroup
-	ends       []func() // of the handling of calls
-	engines    map[string]*engine.Server
-	frozen     map[string]bool // boxes whose calls hang
-	hallOf     map[string]string
-	link       *link.Link
-	mutex      sync.Mutex // guards the maps
-	platform   *fakeplatform.Platform
-	platformOf map[string]http.RoundTripper // by box: its way to the store, where that is not the usual one
-	refused    map[string]bool              // boxes that the platform's store turns away
-	t          *testing.T
+	boxes           map[string]*Box
+	intercept       func(to string, q *box.Request) *box.Call // answers calls between boxes in their place; may be nil
+	storeCallCounts map[string]int                            // of the platform's store, by box
+	crashing        map[string]*atomic.Int64                  // by box: crashes of upstreams, where all crash that it sends to
+	isolated        map[string]bool                           // halls cut off from all others and the platform
+	poweredOff      map[string]bool                           // boxes without power: calls to them hang, and nobody is told
+	onDelivered     func(from string, q *box.Request)         // is told of each call that arrives at a box; may be nil
+	serving         sync.WaitGroup
+	handlerCancels  []func() // of the handling of calls
+	engines         map[string]*engine.Server
+	paused          map[string]bool // boxes whose calls hang
+	hallOf          map[string]string
+	link            *link.Link
+	mutex           sync.Mutex // guards the maps
+	platform        *fakeplatform.Platform
+	storeTransports map[string]http.RoundTripper // by box: its way to the store, where that is not the usual one
+	refusedBoxes    map[string]bool              // boxes that the platform's store turns away
+	t               *testing.T
 }
 
-const virtualKey = "key"
+const workspaceKey = "key"
 
 // engineHosts are the engines' addresses; nothing listens there, the links are
 // in memory.
@@ -70,7 +70,7 @@
 		for _, n := range []string{"box-a1", "box-a2", "box-b1", "box-b2"} {
 			r.startBox(n)
 		}
-		r.declare()
+		r.declareResources()
 		time.Sleep(5 * time.Second)
 		f(t, r)
 	})
@@ -79,10 +79,10 @@
 // newRegion returns a region without boxes and engines.
 func newRegion(t *testing.T) *region {
 	r := &region{
-		boxes: make(map[string]*Box), calls: make(map[string]int), crashing: make(map[string]*atomic.Int64), cut: make(map[string]bool), dark: make(map[string]bool), engines: make(map[string]*engine.Server),
-		frozen: make(map[string]bool), hallOf: map[string]string{"platform": "platform"}, link: link.New(), platform: fakeplatform.New(),
-		platformOf: make(map[string]http.RoundTripper),
-		refused:    make(map[string]bool), t: t,
+		boxes: make(map[string]*Box), storeCallCounts: make(map[string]int), crashing: make(map[string]*atomic.Int64), isolated: make(map[string]bool), poweredOff: make(map[string]bool), engines: make(map[string]*engine.Server),
+		paused: make(map[string]bool), hallOf: map[string]string{"platform": "platform"}, link: link.New(), platform: fakeplatform.New(),
+		storeTransports: make(map[string]http.RoundTripper),
+		refusedBoxes:    make(map[string]bool), t: t,
 	}
 	r.link.Join("platform", r.platform)
 	return r
@@ -92,19 +92,19 @@
 	for n := range r.boxes {
 		r.kill(n)
 	}
-	for _, end := range r.ends {
+	for _, end := range r.handlerCancels {
 		end()
 	}
-	r.done.Wait()
+	r.serving.Wait()
 	for _, e := range r.engines {
 		_ = e.Close()
 	}
 	time.Sleep(time.Minute)
 }
 
-func (r *region) declare() {
+func (r *region) declareResources() {
 	r.apply("box-a1", resource.KindModel, "m", `{"maxTokens":4000}`)
-	r.apply("box-a1", resource.KindWorkspace, "w", `{"keyHashes":["`+resource.HashKey(virtualKey)+`"]}`)
+	r.apply("box-a1", resource.KindWorkspace, "w", `{"keyHashes":["`+resource.HashKey(workspaceKey)+`"]}`)
 	for n := range r.engines {
 		r.apply("box-a1", resource.KindUpstream, n, `{"address":"http://`+engineHosts[n]+`","hall":"`+n[len(n)-1:]+`","kvTokens":60000,"maxBatch":100,"models":["m"],"type":"engine"}`)
 	}
@@ -127,38 +127,38 @@
 	}
 }
 
-// apart reports whether two places cannot reach each other.
-func (r *region) apart(a, b string) bool {
+// unreachable reports whether two places cannot reach each other.
+func (r *region) unreachable(a, b string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	x, y := r.hallOf[a], r.hallOf[b]
-	return r.frozen[a] || r.frozen[b] || (x != y && (r.cut[x] || r.cut[y]))
+	return r.paused[a] || r.paused[b] || (x != y && (r.isolated[x] || r.isolated[y]))
 }
 
-func (r *region) cutHallB(on bool) {
+func (r *region) isolateHallB(on bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.cut["b"] = on
+	r.isolated["b"] = on
 }
 
-// darken takes a box's power.
-func (r *region) darken(name string) {
+// powerOff takes a box's power.
+func (r *region) powerOff(name string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.dark[name], r.frozen[name] = true, true
+	r.poweredOff[name], r.paused[name] = true, true
 }
 
-// isDark reports whether one of two boxes has no power.
-func (r *region) isDark(a, b string) bool {
+// eitherPoweredOff reports whether one of two boxes has no power.
+func (r *region) eitherPoweredOff(a, b string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.dark[a] || r.dark[b]
+	return r.poweredOff[a] || r.poweredOff[b]
 }
 
-func (r *region) setFrozen(name string, on bool) {
+func (r *region) setPaused(name string, on bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.frozen[name] = on
+	r.paused[name] = on
 }
 
 // setHall says in which hall an address is.
@@ -175,11 +175,11 @@
 	r.link.Join(engineHosts[name], e)
 }
 
-// callsOf returns how many calls of the platform's store a box has made.
-func (r *region) callsOf(name string) int {
+// storeCallsOf returns how many calls of the platform's store a box has made.
+func (r *region) storeCallsOf(name string) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.calls[name]
+	return r.storeCallCounts[name]
 }
 
 // startBox starts a box.
@@ -188,7 +188,7 @@
 	b := r.newBox(name, change...)
 	r.link.Join(name, b.clientServer.Handler)
 	r.link.Join(name+"-operator", b.operatorServer.Handler)
-	r.done.Go(func() { _ = b.Serve(context.Background()) })
+	r.serving.Go(func() { _ = b.Serve(context.Background()) })
 	synctest.Wait()
 }
 
@@ -204,16 +204,16 @@
 	r.setHall(name, s.Hall)
 	b, err := New(&s, func(b *Box) {
 		b.connect = func() error {
-			b.links = r.links(name)
+			b.links = r.newEndpoint(name)
 			b.members.SetAddress(name)
 			if b.settings.Entry != (settings.Entry{}) {
 				b.entry = make([]endpoint, 3)
 			}
 			return nil
 		}
-		b.engineTransport = &reach{from: name, region: r}
-		b.platformTransport = r.wayToStore(name)
-		b.routedTransport = &reach{from: name, region: r}
+		b.engineTransport = &boxTransport{from: name, region: r}
+		b.platformTransport = r.storeTransport(name)
+		b.routedTransport = &boxTransport{from: name, region: r}
 	})
 	if err != nil {
 		r.t.Fatal(err)
@@ -225,12 +225,12 @@
 	return b
 }
 
-// wayToStore returns a box's way to the platform's store.
-func (r *region) wayToStore(name string) http.RoundTripper {
-	if t := r.platformOf[name]; t != nil {
+// storeTransport returns a box's way to the platform's store.
+func (r *region) storeTransport(name string) http.RoundTripper {
+	if t := r.storeTransports[name]; t != nil {
 		return t
 	}
-	return &reach{from: name, region: r}
+	return &boxTransport{from: name, region: r}
 }
 
 func (r *region) kill(name string) {
@@ -242,13 +242,13 @@
 	_ = b.Close()
 }
 
-// run asks boxes for a generation and returns how many tokens came.
-func (r *region) run(key, prompt string, boxes ...string) (int, error) {
-	c := 0
-	g := &client.Generator{HTTP: &http.Client{Transport: r.link}, Key: virtualKey, OnToken: func(id, text string) error {
-		c += len(strings.Fields(text)) // a recorded answer comes in one piece
-		if !strings.HasSuffix(id, fmt.Sprintf("/%d", c-1)) {
-			return fmt.Errorf("got token %s, want index %d", id, c-1)
+// generate asks boxes for a generation and returns how many tokens came.
+func (r *region) generate(key, prompt string, boxes ...string) (int, error) {
+	tokens := 0
+	g := &client.Generator{HTTP: &http.Client{Transport: r.link}, Key: workspaceKey, OnToken: func(id, text string) error {
+		tokens += len(strings.Fields(text)) // a recorded answer comes in one piece
+		if !strings.HasSuffix(id, fmt.Sprintf("/%d", tokens-1)) {
+			return fmt.Errorf("got token %s, want index %d", id, tokens-1)
 		}
 		return nil
 	}}
@@ -256,10 +256,10 @@
 		g.Boxes = append(g.Boxes, "http://"+b)
 	}
 	_, _, err := g.Run(r.t.Context(), &client.GenerationRequest{Key: key, Model: "m", Prompt: prompt})
-	return c, err
+	return tokens, err
 }
 
-func (r *region) started() int {
+func (r *region) startedGenerations() int {
 	n := 0
 	for _, e := range r.engines {
 		n += e.Started()
@@ -267,24 +267,24 @@
 	return n
 }
 
-// reach is the way of a box's HTTP calls: those that cannot get through end as
+// boxTransport is the way of a box's HTTP calls: those that cannot get through end as
 // connections that are never made.
-type reach struct {
+type boxTransport struct {
 	from   string
 	region *region
 }
 
-func (h *reach) RoundTrip(q *http.Request) (*http.Response, error) {
+func (h *boxTransport) RoundTrip(q *http.Request) (*http.Response, error) {
 	h.region.mutex.Lock()
-	refused := h.region.refused[h.from] && q.URL.Host == "platform"
+	refused := h.region.refusedBoxes[h.from] && q.URL.Host == "platform"
 	if q.URL.Host == "platform" {
-		h.region.calls[h.from]++
+		h.region.storeCallCounts[h.from]++
 	}
 	h.region.mutex.Unlock()
 	if refused {
 		return nil, errRefused
 	}
-	if h.region.apart(h.from, q.URL.Host) {
+	if h.region.unreachable(h.from, q.URL.Host) {
 		select {
 		case <-q.Context().Done():
 		case <-time.After(time.Second):
@@ -294,17 +294,17 @@
 	return h.region.link.RoundTrip(q)
 }
 
-// answerCalls has f answer calls between boxes from now on, but for those for which it returns nil.
-func (r *region) answerCalls(f func(to string, q *box.Request) *box.Call) {
+// interceptCalls has f answer calls between boxes from now on, but for those for which it returns nil.
+func (r *region) interceptCalls(f func(to string, q *box.Request) *box.Call) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.answers = f
+	r.intercept = f
 }
 
-// answered returns the answer to a call that does not go to its box, or nil.
-func (r *region) answered(to string, q *box.Request) *box.Call {
+// intercepted returns the answer to a call that does not go to its box, or nil.
+func (r *region) intercepted(to string, q *box.Request) *box.Call {
 	r.mutex.Lock()
-	f := r.answers
+	f := r.intercept
 	r.mutex.Unlock()
 	if f == nil {
 		return nil
@@ -312,12 +312,12 @@
 	return f(to, q)
 }
 
-// links are a box's calls to other boxes in memory, through the codec.
-func (r *region) links(from string) *box.Endpoint {
+// newEndpoint are a box's calls to other boxes in memory, through the codec.
+func (r *region) newEndpoint(from string) *box.Endpoint {
 	return &box.Endpoint{
 		Address: func() string { return from },
 		Call: func(ctx context.Context, to string, q *box.Request) (*box.Call, error) {
-			if c := r.answered(to, q); c != nil {
+			if c := r.intercepted(to, q); c != nil {
 				return c, nil
 			}
 			return r.call(ctx, from, to, q)
@@ -339,14 +339,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if r.isDark(from, to) {
+	if r.eitherPoweredOff(from, to) {
 		<-ctx.Done()
 		return nil, lost
 	}
 	r.mutex.Lock()
 	peer := r.boxes[to]
 	r.mutex.Unlock()
-	if peer == nil || r.apart(from, to) {
+	if peer == nil || r.unreachable(from, to) {
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Second):
@@ -358,18 +358,18 @@
 		return nil, ctx.Err()
 	case <-time.After(linkDelay):
 	}
-	if r.delivered != nil {
-		r.delivered(from, v)
+	if r.onDelivered != nil {
+		r.onDelivered(from, v)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	served, end := context.WithCancel(context.WithoutCancel(ctx))
 	context.AfterFunc(ctx, func() {
-		if !r.isDark(from, to) {
+		if !r.eitherPoweredOff(from, to) {
 			end()
 		}
 	})
 	r.mutex.Lock()
-	r.ends = append(r.ends, end)
+	r.handlerCancels = append(r.handlerCancels, end)
 	r.mutex.Unlock()
 	replies := make(chan []byte, 16)
 	go func() {
@@ -400,7 +400,7 @@
 			for {
 				select {
 				case b, ok := <-replies:
-					if r.isDark(from, to) {
+					if r.eitherPoweredOff(from, to) {
 						<-ctx.Done()
 						return lost
 					}
@@ -412,10 +412,10 @@
 					r.mutex.Lock()
 					gone := r.boxes[to] != peer
 					r.mutex.Unlock()
-					if r.isDark(from, to) {
+					if r.eitherPoweredOff(from, to) {
 						continue
 					}
-					if gone || r.apart(from, to) || time.Now().After(deadline) {
+					if gone || r.unreachable(from, to) || time.Now().After(deadline) {
 						return lost
 					}
 				case <-ctx.Done():
--- a/restored_test.go
+++ b/restored_test.go
@@ -17,43 +17,43 @@
 )
 
 const (
-	// restoredAway is how long the store answers nobody before it is back from a copy.
-	restoredAway = 2 * time.Second
+	// storeDownPeriod is how long the store answers nobody before it is back from a copy.
+	storeDownPeriod = 2 * time.Second
 	// changeBound is within what time of the store's acknowledgement a change has to be in
 	// force at all boxes.
 	changeBound = 2 * time.Second
 )
 
-// key returns the one key of a version of the configuration.
-func key(version int) string {
+// versionKey returns the one key of a version of the configuration.
+func versionKey(version int) string {
 	return fmt.Sprint("key-", version)
 }
 
-// change writes versions of the configuration, each with a key of its own.
-func (r *routes) change(versions ...int) {
+// writeVersions writes versions of the configuration, each with a key of its own.
+func (r *routedRegion) writeVersions(versions ...int) {
 	for _, v := range versions {
-		r.configure(v, key(v))
+		r.configure(v, versionKey(v))
 	}
 }
 
-// restore has the store answer nobody for a moment, and come back from its newest copy.
-func (r *routes) restore() {
+// restoreStore has the store answer nobody for a moment, and come back from its newest copy.
+func (r *routedRegion) restoreStore() {
 	r.platform.SetFaults(fakeplatform.Faults{Down: true})
-	time.Sleep(restoredAway)
+	time.Sleep(storeDownPeriod)
 	r.platform.Restore()
 	r.platform.SetFaults(fakeplatform.Faults{})
 }
 
 // wantKey checks that every box serves the key of one version of the configuration, and
 // refuses that of another.
-func (r *routes) wantKey(when string, version, refused int) {
+func (r *routedRegion) wantKey(when string, version, refused int) {
 	r.t.Helper()
 	for n := range r.boxes {
 		id := fmt.Sprint(when, "-", n, "-", time.Now().UnixNano())
-		if _, whole, status := r.plan(n, id, key(version), 8); !whole {
+		if _, complete, status := r.streamPlan(n, id, versionKey(version), 8); !complete {
 			r.t.Errorf("%s: %s: the key of version %d: got status %d, want a whole stream", when, n, version, status)
 		}
-		if _, _, status := r.plan(n, id+"-old", key(refused), 8); status != http.StatusUnauthorized {
+		if _, _, status := r.streamPlan(n, id+"-old", versionKey(refused), 8); status != http.StatusUnauthorized {
 			r.t.Errorf("%s: %s: the key of version %d: got status %d, want 401", when, n, refused, status)
 		}
 	}
@@ -67,25 +67,25 @@
 // changed since then were answered that there is no such revision, until the store had given
 // it out again. The change was below it.
 func TestChangeAfterTheStoreWasRestored(t *testing.T) {
-	withRoutes(t, func(_ *testing.T, r *routes) {
-		r.change(2, 3)
+	withRoutedRegion(t, func(_ *testing.T, r *routedRegion) {
+		r.writeVersions(2, 3)
 		r.platform.Copy()
-		r.change(4, 5, 6, 7, 8, 9)
+		r.writeVersions(4, 5, 6, 7, 8, 9)
 		time.Sleep(changeBound)
-		r.restore()
+		r.restoreStore()
 		time.Sleep(3 * time.Second)
 		r.wantKey("before operators have written again", 9, 3)
-		r.change(9, 10)
+		r.writeVersions(9, 10)
 		time.Sleep(changeBound)
 		r.wantKey("after a change", 10, 9)
-		r.change(11)
+		r.writeVersions(11)
 		time.Sleep(changeBound)
 		r.wantKey("after another change", 11, 10)
 	})
 }
 
 // wantUpstream checks whether every box gives new work to an upstream.
-func (r *routes) wantUpstream(when, name string, want bool) {
+func (r *routedRegion) wantUpstream(when, name string, want bool) {
 	r.t.Helper()
 	for n, b := range r.boxes {
 		u := b.view.Upstream(name)
@@ -100,23 +100,23 @@
 // dropped those that do not, each counts as it did: what is gone stays so, what leaves too,
 // and what had come is used, but only for as long as one that lives may take to be back.
 func TestUpstreamsAfterTheStoreWasRestored(t *testing.T) {
-	withRoutes(t, func(_ *testing.T, r *routes) {
+	withRoutedRegion(t, func(_ *testing.T, r *routedRegion) {
 		r.platform.Copy()
-		r.listRouted("i-a1", "draining")
-		r.die("i-a2")
-		r.startRouted("i-b3")
-		r.startRouted("i-b4")
-		r.change(2, 3, 4)
+		r.listUpstream("i-a1", "draining")
+		r.killUpstream("i-a2")
+		r.startUpstream("i-b3")
+		r.startUpstream("i-b4")
+		r.writeVersions(2, 3, 4)
 		time.Sleep(time.Second)
-		r.restore()
+		r.restoreStore()
 		for range 10 { // the entry of one that is gone lapses after 3.6 s
 			time.Sleep(150 * time.Millisecond)
 			r.wantUpstream("restored", "i-a1", false)
 			r.wantUpstream("restored", "i-a2", false)
 			r.wantUpstream("restored", "i-b3", true)
 		}
-		r.listRouted("i-a1", "draining")
-		r.listRouted("i-b3", "ready")
+		r.listUpstream("i-a1", "draining")
+		r.listUpstream("i-b3", "ready")
 		time.Sleep(2 * time.Second) // the store's return is noticed after a second at most
 		r.wantUpstream("written again", "i-a1", false)
 		r.wantUpstream("written again", "i-a2", false)
@@ -137,15 +137,15 @@
 // the copy from which the store comes back. Both hold until operators have written again,
 // and then what they wrote does.
 func TestEvacuationAfterTheStoreWasRestored(t *testing.T) {
-	withRoutes(t, func(_ *testing.T, r *routes) {
+	withRoutedRegion(t, func(_ *testing.T, r *routedRegion) {
 		r.evacuate(false, "b")
 		time.Sleep(time.Second)
 		r.platform.Copy()
-		r.change(2, 3, 4)
+		r.writeVersions(2, 3, 4)
 		r.evacuate(true, "b")
 		r.evacuate(false, "a")
 		time.Sleep(2 * time.Second)
-		r.restore()
+		r.restoreStore()
 		for range 10 {
 			time.Sleep(200 * time.Millisecond)
 			r.wantUpstream("restored", "i-a1", false)
@@ -169,15 +169,15 @@
 // TestWithdrawnWhileTheStoreWasAway takes an evacuation back right as the store returns,
 // before any box could read it: the hall is used again all the same.
 func TestWithdrawnWhileTheStoreWasAway(t *testing.T) {
-	withRoutes(t, func(_ *testing.T, r *routes) {
+	withRoutedRegion(t, func(_ *testing.T, r *routedRegion) {
 		r.platform.Copy()
-		r.change(2, 3, 4)
+		r.writeVersions(2, 3, 4)
 		r.evacuate(false, "a")
 		time.Sleep(2 * time.Second)
 		r.platform.SetFaults(fakeplatform.Faults{Down: true})
-		time.Sleep(restoredAway)
+		time.Sleep(storeDownPeriod)
 		r.platform.Restore()
-		r.change(4)
+		r.writeVersions(4)
 		r.platform.SetFaults(fakeplatform.Faults{})
 		time.Sleep(5 * time.Second)
 		r.wantUpstream("withdrawn", "i-a1", true)
@@ -187,12 +187,12 @@
 // TestBoxesAfterTheStoreWasRestored starts a box after the copy from which the store comes
 // back: the others go on knowing it, and its row is there again within 2 s.
 func TestBoxesAfterTheStoreWasRestored(t *testing.T) {
-	withRoutes(t, func(t *testing.T, r *routes) {
+	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 		r.platform.Copy()
-		r.change(2, 3, 4)
-		r.startRouter("box-a3")
+		r.writeVersions(2, 3, 4)
+		r.startEntryBox("box-a3")
 		time.Sleep(3 * time.Second)
-		r.restore()
+		r.restoreStore()
 		for range 8 {
 			time.Sleep(250 * time.Millisecond)
 			for n, b := range r.boxes {
@@ -211,19 +211,19 @@
 // answers no box: none is told that its revision is gone, and each has what was written in
 // time all the same.
 func TestStoreIsOvertakenUnseen(t *testing.T) {
-	withRoutes(t, func(_ *testing.T, r *routes) {
-		r.startRouted("i-a3")
+	withRoutedRegion(t, func(_ *testing.T, r *routedRegion) {
+		r.startUpstream("i-a3")
 		time.Sleep(time.Second)
 		r.platform.Copy()
-		r.change(2, 3)
+		r.writeVersions(2, 3)
 		time.Sleep(time.Second)
 		r.platform.SetFaults(fakeplatform.Faults{Down: true})
-		time.Sleep(restoredAway)
+		time.Sleep(storeDownPeriod)
 		r.platform.Restore()
-		r.change(2, 3, 4)
-		r.listRouted("i-a1", "draining")
+		r.writeVersions(2, 3, 4)
+		r.listUpstream("i-a1", "draining")
 		r.platform.Remove("servers/i-a3")
-		r.change(5, 6)
+		r.writeVersions(5, 6)
 		r.platform.SetFaults(fakeplatform.Faults{})
 		time.Sleep(changeBound + 2*time.Second)
 		r.wantKey("overtaken", 6, 3)
@@ -262,7 +262,7 @@
 			}
 		}
 		r.platform.SetFaults(fakeplatform.Faults{Down: true})
-		time.Sleep(restoredAway)
+		time.Sleep(storeDownPeriod)
 		r.platform.Restore()
 		r.platform.SetFaults(fakeplatform.Faults{})
 		for range 10 {
@@ -318,40 +318,40 @@
 // TestRestoredStoreIsReadByFew counts the calls of twelve boxes after the store is back: those
 // that read it read each table whole once or twice, and no other box calls it for that.
 func TestRestoredStoreIsReadByFew(t *testing.T) {
-	calls := func(restored bool) (n, wholes int) {
-		withRoutes(t, func(_ *testing.T, r *routes) {
+	calls := func(restored bool) (n, fullReads int) {
+		withRoutedRegion(t, func(_ *testing.T, r *routedRegion) {
 			for _, name := range []string{"box-a3", "box-a4", "box-a5", "box-a6", "box-b3", "box-b4", "box-b5", "box-b6"} {
-				r.startRouter(name)
+				r.startEntryBox(name)
 			}
 			time.Sleep(20 * time.Second)
 			r.platform.Copy()
-			r.change(2, 3, 4)
+			r.writeVersions(2, 3, 4)
 			time.Sleep(5 * time.Second)
 			tables := []string{"box", "op", "servers"}
 			for _, x := range tables {
-				wholes -= r.platform.Wholes(x)
+				fullReads -= r.platform.Wholes(x)
 			}
 			r.platform.SetFaults(fakeplatform.Faults{Down: true})
-			time.Sleep(restoredAway)
+			time.Sleep(storeDownPeriod)
 			if restored {
 				r.platform.Restore()
 			}
 			r.platform.SetFaults(fakeplatform.Faults{})
-			n = r.callsDuring(10 * time.Second)
+			n = r.storeCallsDuring(10 * time.Second)
 			for _, x := range tables {
-				wholes += r.platform.Wholes(x)
+				fullReads += r.platform.Wholes(x)
 			}
 		})
-		return n, wholes
+		return n, fullReads
 	}
-	n, wholes := calls(true)
-	before, wholesBefore := calls(false)
-	t.Logf("calls in 10 s: %d, after an outage alone %d; whole reads: %d and %d", n, before, wholes, wholesBefore)
+	n, fullReads := calls(true)
+	callsBefore, fullReadsBefore := calls(false)
+	t.Logf("calls in 10 s: %d, after an outage alone %d; whole reads: %d and %d", n, callsBefore, fullReads, fullReadsBefore)
 	const readers, tables = 4, 3 // two in each hall at most
-	if most := 2 * readers * tables; wholes > most {
-		t.Errorf("whole reads: got %d, want at most %d", wholes, most)
+	if most := 2 * readers * tables; fullReads > most {
+		t.Errorf("whole reads: got %d, want at most %d", fullReads, most)
 	}
-	if most := before + 2*readers*tables; n > most {
+	if most := callsBefore + 2*readers*tables; n > most {
 		t.Errorf("calls: got %d, want at most %d", n, most)
 	}
 }
--- a/routed_store_test.go
+++ b/routed_store_test.go
@@ -21,36 +21,36 @@
 // errRefused is what a call on a store that turns a box away ends with.
 var errRefused = &net.OpError{Op: "dial", Net: "link", Err: fmt.Errorf("turned away")}
 
-// refuse makes the store turn boxes away.
-func (r *routes) refuse(boxes ...string) {
+// refuseBoxes makes the store turn boxes away.
+func (r *routedRegion) refuseBoxes(boxes ...string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, b := range boxes {
-		r.refused[b] = true
+		r.refusedBoxes[b] = true
 	}
 }
 
 // TestNoticeWhileTheStoreIsAway checks that an engine's own report is believed
 // where the platform's list cannot be had, and by boxes that do not read it.
 func TestNoticeWhileTheStoreIsAway(t *testing.T) {
-	withRoutes(t, func(t *testing.T, r *routes) {
+	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 		r.platform.SetFaults(fakeplatform.Faults{Down: true})
 		time.Sleep(5 * time.Second)
 		var g sync.WaitGroup
 		for _, b := range []string{"box-a1", "box-a2"} {
 			g.Go(func() {
-				if events, whole, _ := r.plan(b, "id-"+b, routedKey, 1600); events != 400 || !whole {
-					t.Errorf("%s: got %d events, whole %v; want 400, whole", b, events, whole)
+				if events, complete, _ := r.streamPlan(b, "id-"+b, routedKey, 1600); events != 400 || !complete {
+					t.Errorf("%s: got %d events, whole %v; want 400, whole", b, events, complete)
 				}
 			})
 		}
 		time.Sleep(2 * time.Second)
-		r.routed["i-a1"].Leave()
-		r.routed["i-a2"].Leave()
+		r.upstreams["i-a1"].Leave()
+		r.upstreams["i-a2"].Leave()
 		time.Sleep(1600 * time.Millisecond)
 		for _, n := range []string{"i-a1", "i-a2"} {
-			r.routed[n].Die()
-			r.link.Down(routedAddress(n), true)
+			r.upstreams[n].Die()
+			r.link.Down(upstreamAddress(n), true)
 		}
 		g.Wait()
 	})
@@ -60,9 +60,9 @@
 // knows that the list of upstreams cannot be read, and that it can be again: each owns
 // upstreams, whose reports it then reads more often.
 func TestBoxesThatDoNotReadHearThatTheStoreIsAway(t *testing.T) {
-	withRoutes(t, func(t *testing.T, r *routes) {
+	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 		for _, n := range []string{"box-a3", "box-a4", "box-a5"} {
-			r.startRouter(n)
+			r.startEntryBox(n)
 		}
 		time.Sleep(5 * time.Second)
 		for _, x := range []struct {
@@ -83,17 +83,17 @@
 // TestStoreTurnsBoxesAway has the store refuse all boxes but one: the others hear
 // of a key that was taken away, of one that was given, and of a notice all the same.
 func TestStoreTurnsBoxesAway(t *testing.T) {
-	withRoutes(t, func(t *testing.T, r *routes) {
-		r.refuse("box-a1", "box-a2", "box-b1")
+	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
+		r.refuseBoxes("box-a1", "box-a2", "box-b1")
 		time.Sleep(3 * time.Second)
 		r.configure(2, "new-key")
-		r.listRouted("i-a1", "draining")
+		r.listUpstream("i-a1", "draining")
 		time.Sleep(2 * time.Second)
 		for n, b := range r.boxes {
-			if _, _, status := r.plan(n, "old-"+n, routedKey, 40); status != http.StatusUnauthorized {
+			if _, _, status := r.streamPlan(n, "old-"+n, routedKey, 40); status != http.StatusUnauthorized {
 				t.Errorf("%s: the old key: got status %d, want 401", n, status)
 			}
-			if _, whole, status := r.plan(n, "new-"+n, "new-key", 40); !whole {
+			if _, complete, status := r.streamPlan(n, "new-"+n, "new-key", 40); !complete {
 				t.Errorf("%s: the new key: got status %d, want a whole stream", n, status)
 			}
 			if u := b.view.Upstream("i-a1"); u != nil && u.AcceptsWork(time.Now()) {
@@ -107,17 +107,17 @@
 // call it, and it serves with what they know. Before that it refuses for a moment,
 // and not for good.
 func TestBoxStartsWhileTheStoreIsAway(t *testing.T) {
-	withRoutes(t, func(t *testing.T, r *routes) {
+	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 		r.platform.SetFaults(fakeplatform.Faults{Down: true})
 		r.kill("box-a2")
 		time.Sleep(time.Second)
 		r.link.Down("box-a2", false)
-		r.startRouter("box-a2")
-		if _, _, status := r.plan("box-a2", "early", routedKey, 40); status != http.StatusServiceUnavailable && status != http.StatusOK {
+		r.startEntryBox("box-a2")
+		if _, _, status := r.streamPlan("box-a2", "early", routedKey, 40); status != http.StatusServiceUnavailable && status != http.StatusOK {
 			t.Errorf("at once: got status %d, want 503 or 200", status)
 		}
 		time.Sleep(10 * time.Second)
-		if _, whole, status := r.plan("box-a2", "late", routedKey, 40); !whole {
+		if _, complete, status := r.streamPlan("box-a2", "late", routedKey, 40); !complete {
 			t.Errorf("after 10 s: got status %d, want a whole stream", status)
 		}
 	})
@@ -126,10 +126,10 @@
 // TestFewBoxesReadTheListAsAllStart starts eight boxes of a hall anew at once: only the
 // hall's readers read the list of upstreams, and yet all serve within two seconds.
 func TestFewBoxesReadTheListAsAllStart(t *testing.T) {
-	withRoutes(t, func(t *testing.T, r *routes) {
+	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 		names := []string{"box-a1", "box-a2", "box-a3", "box-a4", "box-a5", "box-a6", "box-a7", "box-a8"}
 		for _, n := range names[2:] {
-			r.startRouter(n)
+			r.startEntryBox(n)
 		}
 		time.Sleep(5 * time.Second)
 		for _, n := range names {
@@ -139,14 +139,14 @@
 		before := r.platform.Wholes("servers")
 		for _, n := range names {
 			r.link.Down(n, false)
-			r.startRouter(n)
+			r.startEntryBox(n)
 		}
 		time.Sleep(2 * time.Second)
 		if got, want := r.platform.Wholes("servers")-before, 2; got > want {
 			t.Errorf("whole reads of the list: got %d, want at most %d", got, want)
 		}
 		for _, n := range names {
-			if _, whole, status := r.plan(n, "id-"+n, routedKey, 40); !whole {
+			if _, complete, status := r.streamPlan(n, "id-"+n, routedKey, 40); !complete {
 				t.Errorf("%s: got status %d, want a whole stream", n, status)
 			}
 		}
@@ -157,15 +157,15 @@
 // their settings say, within 0.3 s: each writes its row, and few read anything.
 func TestBoxesOfAFirstStartTellEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &routes{region: newRegion(t), routed: make(map[string]*routed.Engine)}
+		r := &routedRegion{region: newRegion(t), upstreams: make(map[string]*routed.Engine)}
 		defer r.close()
 		r.configure(1, routedKey)
-		r.startRouted("i-a1")
+		r.startUpstream("i-a1")
 		before := r.platform.Counters().Writes
 		var names []string
 		for i := range 24 {
 			names = append(names, fmt.Sprint("box-", string("abc"[i%3]), i+1))
-			r.startRouter(names[i], func(s *settings.Settings) { s.FirstStart = true })
+			r.startEntryBox(names[i], func(s *settings.Settings) { s.FirstStart = true })
 			time.Sleep(12 * time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
@@ -177,7 +177,7 @@
 			t.Errorf("reads: got %d, want at most %d", got, most)
 		}
 		for _, n := range names {
-			if _, whole, status := r.plan(n, "id-"+n, routedKey, 40); !whole {
+			if _, complete, status := r.streamPlan(n, "id-"+n, routedKey, 40); !complete {
 				t.Errorf("%s: got status %d, want a whole stream", n, status)
 			}
 			if got := r.boxes[n].members.Count(); got != 24 {
@@ -191,14 +191,14 @@
 // list yet, within 0.3 s of each other: only the hall's readers read the list of upstreams.
 func TestFewBoxesReadTheListOnTheFirstStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &routes{region: newRegion(t), routed: make(map[string]*routed.Engine)}
+		r := &routedRegion{region: newRegion(t), upstreams: make(map[string]*routed.Engine)}
 		defer r.close()
 		r.configure(1, routedKey)
-		r.startRouted("i-a1")
+		r.startUpstream("i-a1")
 		var names []string
 		for i := range 8 {
 			names = append(names, fmt.Sprint("box-a", i+1))
-			r.startRouter(names[i])
+			r.startEntryBox(names[i])
 			time.Sleep(40 * time.Millisecond)
 		}
 		time.Sleep(3 * time.Second)
@@ -206,7 +206,7 @@
 			t.Errorf("whole reads of the list: got %d, want at most %d", got, want)
 		}
 		for _, n := range names {
-			if _, whole, status := r.plan(n, "id-"+n, routedKey, 40); !whole {
+			if _, complete, status := r.streamPlan(n, "id-"+n, routedKey, 40); !complete {
 				t.Errorf("%s: got status %d, want a whole stream", n, status)
 			}
 		}
@@ -216,22 +216,22 @@
 // TestEntriesLapseWithTheStore removes all engines' entries as the store comes back
 // after an outage, and brings them back a second later: nothing is refused meanwhile.
 func TestEntriesLapseWithTheStore(t *testing.T) {
-	withRoutes(t, func(t *testing.T, r *routes) {
+	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 		r.platform.SetFaults(fakeplatform.Faults{Down: true})
 		time.Sleep(5 * time.Second)
-		for n := range r.routed {
+		for n := range r.upstreams {
 			r.platform.Remove("servers/" + n)
 		}
 		r.platform.SetFaults(fakeplatform.Faults{})
 		back := time.Now()
 		time.AfterFunc(1500*time.Millisecond, func() {
-			for n := range r.routed {
-				r.listRouted(n, "ready")
+			for n := range r.upstreams {
+				r.listUpstream(n, "ready")
 			}
 		})
 		for i := 0; time.Since(back) < 4*time.Second; i++ {
 			id := fmt.Sprint("id-", i)
-			if _, whole, status := r.plan("box-a1", id, routedKey, 8); !whole {
+			if _, complete, status := r.streamPlan("box-a1", id, routedKey, 8); !complete {
 				t.Errorf("%s after the store's return: got status %d, want a whole stream", time.Since(back), status)
 			}
 		}
@@ -240,7 +240,7 @@
 
 // TestReadersAreFewAndCallsRare counts the store's calls in steady state.
 func TestReadersAreFewAndCallsRare(t *testing.T) {
-	withRoutes(t, func(t *testing.T, r *routes) {
+	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 		before := r.platform.Counters()
 		const period = 60
 		time.Sleep(period * time.Second)
@@ -257,13 +257,13 @@
 // TestFreshBoxBelievesTheNewestConfiguration checks that a box which starts while
 // it cannot reach the store does not go back behind its neighbours.
 func TestFreshBoxBelievesTheNewestConfiguration(t *testing.T) {
-	withRoutes(t, func(t *testing.T, r *routes) {
+	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 		r.configure(2, "new-key")
 		time.Sleep(time.Second)
-		r.refuse("box-b2")
+		r.refuseBoxes("box-b2")
 		r.kill("box-b2")
 		r.link.Down("box-b2", false)
-		r.startRouter("box-b2")
+		r.startEntryBox("box-b2")
 		time.Sleep(5 * time.Second)
 		want := r.boxes["box-b1"].view.Revisions()[resource.SourceConfiguration]
 		if got := r.boxes["box-b2"].view.Revisions()[resource.SourceConfiguration]; got != want {
--- a/routed_test.go
+++ b/routed_test.go
@@ -21,11 +21,11 @@
 	"github.com/linetiller/linetiller/internal/settings"
 )
 
-// routes is the region of the virtual tests with the entry of the users' platform:
+// routedRegion is the region of the virtual tests with the entry of the users' platform:
 // boxes that know nothing but the store, and engines that list themselves there.
-type routes struct {
+type routedRegion struct {
 	*region
-	routed map[string]*routed.Engine
+	upstreams map[string]*routed.Engine
 }
 
 const (
@@ -33,18 +33,18 @@
 	routedKey  = "routed-key"
 )
 
-// withRoutes runs f with two halls of two boxes and two engines each.
-func withRoutes(t *testing.T, f func(t *testing.T, r *routes)) {
+// withRoutedRegion runs f with two halls of two boxes and two engines each.
+func withRoutedRegion(t *testing.T, f func(t *testing.T, r *routedRegion)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		r := &routes{region: newRegion(t), routed: make(map[string]*routed.Engine)}
+		r := &routedRegion{region: newRegion(t), upstreams: make(map[string]*routed.Engine)}
 		defer r.close()
 		r.configure(1, routedKey)
 		for _, n := range []string{"i-a1", "i-a2", "i-b1", "i-b2"} {
-			r.startRouted(n)
+			r.startUpstream(n)
 		}
 		for _, n := range []string{"box-a1", "box-a2", "box-b1", "box-b2"} {
-			r.startRouter(n)
+			r.startEntryBox(n)
 		}
 		time.Sleep(5 * time.Second)
 		f(t, r)
@@ -52,7 +52,7 @@
 }
 
 // configure writes a version of the operators' configuration, with one key.
-func (r *routes) configure(version int, key string) {
+func (r *routedRegion) configure(version int, key string) {
 	r.platform.Put("op/config", json.RawMessage(fmt.Sprintf(`{"version":%d,"routes":[
 {"name":"r-plan","host":%q,"path_prefix":"/plan/","kind":"streaming","timeout_ms":39000,"target_latency_ms":1800,"priority":0,"service":"llm","max_attempts":1,"gap_aim_ms":180},
 {"name":"r-call","host":%q,"path_prefix":"/call/","kind":"safe","timeout_ms":1500,"target_latency_ms":300,"priority":0,"service":"desk","max_attempts":2}],
@@ -60,54 +60,54 @@
 "tenants":[{"name":"w","api_keys":[%q]}]}`, version, routedHost, routedHost, key)))
 }
 
-// routedAddress returns where an engine listens; links are in memory.
-func routedAddress(name string) string {
+// upstreamAddress returns where an engine listens; links are in memory.
+func upstreamAddress(name string) string {
 	return fmt.Sprintf("127.0.%d.%d:1", name[0], int(name[2]-'a')*10+int(name[3]-'0'))
 }
 
-// engineAt returns the engine at an address, or nil.
-func (r *routes) engineAt(address string) *routed.Engine {
+// upstreamAt returns the engine at an address, or nil.
+func (r *routedRegion) upstreamAt(address string) *routed.Engine {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for n, x := range r.routed {
-		if routedAddress(n) == address {
+	for n, x := range r.upstreams {
+		if upstreamAddress(n) == address {
 			return x
 		}
 	}
 	return nil
 }
 
-func (r *routes) startRouted(name string) {
+func (r *routedRegion) startUpstream(name string) {
 	e := routed.New(name, routed.DefaultSettings())
-	e.Peer = r.engineAt
+	e.Peer = r.upstreamAt
 	r.mutex.Lock()
-	r.routed[name] = e
+	r.upstreams[name] = e
 	r.mutex.Unlock()
-	r.setHall(routedAddress(name), name[2:3])
-	r.link.Join(routedAddress(name), e)
-	r.listRouted(name, "ready")
+	r.setHall(upstreamAddress(name), name[2:3])
+	r.link.Join(upstreamAddress(name), e)
+	r.listUpstream(name, "ready")
 }
 
-func (r *routes) listRouted(name, state string) {
-	r.listRoutedCold(name, state, 0)
+func (r *routedRegion) listUpstream(name, state string) {
+	r.listColdUpstream(name, state, 0)
 }
 
-// listRoutedCold lists an engine, i-…, or a plain service, s-…, that is cold for some
+// listColdUpstream lists an engine, i-…, or a plain service, s-…, that is cold for some
 // milliseconds more.
-func (r *routes) listRoutedCold(name, state string, coldMS int) {
+func (r *routedRegion) listColdUpstream(name, state string, coldMS int) {
 	service := map[byte]string{'i': "llm", 's': "desk"}[name[0]]
 	r.platform.Put("servers/"+name, json.RawMessage(fmt.Sprintf(
-		`{"service":%q,"address":%q,"zone":%q,"state":%q,"cold_left_ms":%d,"models":[{"name":"m"}]}`, service, routedAddress(name), name[2:3], state, coldMS)))
+		`{"service":%q,"address":%q,"zone":%q,"state":%q,"cold_left_ms":%d,"models":[{"name":"m"}]}`, service, upstreamAddress(name), name[2:3], state, coldMS)))
 }
 
-// die ends an engine.
-func (r *routes) die(name string) {
-	r.routed[name].Die()
-	r.link.Down(routedAddress(name), true)
+// killUpstream ends an engine.
+func (r *routedRegion) killUpstream(name string) {
+	r.upstreams[name].Die()
+	r.link.Down(upstreamAddress(name), true)
 	r.platform.Remove("servers/" + name)
 }
 
-func (r *routes) startRouter(name string, change ...func(*settings.Settings)) {
+func (r *routedRegion) startEntryBox(name string, change ...func(*settings.Settings)) {
 	entry := func(s *settings.Settings) {
 		s.Entry = settings.Entry{Address: name + ":1", Metrics: name + ":2", Readiness: name + ":3"}
 		s.Timeouts.Platform.Duration = time.Second
@@ -116,8 +116,8 @@
 	r.link.Join(name+"-entry", r.boxes[name].entry[0].server.Handler)
 }
 
-// plan streams a plan of that many tokens through a box and returns its events.
-func (r *routes) plan(box, id, key string, tokens int) (events int, whole bool, status int) {
+// streamPlan streams a plan of that many tokens through a box and returns its events.
+func (r *routedRegion) streamPlan(box, id, key string, tokens int) (events int, complete bool, status int) {
 	q, err := http.NewRequestWithContext(r.t.Context(), http.MethodPost, "http://"+box+"-entry/plan/x", strings.NewReader("p"))
 	if err != nil {
 		r.t.Fatal(err)
@@ -148,10 +148,10 @@
 	return events, x.Err() == nil && w.StatusCode == http.StatusOK, w.StatusCode
 }
 
-// runs returns how often a request was run from its beginning.
-func (r *routes) runs(id string) int {
+// runCount returns how often a request was run from its beginning.
+func (r *routedRegion) runCount(id string) int {
 	n := 0
-	for _, e := range r.routed {
+	for _, e := range r.upstreams {
 		n += e.Started(id)
 	}
 	return n
@@ -159,11 +159,11 @@
 
 // TestRouteIsServedByEveryBox serves a plan through each box, whole and once.
 func TestRouteIsServedByEveryBox(t *testing.T) {
-	withRoutes(t, func(t *testing.T, r *routes) {
+	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 		for n := range r.boxes {
-			events, whole, _ := r.plan(n, "id-"+n, routedKey, 400)
-			if events != 100 || !whole || r.runs("id-"+n) != 1 {
-				t.Errorf("%s: got %d events, whole %v, %d runs; want 100, whole, 1 run", n, events, whole, r.runs("id-"+n))
+			events, complete, _ := r.streamPlan(n, "id-"+n, routedKey, 400)
+			if events != 100 || !complete || r.runCount("id-"+n) != 1 {
+				t.Errorf("%s: got %d events, whole %v, %d runs; want 100, whole, 1 run", n, events, complete, r.runCount("id-"+n))
 			}
 		}
 	})
@@ -172,25 +172,25 @@
 // TestNoticeMovesEveryRun gives an engine notice while plans of all boxes run
 // there: none is lost, and none runs twice.
 func TestNoticeMovesEveryRun(t *testing.T) {
-	withRoutes(t, func(t *testing.T, r *routes) {
+	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 		var g sync.WaitGroup
 		for i := range 8 {
 			box := []string{"box-a1", "box-a2"}[i%2]
 			id := fmt.Sprint("id-", i)
 			g.Go(func() {
-				events, whole, _ := r.plan(box, id, routedKey, 1200)
-				if events != 300 || !whole || r.runs(id) != 1 {
-					t.Errorf("%s: got %d events, whole %v, %d runs; want 300, whole, 1 run", id, events, whole, r.runs(id))
+				events, complete, _ := r.streamPlan(box, id, routedKey, 1200)
+				if events != 300 || !complete || r.runCount(id) != 1 {
+					t.Errorf("%s: got %d events, whole %v, %d runs; want 300, whole, 1 run", id, events, complete, r.runCount(id))
 				}
 			})
 		}
 		time.Sleep(2 * time.Second)
-		if r.routed["i-a1"].Running() == 0 {
+		if r.upstreams["i-a1"].Running() == 0 {
 			t.Fatal("no plan runs at i-a1")
 		}
-		r.listRouted("i-a1", "draining")
+		r.listUpstream("i-a1", "draining")
 		time.Sleep(1500 * time.Millisecond)
-		r.die("i-a1")
+		r.killUpstream("i-a1")
 		g.Wait()
 	})
 }
@@ -199,7 +199,7 @@
 // a run away from an engine whose entry has gone: one of them gets it at a time, or their
 // copies would queue behind one another on the engine's link.
 func TestTurnsOfAnEngineThatIsNoLongerListed(t *testing.T) {
-	withRoutes(t, func(t *testing.T, r *routes) {
+	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 		u := r.boxes["box-b1"].view.Upstream("i-b1")
 		r.platform.Remove("servers/i-b1")
 		time.Sleep(2 * time.Second)
@@ -227,14 +227,14 @@
 		grace time.Duration
 		whole bool
 	}{{8 * time.Second, false}, {20 * time.Second, true}} {
-		withRoutes(t, func(t *testing.T, r *routes) {
+		withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 			r.boxes["box-a1"].settings.Timeouts.Drain.Duration = 3 * time.Second
 			r.boxes["box-a1"].settings.Timeouts.Grace.Duration = x.grace
 			began := time.Now()
 			time.AfterFunc(time.Second, r.boxes["box-a1"].Leave)
-			events, whole, _ := r.plan("box-a1", "id", routedKey, 1200)
-			if whole != x.whole || (whole && events != 300) {
-				t.Errorf("grace of %v: got %d events, whole %v, want whole %v", x.grace, events, whole, x.whole)
+			events, complete, _ := r.streamPlan("box-a1", "id", routedKey, 1200)
+			if complete != x.whole || (complete && events != 300) {
+				t.Errorf("grace of %v: got %d events, whole %v, want whole %v", x.grace, events, complete, x.whole)
 			}
 			if got, most := time.Since(began), time.Second+x.grace; got > most {
 				t.Errorf("grace of %v: the answer ended after %v, want at most %v", x.grace, got, most)
@@ -246,7 +246,7 @@
 // TestStopAnswersWhatWaits stops a box that holds a request for which no engine has a place
 // until the end. It is told that it has not run, before the box closes its connections.
 func TestStopAnswersWhatWaits(t *testing.T) {
-	withRoutes(t, func(t *testing.T, r *routes) {
+	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 		b := r.boxes["box-a1"]
 		b.settings.Timeouts.Drain.Duration = time.Second
 		b.settings.Timeouts.Grace.Duration = 4 * time.Second
@@ -256,7 +256,7 @@
 		}
 		status := make(chan int, 1)
 		go func() {
-			_, _, s := r.plan("box-a1", "id", routedKey, 40)
+			_, _, s := r.streamPlan("box-a1", "id", routedKey, 40)
 			status <- s
 		}()
 		time.Sleep(100 * time.Millisecond)
@@ -275,7 +275,7 @@
 
 // TestAllBoxesLosePower starts every box anew at once: all serve within seconds.
 func TestAllBoxesLosePower(t *testing.T) {
-	withRoutes(t, func(t *testing.T, r *routes) {
+	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 		var names []string
 		for n := range r.boxes {
 			names = append(names, n)
@@ -286,11 +286,11 @@
 		time.Sleep(time.Second)
 		for _, n := range names {
 			r.link.Down(n, false)
-			r.startRouter(n)
+			r.startEntryBox(n)
 		}
 		time.Sleep(2 * time.Second)
 		for _, n := range names {
-			if _, whole, status := r.plan(n, "id-"+n, routedKey, 40); !whole {
+			if _, complete, status := r.streamPlan(n, "id-"+n, routedKey, 40); !complete {
 				t.Errorf("%s: got status %d, want a whole stream", n, status)
 			}
 		}
--- a/scripts_test.go
+++ b/scripts_test.go
@@ -33,12 +33,12 @@
 			e.Setenv("KEY", testKey)
 			return nil
 		},
-		Cmds: map[string]func(ts *testscript.TestScript, neg bool, arguments []string){"exit": exits},
+		Cmds: map[string]func(ts *testscript.TestScript, neg bool, arguments []string){"exit": exitCommand},
 	})
 }
 
-// exits runs "exit CODE linetiller ARGUMENTS…" and checks the exit code.
-func exits(ts *testscript.TestScript, _ bool, arguments []string) {
+// exitCommand runs "exit CODE linetiller ARGUMENTS…" and checks the exit code.
+func exitCommand(ts *testscript.TestScript, _ bool, arguments []string) {
 	err := ts.Exec(arguments[1], arguments[2:]...)
 	got, want := "0", arguments[0]
 	if err != nil {
--- a/serving_test.go
+++ b/serving_test.go
@@ -25,9 +25,9 @@
 		var answered atomic.Bool
 		r := newRegion(t)
 		b, err := New(&s, func(b *Box) {
-			b.platformTransport = r.wayToStore("box-a1")
+			b.platformTransport = r.storeTransport("box-a1")
 			b.connect = func() error {
-				b.links = r.links("box-a1")
+				b.links = r.newEndpoint("box-a1")
 				go func() {
 					q := &box.Request{From: box.Member{Address: "box-a2", Hall: "a", Name: "box-a2"}, Kind: box.KindHeartbeat, SentAt: time.Now()}
 					b.handleRequest(ctx, q, func(*box.Reply) error {
@@ -55,24 +55,24 @@
 // TestBoxClosedWhileItJoins guards against a box that goes on joining after Close has returned: it started
 // its loops, and served until its context ended.
 func TestBoxClosedWhileItJoins(t *testing.T) {
-	for _, away := range []bool{false, true} {
-		for at := time.Duration(0); at <= 3*time.Second; at += 100 * time.Millisecond {
+	for _, refused := range []bool{false, true} {
+		for closedAfter := time.Duration(0); closedAfter <= 3*time.Second; closedAfter += 100 * time.Millisecond {
 			synctest.Test(t, func(t *testing.T) {
 				r := newRegion(t)
 				defer r.close()
 				r.startBox("box-a1")
-				r.refused["box-a2"] = away
+				r.refusedBoxes["box-a2"] = refused
 				r.startBox("box-a2")
-				time.Sleep(at)
+				time.Sleep(closedAfter)
 				b := r.boxes["box-a2"]
 				r.kill("box-a2")
-				calls := r.callsOf("box-a2")
+				calls := r.storeCallsOf("box-a2")
 				time.Sleep(time.Minute)
-				if got := r.callsOf("box-a2"); got != calls {
-					t.Errorf("store away %v, closed after %v: got %d calls of the store after it was closed, want none", away, at, got-calls)
+				if got := r.storeCallsOf("box-a2"); got != calls {
+					t.Errorf("store away %v, closed after %v: got %d calls of the store after it was closed, want none", refused, closedAfter, got-calls)
 				}
 				if b.isReady() {
-					t.Errorf("store away %v, closed after %v: the box says that it is ready", away, at)
+					t.Errorf("store away %v, closed after %v: the box says that it is ready", refused, closedAfter)
 				}
 			})
 		}
@@ -103,20 +103,20 @@
 // TestBoxStoppedWhileItJoins guards against a box that was asked to stop as it joined, and says that it
 // is ready from then on: it was sent requests until it ended.
 func TestBoxStoppedWhileItJoins(t *testing.T) {
-	for at := time.Duration(0); at <= 3*time.Second; at += 100 * time.Millisecond {
+	for stoppedAfter := time.Duration(0); stoppedAfter <= 3*time.Second; stoppedAfter += 100 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			r := newRegion(t)
 			defer r.close()
 			r.startBox("box-a1")
 			time.Sleep(5 * time.Second)
 			r.startBox("box-a2")
-			time.Sleep(at)
+			time.Sleep(stoppedAfter)
 			b := r.boxes["box-a2"]
 			b.Leave()
 			for range 50 {
 				time.Sleep(100 * time.Millisecond)
 				if b.isReady() {
-					t.Fatalf("stopped after %v: the box says that it is ready", at)
+					t.Fatalf("stopped after %v: the box says that it is ready", stoppedAfter)
 				}
 			}
 		})
--- a/streams_test.go
+++ b/streams_test.go
@@ -15,15 +15,15 @@
 	"github.com/linetiller/linetiller/internal/fake/engine"
 )
 
-// checker checks that a client's tokens are those of one generation, whole, in
+// tokenChecker checks that a client's tokens are those of one generation, whole, in
 // order and once.
-type checker struct {
+type tokenChecker struct {
 	generation string
 	next       int
 	upstream   string
 }
 
-func (c *checker) take(id, text string) error {
+func (c *tokenChecker) check(id, text string) error {
 	p := strings.Split(id, "/")
 	if len(p) != 3 {
 		return fmt.Errorf("event id %q", id)
@@ -38,7 +38,7 @@
 	return nil
 }
 
-func (h *hall) started() int {
+func (h *hall) startedGenerations() int {
 	n := 0
 	for _, e := range h.engines {
 		n += e.Started()
@@ -49,13 +49,13 @@
 // TestBoxKilledMidStream kills the box that streams; the client goes on at another.
 func TestBoxKilledMidStream(t *testing.T) {
 	h := newHall(t, 3, 2)
-	c := new(checker)
+	c := new(tokenChecker)
 	g := h.client(0, 1)
 	g.OnToken = func(id, text string) error {
 		if c.next == 20 {
 			go func() { _ = h.boxes[0].Close() }()
 		}
-		return c.take(id, text)
+		return c.check(id, text)
 	}
 	finish, boxes, err := g.Run(t.Context(), &client.GenerationRequest{Model: testModel, Prompt: "length=300"})
 	if err != nil || finish != "stop" {
@@ -67,7 +67,7 @@
 	if got, want := c.next, 300; got != want {
 		t.Errorf("tokens: got %d, want %d", got, want)
 	}
-	if got, want := h.started(), 1; got != want {
+	if got, want := h.startedGenerations(), 1; got != want {
 		t.Errorf("generations started: got %d, want %d", got, want)
 	}
 }
@@ -106,12 +106,12 @@
 					return
 				default:
 				}
-				c := new(checker)
+				c := new(tokenChecker)
 				l := ready()
 				if len(l) == 0 {
 					continue
 				}
-				g := &client.Generator{Boxes: l[n%len(l) : n%len(l)+1], HTTP: &http.Client{}, Key: testKey, OnToken: c.take}
+				g := &client.Generator{Boxes: l[n%len(l) : n%len(l)+1], HTTP: &http.Client{}, Key: testKey, OnToken: c.check}
 				a := &client.GenerationRequest{Model: testModel, Prompt: fmt.Sprintf("client %d length=40", n)}
 				if i%2 == 0 {
 					a.Key = fmt.Sprintf("key-%d-%d", n, i)
@@ -139,7 +139,7 @@
 	}
 	close(stop)
 	clients.Wait()
-	if got, want := h.started(), int(served.Load()); got != want {
+	if got, want := h.startedGenerations(), int(served.Load()); got != want {
 		t.Errorf("generations started: got %d, want %d, one for each answer", got, want)
 	}
 }
--- a/template_test.go
+++ b/template_test.go
@@ -17,8 +17,8 @@
 // placeholder is a gap of the template that the platform fills.
 var placeholder = regexp.MustCompile(`\{\{([a-z_.0-9]+)\}\}`)
 
-// optional is a part of the template that stands where the platform tells a value.
-var optional = regexp.MustCompile(`\{\{#([a-z_.]+)\}\}(.*?)\{\{/[a-z_.]+\}\}`)
+// optionalPart is a part of the template that stands where the platform tells a value.
+var optionalPart = regexp.MustCompile(`\{\{#([a-z_.]+)\}\}(.*?)\{\{/[a-z_.]+\}\}`)
 
 // platformValues are what the platform fills the template's gaps with, on loopback.
 func platformValues() map[string]string {
@@ -37,8 +37,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b = optional.ReplaceAllFunc(b, func(g []byte) []byte {
-		m := optional.FindSubmatch(g)
+	b = optionalPart.ReplaceAllFunc(b, func(g []byte) []byte {
+		m := optionalPart.FindSubmatch(g)
 		v, ok := values[string(m[1])]
 		if !ok {
 			return nil
--- a/tls_test.go
+++ b/tls_test.go
@@ -33,7 +33,7 @@
 			t.Fatal(err)
 		}
 	}
-	h.settings = func(s *settings.Settings) {
+	h.changeSettings = func(s *settings.Settings) {
 		s.TLS = settings.TLS{Authority: filepath.Join(d, "authority"), Certificate: filepath.Join(d, "certificate"), Clients: true, Key: filepath.Join(d, "key")}
 	}
 	h.startBox()
--- a/virtual_test.go
+++ b/virtual_test.go
@@ -30,49 +30,49 @@
 // it has what was accepted meanwhile; nothing is lost or doubled.
 func TestHallCutOffForAnHour(t *testing.T) {
 	withRegion(t, func(t *testing.T, r *region) {
-		if n, err := r.run("k-before", "length=9", "box-b1"); err != nil || n != 9 {
+		if n, err := r.generate("k-before", "length=9", "box-b1"); err != nil || n != 9 {
 			t.Fatal(n, err)
 		}
-		r.cutHallB(true)
+		r.isolateHallB(true)
 		time.Sleep(time.Minute)
 		r.apply("box-a1", resource.KindPriority, "accepted-meanwhile", `{"value":3}`)
 		r.kill("box-b2")
 		r.startBox("box-b3", func(s *settings.Settings) { s.Peers = []string{"box-b1"} })
 		time.Sleep(10 * time.Second)
-		before := r.started()
+		before := r.startedGenerations()
 		for i, b := range []string{"box-b1", "box-b3", "box-a1"} {
-			if n, err := r.run("", "length=20", b); err != nil || n != 20 {
+			if n, err := r.generate("", "length=20", b); err != nil || n != 20 {
 				t.Errorf("%s during the cut: got %d tokens, %v; want 20", b, n, err)
 			}
-			if got, want := r.started(), before+i+1; got != want {
+			if got, want := r.startedGenerations(), before+i+1; got != want {
 				t.Errorf("generations: got %d, want %d", got, want)
 			}
 		}
-		before = r.started()
-		if _, err := r.run("k-cut", "length=9", "box-b3"); !errorx.IsOfType(err, fail.NotRun) || fail.Reason(err) != "table_unavailable" {
+		before = r.startedGenerations()
+		if _, err := r.generate("k-cut", "length=9", "box-b3"); !errorx.IsOfType(err, fail.NotRun) || fail.Reason(err) != "table_unavailable" {
 			t.Errorf("with a key during the cut: got %v, want not run for want of the table", err)
 		}
-		if got := r.started(); got != before {
+		if got := r.startedGenerations(); got != before {
 			t.Errorf("generations of a refused request: got %d, want none", got-before)
 		}
 		time.Sleep(time.Hour)
-		r.cutHallB(false)
+		r.isolateHallB(false)
 		time.Sleep(30 * time.Second)
 		for n, b := range r.boxes {
 			if b.view.Get(resource.KindPriority, "accepted-meanwhile") == nil {
 				t.Errorf("%s has not what was accepted during the cut", n)
 			}
 		}
-		before = r.started()
+		before = r.startedGenerations()
 		for _, b := range []string{"box-b1", "box-b3", "box-a2"} {
-			if n, err := r.run("k-cut", "length=9", b); err != nil || n == 0 {
+			if n, err := r.generate("k-cut", "length=9", b); err != nil || n == 0 {
 				t.Errorf("%s after the cut: got %d tokens, %v", b, n, err)
 			}
-			if n, err := r.run("k-before", "length=9", b); err != nil || n == 0 {
+			if n, err := r.generate("k-before", "length=9", b); err != nil || n == 0 {
 				t.Errorf("%s, key from before: got %d tokens, %v", b, n, err)
 			}
 		}
-		if got, want := r.started(), before+1; got != want {
+		if got, want := r.startedGenerations(), before+1; got != want {
 			t.Errorf("generations after the cut: got %d, want %d", got, want)
 		}
 	})
@@ -84,7 +84,7 @@
 	withRegion(t, func(t *testing.T, r *region) {
 		r.platform.SetFaults(fakeplatform.Faults{Down: true})
 		time.Sleep(time.Hour)
-		if n, err := r.run("", "length=20", "box-b1"); err != nil || n != 20 {
+		if n, err := r.generate("", "length=20", "box-b1"); err != nil || n != 20 {
 			t.Errorf("during the outage: got %d tokens, %v; want 20", n, err)
 		}
 		before := r.platform.Counters()
@@ -98,7 +98,7 @@
 		if got, want := after.Writes-before.Writes, int64(0); got != want {
 			t.Errorf("writes: got %d, want %d", got, want)
 		}
-		if n, err := r.run("k", "length=9", "box-a1"); err != nil || n != 9 {
+		if n, err := r.generate("k", "length=9", "box-a1"); err != nil || n != 9 {
 			t.Errorf("with a key: got %d tokens, %v; want 9", n, err)
 		}
 	})
@@ -108,21 +108,21 @@
 // wait there: all are served, each once.
 func TestOwnerLostWithItsQueue(t *testing.T) {
 	withRegion(t, func(t *testing.T, r *region) {
-		r.cutHallB(true) // so that only engine-a is left for hall a
+		r.isolateHallB(true) // so that only engine-a is left for hall a
 		time.Sleep(10 * time.Second)
 		owner := r.ownerOf("engine-a")
 		other := map[string]string{"box-a1": "box-a2", "box-a2": "box-a1"}[owner]
 		var g sync.WaitGroup
 		const requests = 200
 		var mutex sync.Mutex
-		whole := 0
+		complete := 0
 		for i := range requests {
 			g.Go(func() {
-				n, err := r.run("", fmt.Sprintf("%d %s length=300", i, strings.Repeat("word ", 800)), other)
+				n, err := r.generate("", fmt.Sprintf("%d %s length=300", i, strings.Repeat("word ", 800)), other)
 				mutex.Lock()
 				defer mutex.Unlock()
 				if err == nil && n == 300 {
-					whole++
+					complete++
 					return
 				}
 				t.Errorf("request %d: got %d tokens, %v; want 300", i, n, err)
@@ -134,7 +134,7 @@
 		}
 		r.kill(owner)
 		g.Wait()
-		if got, want := whole, requests; got != want {
+		if got, want := complete, requests; got != want {
 			t.Errorf("whole answers: got %d, want %d", got, want)
 		}
 		if got, want := r.engines["engine-a"].Started(), requests; got != want {
@@ -149,16 +149,16 @@
 	withRegion(t, func(t *testing.T, r *region) {
 		owner := r.ownerOf("engine-a")
 		other := map[string]string{"box-a1": "box-a2", "box-a2": "box-a1"}[owner]
-		r.setFrozen(owner, true)
-		if n, err := r.run("", "length=20", other); err != nil || n != 20 {
+		r.setPaused(owner, true)
+		if n, err := r.generate("", "length=20", other); err != nil || n != 20 {
 			t.Errorf("while the owner is frozen: got %d tokens, %v; want 20", n, err)
 		}
-		r.setFrozen(owner, false)
+		r.setPaused(owner, false)
 		time.Sleep(time.Minute)
 		if got, want := r.ownerOf("engine-a"), owner; got != want {
 			t.Errorf("owner after the thaw: got %s, want %s", got, want)
 		}
-		if n, err := r.run("", "length=20", owner); err != nil || n != 20 {
+		if n, err := r.generate("", "length=20", owner); err != nil || n != 20 {
 			t.Errorf("at the thawed box: got %d tokens, %v; want 20", n, err)
 		}
 	})
@@ -169,17 +169,17 @@
 func TestFrozenBoxRefreshesBeforeItSends(t *testing.T) {
 	withRegion(t, func(t *testing.T, r *region) {
 		b := r.boxes["box-a1"]
-		r.setFrozen("box-a1", true)
+		r.setPaused("box-a1", true)
 		r.apply("box-a2", resource.KindUpstream, "engine-a", `{"address":"http://127.0.1.1:1","hall":"a","kvTokens":60000,"maxBatch":100,"models":["m"],"type":"engine","leaving":true}`)
 		time.Sleep(3 * time.Second)
 		b.lastTick.Store(b.lastTick.Load() - int64(10*time.Second)) // as a clock that jumped
-		r.setFrozen("box-a1", false)
+		r.setPaused("box-a1", false)
 		b.refreshAfterPause(t.Context())
 		if u := b.view.Upstream("engine-a"); u == nil || !u.Spec.Leaving {
 			t.Error("the box does not know that the upstream is leaving")
 		}
 		before := r.engines["engine-a"].Started()
-		if n, err := r.run("", "length=20", "box-a1"); err != nil || n != 20 {
+		if n, err := r.generate("", "length=20", "box-a1"); err != nil || n != 20 {
 			t.Errorf("got %d tokens, %v; want 20", n, err)
 		}
 		if got := r.engines["engine-a"].Started(); got != before {
@@ -206,7 +206,7 @@
 // that cannot be asked.
 func TestStatusIsUnknownAcrossACut(t *testing.T) {
 	withRegion(t, func(t *testing.T, r *region) {
-		r.cutHallB(true)
+		r.isolateHallB(true)
 		o := operator.NewClient("http://box-a1-operator", "", &http.Client{Transport: r.link})
 		x, err := o.Get(t.Context(), resource.KindModel, "m")
 		if err != nil {
@@ -215,7 +215,7 @@
 		if got, want := x.Status.Conditions[0].Status, "Unknown"; got != want {
 			t.Errorf("condition during the cut: got %s, want %s", got, want)
 		}
-		r.cutHallB(false)
+		r.isolateHallB(false)
 		time.Sleep(time.Minute)
 		x, err = o.Get(t.Context(), resource.KindModel, "m")
 		if err != nil {
@@ -232,7 +232,7 @@
 	withRegion(t, func(t *testing.T, r *region) {
 		r.startBox("box-a9", func(s *settings.Settings) { s.Policy = settings.PolicyNaive })
 		time.Sleep(5 * time.Second)
-		if n, err := r.run("", "length=20", "box-a9"); err != nil || n != 20 {
+		if n, err := r.generate("", "length=20", "box-a9"); err != nil || n != 20 {
 			t.Errorf("got %d tokens, %v; want 20", n, err)
 		}
 	})
