--- a/cold_test.go
+++ b/cold_test.go
@@ -31,8 +31,8 @@
 		{"killed", func(r *routedRegion, name string) {
 			r.kill(name)
 			time.Sleep(50 * time.Millisecond)
-			r.link.Down(name, false)
-			r.link.Down(name+"-entry", false)
+			r.link.SetDown(name, false)
+			r.link.SetDown(name+"-entry", false)
 			r.startEntryBox(name, slack)
 		}},
 		{"paused", func(r *routedRegion, name string) {
@@ -87,7 +87,7 @@
 // between two times.
 func (r *routedRegion) maxPerSecond(upstream string, from, to time.Time) int {
 	var arrivals []time.Time
-	for _, at := range r.upstreams[upstream].Arrivals() {
+	for _, at := range r.upstreams[upstream].ArrivalTimes() {
 		if !at.Before(from) && at.Before(to) {
 			arrivals = append(arrivals, at)
 		}
--- a/crashes_test.go
+++ b/crashes_test.go
@@ -24,8 +24,8 @@
 			crashes := 0
 			for _, n := range []string{"s-a1", "s-a2", "s-a3", "s-b1", "s-b2", "s-b3"} {
 				r.startUpstream(n)
-				r.upstreams[n].Crashed = func(string) {
-					r.link.Down(upstreamAddress(n), true)
+				r.upstreams[n].OnCrash = func(string) {
+					r.link.SetDown(upstreamAddress(n), true)
 					crashes++
 				}
 			}
@@ -34,7 +34,7 @@
 			time.Sleep(5 * time.Second)
 			for i := range 5 {
 				for _, b := range []string{"box-a1", "box-b1", "box-a2", "box-b2"} {
-					status := r.post(b, fmt.Sprint(b, "-", i), routed.Deadly)
+					status := r.post(b, fmt.Sprint(b, "-", i), routed.PoisonPrefix)
 					if i > 0 && status != http.StatusBadGateway {
 						t.Errorf("cut %v, round %d: %s: got status %d, want 502", cut, i, b, status)
 					}
@@ -68,7 +68,7 @@
 	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 		for _, n := range []string{"s-a1", "s-a2", "s-b1", "s-b2"} {
 			r.startUpstream(n)
-			r.upstreams[n].Crashed = func(string) { r.link.Down(upstreamAddress(n), true) }
+			r.upstreams[n].OnCrash = func(string) { r.link.SetDown(upstreamAddress(n), true) }
 		}
 		time.Sleep(time.Second)
 		const body = "asked by many"
--- a/evacuation_test.go
+++ b/evacuation_test.go
@@ -78,7 +78,7 @@
 		{"the store refuses three of four boxes", func(r *routedRegion) { r.refuseBoxes("box-a1", "box-a2", "box-b1") }},
 		{"the store is slow", func(r *routedRegion) { r.platform.SetFaults(fakeplatform.Faults{DelayMilliseconds: 200}) }},
 		{"the store forgets its history", func(r *routedRegion) {
-			time.AfterFunc(time.Millisecond, r.platform.ForgetHistory)
+			time.AfterFunc(time.Millisecond, r.platform.CompactHistory)
 		}},
 		{"a configuration follows at once", func(r *routedRegion) {
 			time.AfterFunc(time.Millisecond, func() { r.configure(2, routedKey) })
@@ -86,7 +86,7 @@
 		{"a box starts", func(r *routedRegion) {
 			r.kill("box-b2")
 			time.AfterFunc(time.Second, func() {
-				r.link.Down("box-b2", false)
+				r.link.SetDown("box-b2", false)
 				r.startEntryBox("box-b2")
 			})
 		}},
--- a/innocent_test.go
+++ b/innocent_test.go
@@ -27,8 +27,8 @@
 			r.kill(n)
 		}
 		for _, n := range boxesByHall {
-			r.link.Down(n, false)
-			r.link.Down(n+"-entry", false)
+			r.link.SetDown(n, false)
+			r.link.SetDown(n+"-entry", false)
 			r.startEntryBox(n)
 		}
 		time.Sleep(5 * time.Second)
--- a/internal/delivery/backoff_test.go
+++ b/internal/delivery/backoff_test.go
@@ -12,16 +12,16 @@
 // it is over, and that requests are refused at once if all engines have requested back-off.
 func TestEngineThatAsksForRestGetsNone(t *testing.T) {
 	withRig(t, func(t *testing.T, r *rig) {
-		r.engines["engine-1"].SetFaults(engine.Faults{RestSeconds: 3})
+		r.engines["engine-1"].SetFaults(engine.Faults{RetryAfterSeconds: 3})
 		for range 5 {
 			if err := r.run(t.Context(), "a", r.request("length=2", "")); err != nil {
 				t.Error(err)
 			}
 		}
-		if got, want := r.engines["engine-1"].Posts(), 1; got != want {
+		if got, want := r.engines["engine-1"].StartRequests(), 1; got != want {
 			t.Errorf("starts at the engine in back-off: got %d, want %d", got, want)
 		}
-		r.engines["engine-2"].SetFaults(engine.Faults{RestSeconds: 30})
+		r.engines["engine-2"].SetFaults(engine.Faults{RetryAfterSeconds: 30})
 		_ = r.run(t.Context(), "b", r.request("length=2", ""))
 		err := r.run(t.Context(), "c", r.request("length=2", ""))
 		if got, most := time.Until(fail.RetryAt(err)), 3*time.Second; fail.Reason(err) != "resting" || got <= 0 || got > most {
--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -32,7 +32,7 @@
 		{"whole", engine.Faults{}, 6, 1},
 		{"cut", engine.Faults{CutAfter: 2}, 6, 1},
 		{"stalled", engine.Faults{StallAfter: 4}, 6, 1},
-		{"doubled", engine.Faults{DoubleFrames: 1}, 6, 1},
+		{"doubled", engine.Faults{DuplicateFrames: 1}, 6, 1},
 		{"crossed", engine.Faults{CrossFrames: 1}, 6, 1},
 		{"skipped", engine.Faults{SkipFrames: 1}, 6, 1},
 		{"start-lost", engine.Faults{LoseStarts: 1}, 6, 1},
@@ -83,8 +83,8 @@
 				time.AfterFunc(time.Millisecond, func() { r.restartEngine("engine-1") })
 				q := r.request("length=6", key)
 				r.deliverer.RefreshViews = func(context.Context) { time.Sleep(500 * time.Microsecond) }
-				r.link.Cut("engine-1", true)
-				time.AfterFunc(20*time.Millisecond, func() { r.link.Cut("engine-1", false) })
+				r.link.DropAnswers("engine-1", true)
+				time.AfterFunc(20*time.Millisecond, func() { r.link.DropAnswers("engine-1", false) })
 				err := r.run(t.Context(), "a", q)
 				if key == "" {
 					if err != nil {
@@ -112,14 +112,14 @@
 		key    string
 		before func(r *rig)
 	}{
-		{"no upstream reachable", "", func(r *rig) { r.link.Down("engine-1", true); r.link.Down("engine-2", true) }},
+		{"no upstream reachable", "", func(r *rig) { r.link.SetDown("engine-1", true); r.link.SetDown("engine-2", true) }},
 		{"upstreams leaving", "", func(r *rig) {
 			for _, e := range r.engines {
 				e.SetFaults(engine.Faults{RefuseLeaving: true})
 			}
 		}},
 		{"platform down", "k", func(r *rig) { r.platform.SetFaults(fakeplatform.Faults{Down: true}) }},
-		{"platform cut", "k", func(r *rig) { r.link.Cut("platform", true) }},
+		{"platform cut", "k", func(r *rig) { r.link.DropAnswers("platform", true) }},
 		{"box leaving", "", func(r *rig) { _ = r.deliverer.Close() }},
 		{"too many streams", "", func(r *rig) { r.deliverer.maxInProgress = 0 }},
 	} {
@@ -195,12 +195,12 @@
 // after the start was sent, and that a repeat does not start a second generation.
 func TestLostStartIsNeverNotRun(t *testing.T) {
 	withRig(t, func(t *testing.T, r *rig) {
-		r.link.Cut("engine-1", true)
+		r.link.DropAnswers("engine-1", true)
 		err := r.run(t.Context(), "a", r.request("length=6", "k"))
 		if err == nil || errorx.IsOfType(err, fail.NotRun) {
 			t.Errorf("got %v, want an outcome that does not say not run", err)
 		}
-		r.link.Cut("engine-1", false)
+		r.link.DropAnswers("engine-1", false)
 		time.Sleep(time.Minute)
 		_ = r.run(t.Context(), "b", r.request("length=6", "k"))
 		if got, want := r.started(), 1; got != want {
--- a/internal/delivery/rig_test.go
+++ b/internal/delivery/rig_test.go
@@ -54,7 +54,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		r := &rig{engines: make(map[string]*engine.Server), link: link.New(), metrics: metric.NewSet(), platform: fakeplatform.New(), t: t, view: resource.NewView()}
-		r.link.Join("platform", r.platform)
+		r.link.Handle("platform", r.platform)
 		var changes []resource.Change
 		for i, n := range []string{"engine-1", "engine-2"} {
 			r.restartEngine(n)
@@ -134,7 +134,7 @@
 func (r *rig) restartEngine(n string) {
 	old := r.engines[n]
 	r.engines[n] = engine.NewServer(engine.DefaultSettings(), 0)
-	r.link.Join(n, r.engines[n])
+	r.link.Handle(n, r.engines[n])
 	if old != nil {
 		_ = old.Close()
 	}
--- a/internal/fake/engine/handlers.go
+++ b/internal/fake/engine/handlers.go
@@ -38,12 +38,12 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	l := []upstream.CacheEvent{}
-	for _, e := range s.cache {
+	for _, e := range s.cacheEvents {
 		if e.Number > after {
 			l = append(l, e)
 		}
 	}
-	answer(w, l)
+	writeJSON(w, l)
 }
 
 func (s *Server) getEvents(w http.ResponseWriter, r *http.Request) {
@@ -69,7 +69,7 @@
 	if v == nil {
 		return
 	}
-	answer(w, upstream.Position{
+	writeJSON(w, upstream.Position{
 		Generation: v.generation.ID,
 		Produced:   len(v.texts),
 		Readers:    v.readers,
@@ -90,11 +90,11 @@
 	}
 	l.Leaving = s.leaving || s.faults.RefuseLeaving
 	l.Loaded, l.Role = maps.Clone(s.loaded), s.role
-	answer(w, l)
+	writeJSON(w, l)
 }
 
 func (s *Server) getStarted(w http.ResponseWriter, _ *http.Request) {
-	answer(w, s.Started())
+	writeJSON(w, s.Started())
 }
 
 func (s *Server) postGeneration(w http.ResponseWriter, r *http.Request) {
@@ -104,10 +104,10 @@
 		return
 	}
 	s.mutex.Lock()
-	s.posts++
-	if rest := s.faults.RestSeconds; rest > 0 {
+	s.startRequests++
+	if retryAfter := s.faults.RetryAfterSeconds; retryAfter > 0 {
 		s.mutex.Unlock()
-		w.Header().Set("Retry-After", strconv.Itoa(rest))
+		w.Header().Set("Retry-After", strconv.Itoa(retryAfter))
 		http.Error(w, "overloaded", http.StatusServiceUnavailable)
 		return
 	}
@@ -164,7 +164,7 @@
 	s.SetFaults(f)
 }
 
-func answer(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/internal/fake/engine/scheduler.go
+++ b/internal/fake/engine/scheduler.go
@@ -14,26 +14,26 @@
 
 // Settings describes an engine.
 type Settings struct {
-	KVTokens     int           // memory for prompts and outputs, in tokens
-	MaxRunning   int           // generations that may be in one batch
-	PrefillChunk int           // prompt tokens computed in one step at most
-	PrefixSlots  int           // prefixes the cache holds
-	PrefillToken time.Duration // per prompt token computed
-	StepBase     time.Duration // per step
-	StepSequence time.Duration // per generation in the batch and step
+	KVTokens        int           // memory for prompts and outputs, in tokens
+	MaxRunning      int           // generations that may be in one batch
+	PrefillChunk    int           // prompt tokens computed in one step at most
+	PrefixSlots     int           // prefixes the cache holds
+	PrefillPerToken time.Duration // per prompt token computed
+	StepBase        time.Duration // per step
+	StepPerSequence time.Duration // per generation in the batch and step
 }
 
 // Generation is one piece of work in an engine.
 type Generation struct {
-	Arrival  int64 // order of arrival, from 1
-	Caller   any   // carried along for who submitted it
-	ID       string
-	Max      int    // output tokens at most
-	Output   int    // output tokens after which it ends by itself
-	Prefix   uint64 // key of its prompt's prefix
-	Priority int    // higher goes first
-	Produced int    // output tokens so far
-	Prompt   int    // prompt tokens
+	Arrival      int64 // order of arrival, from 1
+	UserData     any   // carried along for who submitted it
+	ID           string
+	MaxOutput    int    // output tokens at most
+	OutputLength int    // output tokens after which it ends by itself
+	Prefix       uint64 // key of its prompt's prefix
+	Priority     int    // higher goes first
+	Produced     int    // output tokens so far
+	Prompt       int    // prompt tokens
 
 	prefill int // tokens still to be computed before the next output token
 	state   State
@@ -53,7 +53,7 @@
 // concurrent use.
 type Scheduler struct {
 	Preemptions int64
-	Used        int // tokens of memory in use
+	UsedTokens  int // tokens of memory in use
 
 	arrivals int64
 	byID     map[string]*Generation
@@ -69,13 +69,13 @@
 // DefaultSettings returns a small engine whose memory fills before its batch.
 func DefaultSettings() Settings {
 	return Settings{
-		KVTokens:     60_000,
-		MaxRunning:   256,
-		PrefillChunk: 1024,
-		PrefixSlots:  64,
-		PrefillToken: 10 * time.Microsecond,
-		StepBase:     15 * time.Millisecond,
-		StepSequence: 250 * time.Microsecond,
+		KVTokens:        60_000,
+		MaxRunning:      256,
+		PrefillChunk:    1024,
+		PrefixSlots:     64,
+		PrefillPerToken: 10 * time.Microsecond,
+		StepBase:        15 * time.Millisecond,
+		StepPerSequence: 250 * time.Microsecond,
 	}
 }
 
@@ -93,7 +93,7 @@
 	delete(s.byID, id)
 	if g.state == StateRunning {
 		s.running = slices.DeleteFunc(s.running, func(x *Generation) bool { return x == g })
-		s.Used -= g.held()
+		s.UsedTokens -= g.kvTokens()
 		return true
 	}
 	s.waiting = slices.DeleteFunc(s.waiting, func(x *Generation) bool { return x == g })
@@ -124,11 +124,11 @@
 // and hands each new token to emit. It returns how long the step took.
 func (s *Scheduler) Step(emit func(g *Generation, finished bool)) time.Duration {
 	s.admit()
-	s.makeRoom()
+	s.preempt()
 	prefilled := s.prefill()
 	d := s.settings.StepBase +
-		time.Duration(len(s.running))*s.settings.StepSequence +
-		time.Duration(prefilled)*s.settings.PrefillToken
+		time.Duration(len(s.running))*s.settings.StepPerSequence +
+		time.Duration(prefilled)*s.settings.PrefillPerToken
 	s.decode(emit)
 	return d
 }
@@ -159,11 +159,11 @@
 func (s *Scheduler) admit() {
 	for len(s.waiting) > 0 && len(s.running) < s.settings.MaxRunning {
 		g := s.waiting[0]
-		if s.Used+g.held()+1 > s.settings.KVTokens {
+		if s.UsedTokens+g.kvTokens()+1 > s.settings.KVTokens {
 			return
 		}
 		s.waiting = s.waiting[1:]
-		s.Used += g.held()
+		s.UsedTokens += g.kvTokens()
 		g.state = StateRunning
 		s.running = append(s.running, g)
 	}
@@ -177,9 +177,9 @@
 			continue
 		}
 		g.Produced++
-		s.Used++
-		if done := g.Produced >= min(g.Output, g.Max); done {
-			s.Used -= g.held()
+		s.UsedTokens++
+		if done := g.Produced >= min(g.OutputLength, g.MaxOutput); done {
+			s.UsedTokens -= g.kvTokens()
 			g.state = StateFinished
 			delete(s.byID, g.ID)
 			emit(g, true)
@@ -200,10 +200,10 @@
 	s.waiting = slices.Insert(s.waiting, i, g)
 }
 
-// makeRoom preempts, lowest priority and newest first, until a token for every
+// preempt preempts, lowest priority and newest first, until a token for every
 // running generation fits.
-func (s *Scheduler) makeRoom() {
-	for len(s.running) > 1 && s.Used+len(s.running) > s.settings.KVTokens {
+func (s *Scheduler) preempt() {
+	for len(s.running) > 1 && s.UsedTokens+len(s.running) > s.settings.KVTokens {
 		v := 0
 		for i, g := range s.running {
 			w := s.running[v]
@@ -213,9 +213,9 @@
 		}
 		g := s.running[v]
 		s.running = slices.Delete(s.running, v, v+1)
-		s.Used -= g.held()
+		s.UsedTokens -= g.kvTokens()
 		s.Preemptions++
-		g.prefill = g.held()
+		g.prefill = g.kvTokens()
 		g.state = StateWaiting
 		s.insertWaiting(g)
 	}
@@ -252,7 +252,7 @@
 	return false
 }
 
-// held returns the memory that g takes while it runs, in tokens.
-func (g *Generation) held() int {
+// kvTokens returns the memory that g takes while it runs, in tokens.
+func (g *Generation) kvTokens() int {
 	return g.Prompt + g.Produced
 }
--- a/internal/fake/engine/server.go
+++ b/internal/fake/engine/server.go
@@ -16,38 +16,38 @@
 // Server runs a Scheduler in real time behind an engine's interface. It is an
 // http.Handler; Close stops its loop and waits for it.
 type Server struct {
-	mutex      sync.Mutex
-	cache      []upstream.CacheEvent
-	closed     chan struct{}
-	done       chan struct{}
-	faults     Faults
-	fence      int64
-	loaded     map[string]string
-	role       string
-	instance   string
-	leaving    bool
-	loads      []upstream.Load // recent reports, oldest first
-	mux        *http.ServeMux
-	posts      int // starts that came, refused ones too
-	records    map[string]*record
-	reportLag  time.Duration
-	scheduler  *Scheduler
-	settings   Settings
-	stepMicros int64
-	wake       chan struct{}
+	mutex         sync.Mutex
+	cacheEvents   []upstream.CacheEvent
+	closed        chan struct{}
+	done          chan struct{}
+	faults        Faults
+	fence         int64
+	loaded        map[string]string
+	role          string
+	instance      string
+	leaving       bool
+	loads         []upstream.Load // recent reports, oldest first
+	mux           *http.ServeMux
+	startRequests int // starts that came, refused ones too
+	records       map[string]*record
+	reportLag     time.Duration
+	scheduler     *Scheduler
+	settings      Settings
+	stepMicros    int64
+	wake          chan struct{}
 }
 
 // Faults are the switches of the stand-in.
 type Faults struct {
-	CrossFrames   int  `json:"crossFrames"`   // the next streams that carry a frame of another generation
-	CutAfter      int  `json:"cutAfter"`      // streams are cut after that many tokens; 0 is never
-	DoubleFrames  int  `json:"doubleFrames"`  // the next streams that carry every frame twice
-	SkipFrames    int  `json:"skipFrames"`    // the next streams that leave out a token
-	StallAfter    int  `json:"stallAfter"`    // streams stop without an end after that many tokens
-	IgnoreFence   bool `json:"ignoreFence"`   // orders with an old fence are obeyed
-	LoseStarts    int  `json:"loseStarts"`    // the next starts that take effect without an answer
-	RefuseLeaving bool `json:"refuseLeaving"` // starts are refused, as by an engine that leaves
-	RestSeconds   int  `json:"restSeconds"`   // starts are refused, and the sender is asked to stay away for so long
+	CrossFrames       int  `json:"crossFrames"`   // the next streams that carry a frame of another generation
+	CutAfter          int  `json:"cutAfter"`      // streams are cut after that many tokens; 0 is never
+	DuplicateFrames   int  `json:"doubleFrames"`  // the next streams that carry every frame twice
+	SkipFrames        int  `json:"skipFrames"`    // the next streams that leave out a token
+	StallAfter        int  `json:"stallAfter"`    // streams stop without an end after that many tokens
+	IgnoreFence       bool `json:"ignoreFence"`   // orders with an old fence are obeyed
+	LoseStarts        int  `json:"loseStarts"`    // the next starts that take effect without an answer
+	RefuseLeaving     bool `json:"refuseLeaving"` // starts are refused, as by an engine that leaves
+	RetryAfterSeconds int  `json:"restSeconds"`   // starts are refused, and the sender is asked to stay away for so long
 }
 
 // record is a generation with the tokens it has produced.
@@ -61,10 +61,10 @@
 }
 
 const (
-	cacheEventsKept = 256
-	charactersToken = 4 // of a prompt, per token
-	maxBodyBytes    = 16 << 20
-	reportsKept     = 64
+	cacheEventsKept    = 256
+	charactersPerToken = 4 // of a prompt, per token
+	maxBodyBytes       = 16 << 20
+	reportsKept        = 64
 )
 
 // NewServer returns a running engine whose load report is late by reportLag.
@@ -106,11 +106,11 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-// Posts returns how many starts came, those that were refused too.
-func (s *Server) Posts() int {
+// StartRequests returns how many starts came, those that were refused too.
+func (s *Server) StartRequests() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.posts
+	return s.startRequests
 }
 
 // SetFaults switches faults on and off.
@@ -156,8 +156,8 @@
 	}
 }
 
-// produce records one token of g; the lock is held.
-func (s *Server) produce(g *Generation, finished bool) {
+// recordToken records one token of g; the lock is held.
+func (s *Server) recordToken(g *Generation, finished bool) {
 	v := s.records[g.ID]
 	if v.finish != "" {
 		return
@@ -167,19 +167,19 @@
 		v.signal()
 		return
 	}
-	if g.Produced >= g.Max {
+	if g.Produced >= g.MaxOutput {
 		v.end(upstream.FinishLength)
 		return
 	}
 	v.end(upstream.FinishStop)
 }
 
-// report keeps the load as it is now; the lock is held.
-func (s *Server) report() {
+// recordLoad keeps the load as it is now; the lock is held.
+func (s *Server) recordLoad() {
 	s.loads = append(s.loads, upstream.Load{
 		AsOf: time.Now(), Instance: s.instance, KVTokens: s.settings.KVTokens,
 		Preemptions: s.scheduler.Preemptions, Running: s.scheduler.Running(),
-		StepMicros: s.stepMicros, Used: s.scheduler.Used, Waiting: s.scheduler.Waiting(),
+		StepMicros: s.stepMicros, Used: s.scheduler.UsedTokens, Waiting: s.scheduler.Waiting(),
 	})
 	if len(s.loads) > reportsKept {
 		s.loads = s.loads[1:]
@@ -192,17 +192,17 @@
 		return nil, fmt.Errorf("generation %q exists", v.ID)
 	}
 	g := &Generation{
-		ID: v.ID, Max: v.MaxTokens, Output: outputLength(v.Prompt), Prefix: v.Prefix,
-		Priority: v.Priority, Prompt: 1 + len(v.Prompt)/charactersToken,
+		ID: v.ID, MaxOutput: v.MaxTokens, OutputLength: outputLength(v.Prompt), Prefix: v.Prefix,
+		Priority: v.Priority, Prompt: 1 + len(v.Prompt)/charactersPerToken,
 	}
 	if !s.scheduler.Submit(g) {
 		return nil, fmt.Errorf("generation %q cannot fit", v.ID)
 	}
 	x := &record{changed: make(chan struct{}), generation: g, workspace: v.Workspace}
 	s.records[v.ID] = x
-	s.cache = append(s.cache, upstream.CacheEvent{Number: int64(len(s.records)), Prefix: v.Prefix, Stored: true})
-	if len(s.cache) > cacheEventsKept {
-		s.cache = s.cache[1:]
+	s.cacheEvents = append(s.cacheEvents, upstream.CacheEvent{Number: int64(len(s.records)), Prefix: v.Prefix, Stored: true})
+	if len(s.cacheEvents) > cacheEventsKept {
+		s.cacheEvents = s.cacheEvents[1:]
 	}
 	select {
 	case s.wake <- struct{}{}:
@@ -216,7 +216,7 @@
 	var out []func()
 	s.mutex.Lock()
 	d := s.scheduler.Step(func(g *Generation, finished bool) {
-		out = append(out, func() { s.produce(g, finished) })
+		out = append(out, func() { s.recordToken(g, finished) })
 	})
 	s.mutex.Unlock()
 	select {
@@ -230,7 +230,7 @@
 		f()
 	}
 	s.stepMicros = d.Microseconds()
-	s.report()
+	s.recordLoad()
 	return true
 }
 
--- a/internal/fake/engine/streams.go
+++ b/internal/fake/engine/streams.go
@@ -9,9 +9,9 @@
 	"github.com/linetiller/linetiller/internal/upstream"
 )
 
-// breaks cuts the stream or stalls it where a fault says so, and reports whether
+// cutOrStall cuts the stream or stalls it where a fault says so, and reports whether
 // it has ended.
-func (s *Server) breaks(r *http.Request, c *http.ResponseController, sent int, f *Faults) bool {
+func (s *Server) cutOrStall(r *http.Request, c *http.ResponseController, sent int, f *Faults) bool {
 	if f.CutAfter > 0 && sent >= f.CutAfter {
 		_ = c.Flush()
 		panic(http.ErrAbortHandler)
@@ -39,7 +39,7 @@
 	defer s.mutex.Unlock()
 	f := s.faults
 	s.faults.CrossFrames = max(0, f.CrossFrames-1)
-	s.faults.DoubleFrames = max(0, f.DoubleFrames-1)
+	s.faults.DuplicateFrames = max(0, f.DuplicateFrames-1)
 	s.faults.SkipFrames = max(0, f.SkipFrames-1)
 	v.readers++
 	return f
@@ -59,8 +59,8 @@
 		for ; i < len(texts); i++ {
 			x := upstream.Frame{Generation: v.generation.ID, Index: i, Text: texts[i], Workspace: v.workspace}
 			sent++
-			writeFaulty(w, x, sent, &f)
-			if s.breaks(r, c, sent, &f) {
+			writeWithFaults(w, x, sent, &f)
+			if s.cutOrStall(r, c, sent, &f) {
 				return
 			}
 		}
@@ -84,9 +84,9 @@
 	_, _ = w.Write(sse.Append(nil, sse.Event{Data: b}))
 }
 
-// writeFaulty writes the frame that is the sent-th of its stream, crossed, doubled
+// writeWithFaults writes the frame that is the sent-th of its stream, crossed, doubled
 // or left out where a fault says so.
-func writeFaulty(w io.Writer, x upstream.Frame, sent int, f *Faults) {
+func writeWithFaults(w io.Writer, x upstream.Frame, sent int, f *Faults) {
 	const faultyFrame = 3
 	if f.CrossFrames > 0 && sent == faultyFrame {
 		x.Generation = "another"
@@ -95,7 +95,7 @@
 		return
 	}
 	writeFrame(w, x)
-	if f.DoubleFrames > 0 {
+	if f.DuplicateFrames > 0 {
 		writeFrame(w, x)
 	}
 }
--- a/internal/fake/platform/copy.go
+++ b/internal/fake/platform/copy.go
@@ -18,11 +18,11 @@
 	rows     map[string]table.Row
 }
 
-// Copy takes a copy of the store. The store may come back from it.
-func (p *Platform) Copy() {
+// TakeSnapshot takes a copy of the store. The store may come back from it.
+func (p *Platform) TakeSnapshot() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.copied = snapshot{objects: maps.Clone(p.objects), revision: p.revision, rows: maps.Clone(p.rows)}
+	p.lastSnapshot = snapshot{objects: maps.Clone(p.objects), revision: p.revision, rows: maps.Clone(p.rows)}
 }
 
 // Era returns how often the store came back from a copy.
@@ -38,12 +38,12 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.era++
-	p.objects, p.revision, p.rows = maps.Clone(p.copied.objects), p.copied.revision, maps.Clone(p.copied.rows)
-	p.forgot = min(p.forgot, p.revision)
-	p.signal()
+	p.objects, p.revision, p.rows = maps.Clone(p.lastSnapshot.objects), p.lastSnapshot.revision, maps.Clone(p.lastSnapshot.rows)
+	p.compactedTo = min(p.compactedTo, p.revision)
+	p.wakeFeeds()
 }
 
-// tellEra sets the header of the era; the lock is held.
-func (p *Platform) tellEra(w http.ResponseWriter) {
+// setEraHeader sets the header of the era; the lock is held.
+func (p *Platform) setEraHeader(w http.ResponseWriter) {
 	w.Header().Set(headerEra, strconv.FormatInt(p.era, 10))
 }
--- a/internal/fake/platform/platform.go
+++ b/internal/fake/platform/platform.go
@@ -31,19 +31,19 @@
 
 // Platform is the stand-in. It is an http.Handler.
 type Platform struct {
-	mutex    sync.Mutex
-	changed  chan struct{} // closed at the next change
-	copied   snapshot
-	counters Counters
-	era      int64 // how often the store came back from a copy
-	faults   Faults
-	forgot   int64 // feeds that ask for changes after a lower revision are told that history is gone
-	mux      *http.ServeMux
-	objects  map[string][]byte
-	revision int64
-	rows     map[string]table.Row // by table and key; removed ones stay as marks
-	started  time.Time
-	wholes   map[string]int // reads from the beginning, by table
+	mutex        sync.Mutex
+	changed      chan struct{} // closed at the next change
+	lastSnapshot snapshot
+	counters     Counters
+	era          int64 // how often the store came back from a copy
+	faults       Faults
+	compactedTo  int64 // feeds that ask for changes after a lower revision are told that history is gone
+	mux          *http.ServeMux
+	objects      map[string][]byte
+	revision     int64
+	rows         map[string]table.Row // by table and key; removed ones stay as marks
+	started      time.Time
+	fullReads    map[string]int // reads from the beginning, by table
 }
 
 // maxBodyBytes bounds the body of a call that is read.
@@ -52,12 +52,12 @@
 // New returns an empty platform.
 func New() *Platform {
 	p := &Platform{
-		changed: make(chan struct{}),
-		mux:     http.NewServeMux(),
-		objects: make(map[string][]byte),
-		rows:    make(map[string]table.Row),
-		started: time.Now(),
-		wholes:  make(map[string]int),
+		changed:   make(chan struct{}),
+		mux:       http.NewServeMux(),
+		objects:   make(map[string][]byte),
+		rows:      make(map[string]table.Row),
+		started:   time.Now(),
+		fullReads: make(map[string]int),
 	}
 	p.mux.HandleFunc("GET /blob-get/{name}", p.getObject)
 	p.mux.HandleFunc("PUT /blob-put/{name}", p.putObject)
@@ -65,7 +65,7 @@
 	p.mux.HandleFunc("GET /rows-get", p.getRows)
 	p.mux.HandleFunc("POST /rows-tx", p.postTransaction)
 	p.mux.HandleFunc("GET /fake/counters", p.getCounters)
-	p.mux.HandleFunc("PUT /fake/copy", func(http.ResponseWriter, *http.Request) { p.Copy() })
+	p.mux.HandleFunc("PUT /fake/copy", func(http.ResponseWriter, *http.Request) { p.TakeSnapshot() })
 	p.mux.HandleFunc("PUT /fake/faults", p.putFaults)
 	p.mux.HandleFunc("PUT /fake/restore", func(http.ResponseWriter, *http.Request) { p.Restore() })
 	p.mux.HandleFunc("PUT /fake/rows/{table}/{key}", p.putRow)
@@ -86,17 +86,17 @@
 	return p.counters
 }
 
-// ForgetHistory makes feeds that are behind start anew.
-func (p *Platform) ForgetHistory() {
+// CompactHistory makes feeds that are behind start anew.
+func (p *Platform) CompactHistory() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.forgot = p.revision
+	p.compactedTo = p.revision
 	for k, r := range p.rows {
 		if r.Deleted {
 			delete(p.rows, k)
 		}
 	}
-	p.signal()
+	p.wakeFeeds()
 }
 
 // Put writes a row, as an operator or an engine does.
@@ -139,13 +139,13 @@
 	p.mutex.Unlock()
 	time.Sleep(time.Duration(f.DelayMilliseconds) * time.Millisecond)
 	p.mutex.Lock()
-	p.tellEra(w)
+	p.setEraHeader(w)
 	p.mutex.Unlock()
 	switch {
 	case f.Down:
 		http.Error(w, "down", http.StatusServiceUnavailable)
 	case lose:
-		p.lose(r, time.Duration(f.LateMilliseconds)*time.Millisecond)
+		p.applyWithoutAnswer(r, time.Duration(f.LateMilliseconds)*time.Millisecond)
 	default:
 		p.mux.ServeHTTP(w, r)
 	}
@@ -156,18 +156,18 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.faults = f
-	p.signal()
+	p.wakeFeeds()
 }
 
-// Wholes returns how often a table was read from its beginning.
-func (p *Platform) Wholes(name string) int {
+// FullReads returns how often a table was read from its beginning.
+func (p *Platform) FullReads(name string) int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.wholes[name]
+	return p.fullReads[name]
 }
 
-// broken returns the current rows of the conditions where one does not hold.
-func (p *Platform) broken(c []table.Condition) []table.Row {
+// failedConditions returns the current rows of the conditions where one does not hold.
+func (p *Platform) failedConditions(c []table.Condition) []table.Row {
 	var rows []table.Row
 	ok := true
 	for _, x := range c {
@@ -188,33 +188,33 @@
 // commit applies a transaction; the lock is held.
 func (p *Platform) commit(t *table.Transaction) table.Result {
 	p.counters.Writes++
-	if c := p.broken(t.Conditions); len(c) > 0 {
+	if c := p.failedConditions(t.Conditions); len(c) > 0 {
 		return table.Result{Current: c, Revision: p.revision}
 	}
 	p.revision++
 	for _, w := range t.Writes {
 		p.rows[w.Key] = table.Row{Deleted: w.Delete, Key: w.Key, Revision: p.revision, Value: w.Value}
 	}
-	p.signal()
+	p.wakeFeeds()
 	return table.Result{Committed: true, Revision: p.revision}
 }
 
 func (p *Platform) getCounters(w http.ResponseWriter, _ *http.Request) {
-	answer(w, p.Counters())
+	writeJSON(w, p.Counters())
 }
 
-// lose lets a write take effect, at once or later, and answers nothing.
-func (p *Platform) lose(r *http.Request, late time.Duration) {
+// applyWithoutAnswer lets a write take effect, at once or later, and answers nothing.
+func (p *Platform) applyWithoutAnswer(r *http.Request, delay time.Duration) {
 	b, _ := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	c := r.Clone(r.Context())
-	do := func() {
+	apply := func() {
 		c.Body = io.NopCloser(strings.NewReader(string(b)))
-		p.mux.ServeHTTP(&discard{header: make(http.Header)}, c)
+		p.mux.ServeHTTP(&discardWriter{header: make(http.Header)}, c)
 	}
-	if late > 0 {
-		time.AfterFunc(late, do)
+	if delay > 0 {
+		time.AfterFunc(delay, apply)
 	} else {
-		do()
+		apply()
 	}
 	panic(http.ErrAbortHandler)
 }
@@ -231,13 +231,13 @@
 // now returns the platform's steady clock in milliseconds. It is not the time of day.
 func (p *Platform) now() int64 { return 1 + time.Since(p.started).Milliseconds() }
 
-// signal wakes the feeds; the lock is held.
-func (p *Platform) signal() {
+// wakeFeeds wakes the feeds; the lock is held.
+func (p *Platform) wakeFeeds() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-func answer(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/internal/fake/platform/rows.go
+++ b/internal/fake/platform/rows.go
@@ -55,20 +55,20 @@
 	defer p.mutex.Unlock()
 	p.counters.Reads++
 	era := p.era
-	p.tellEra(w)
+	p.setEraHeader(w)
 	for {
 		if p.era != era {
 			panic(http.ErrAbortHandler)
 		}
-		if after < p.forgot || after > p.revision {
+		if after < p.compactedTo || after > p.revision {
 			http.Error(w, "history is gone", http.StatusGone)
 			return
 		}
 		if p.faults.Down {
 			panic(http.ErrAbortHandler)
 		}
-		if l := p.since(r.FormValue("table"), after); len(l) > 0 || wait == 0 {
-			answer(w, wireRows{NowMS: p.now(), Rows: l, Ver: p.revision})
+		if l := p.rowsAfter(r.FormValue("table"), after); len(l) > 0 || wait == 0 {
+			writeJSON(w, wireRows{NowMS: p.now(), Rows: l, Ver: p.revision})
 			return
 		}
 		c := p.changed
@@ -89,19 +89,19 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.counters.Reads++
-	p.tellEra(w)
+	p.setEraHeader(w)
 	limit, err := strconv.Atoi(r.FormValue("limit"))
 	if err != nil || limit > maxRows {
 		limit = maxRows
 	}
 	name := r.FormValue("table")
 	if r.FormValue("from") == "" {
-		p.wholes[name]++
+		p.fullReads[name]++
 	}
-	l := p.since(name, 0)
+	l := p.rowsAfter(name, 0)
 	l = slices.DeleteFunc(l, func(x wireRow) bool { return x.Gone || x.Key < r.FormValue("from") })
 	slices.SortFunc(l, func(a, b wireRow) int { return strings.Compare(a.Key, b.Key) })
-	answer(w, wireRows{More: len(l) > limit, NowMS: p.now(), Rows: l[:min(limit, len(l))], Ver: p.revision})
+	writeJSON(w, wireRows{More: len(l) > limit, NowMS: p.now(), Rows: l[:min(limit, len(l))], Ver: p.revision})
 }
 
 // postTransaction applies a transaction, or answers the rows that its conditions name.
@@ -122,17 +122,17 @@
 		t.Writes = append(t.Writes, table.Write{Delete: true, Key: v.Table + "/" + v.Key})
 	}
 	p.mutex.Lock()
-	p.tellEra(w)
+	p.setEraHeader(w)
 	v := p.commit(t)
 	p.mutex.Unlock()
 	if v.Committed {
-		answer(w, wireRows{Rows: []wireRow{}, Ver: v.Revision})
+		writeJSON(w, wireRows{Rows: []wireRow{}, Ver: v.Revision})
 		return
 	}
 	a := wireRows{Rows: []wireRow{}, Ver: v.Revision}
 	for _, c := range v.Current {
 		if !c.Deleted {
-			a.Rows = append(a.Rows, wireOf(c))
+			a.Rows = append(a.Rows, toWire(c))
 		}
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -146,13 +146,13 @@
 	p.Commit(&table.Transaction{Writes: []table.Write{{Key: r.PathValue("table") + "/" + r.PathValue("key"), Value: b}}})
 }
 
-// since returns the rows of a table written after a revision, in its order; the
+// rowsAfter returns the rows of a table written after a revision, in its order; the
 // lock is held.
-func (p *Platform) since(name string, after int64) []wireRow {
+func (p *Platform) rowsAfter(name string, after int64) []wireRow {
 	l := []wireRow{}
 	for k, r := range p.rows {
 		if strings.HasPrefix(k, name+"/") && r.Revision > after {
-			l = append(l, wireOf(r))
+			l = append(l, toWire(r))
 		}
 	}
 	slices.SortFunc(l, func(a, b wireRow) int {
@@ -161,7 +161,7 @@
 	return l
 }
 
-func wireOf(r table.Row) wireRow {
+func toWire(r table.Row) wireRow {
 	n, k, _ := strings.Cut(r.Key, "/")
 	return wireRow{Gone: r.Deleted, Key: k, Table: n, Value: r.Value, Ver: r.Revision}
 }
--- a/internal/fake/routed/cold.go
+++ b/internal/fake/routed/cold.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// cold is how an engine is that has just started: it falls over under many requests.
-type cold struct {
+// coldStart is how an engine is that has just started: it falls over under many requests.
+type coldStart struct {
 	until     time.Time
 	perSecond int // requests that it bears
 }
 
-// fallFactor is how many times what a cold engine bears makes it fall over.
-const fallFactor = 2
+// overloadFactor is how many times what a cold engine bears makes it fall over.
+const overloadFactor = 2
 
-// Arrivals returns when requests reached the engine that it did not reject as meant for
+// ArrivalTimes returns when requests reached the engine that it did not reject as meant for
 // another one.
-func (e *Engine) Arrivals() []time.Time {
+func (e *Engine) ArrivalTimes() []time.Time {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	l := make([]time.Time, len(e.visits))
-	for i := range e.visits {
-		l[i] = e.visits[i].At
+	l := make([]time.Time, len(e.arrivals))
+	for i := range e.arrivals {
+		l[i] = e.arrivals[i].At
 	}
 	return l
 }
@@ -27,27 +27,27 @@
 func (e *Engine) SetCold(until time.Time, perSecond int) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.cold = cold{until, perSecond}
+	e.cold = coldStart{until, perSecond}
 }
 
 // arrive notes a request, under which an engine that is cold may fall over, and returns its
 // place among the visits.
-func (e *Engine) arrive(request string) (visit int) {
+func (e *Engine) arrive(request string) (index int) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	now := time.Now()
-	visit = len(e.visits)
-	e.visits = append(e.visits, Visit{At: now, Request: request})
+	index = len(e.arrivals)
+	e.arrivals = append(e.arrivals, Arrival{At: now, Request: request})
 	if !now.Before(e.cold.until) {
-		return visit
+		return index
 	}
 	n := 0
-	for i := visit; i >= 0 && now.Sub(e.visits[i].At) < time.Second; i-- {
+	for i := index; i >= 0 && now.Sub(e.arrivals[i].At) < time.Second; i-- {
 		n++
 	}
-	if n > fallFactor*e.cold.perSecond {
-		e.dead = true
-		e.signal()
+	if n > overloadFactor*e.cold.perSecond {
+		e.crashed = true
+		e.wakeStreams()
 	}
-	return visit
+	return index
 }
--- a/internal/fake/routed/copies.go
+++ b/internal/fake/routed/copies.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// memory is what an engine holds of a run.
-type memory struct {
+// kvState is what an engine holds of a run.
+type kvState struct {
 	events  int
-	other   *Engine // of a copy: the engine that holds the other one, nil where none does
+	peer    *Engine // of a copy: the engine that holds the other one, nil where none does
 	request string
 	tokens  int
 }
@@ -19,7 +19,7 @@
 	e.link <- struct{}{}
 	defer func() { <-e.link }()
 	e.mutex.Lock()
-	m := x.memory
+	m := x.kv
 	e.mutex.Unlock()
 	p.mutex.Lock()
 	old := p.copies[handle]
@@ -28,8 +28,8 @@
 	if old != nil {
 		tokens -= old.tokens
 	}
-	time.Sleep(time.Millisecond + time.Duration(tokens)*e.settings.CopyToken)
-	m.other = e
+	time.Sleep(time.Millisecond + time.Duration(tokens)*e.settings.CopyPerToken)
+	m.peer = e
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.copies[handle] = &m
@@ -44,15 +44,15 @@
 	}
 	_ = json.NewDecoder(r.Body).Decode(&o)
 	if o.Last {
-		time.Sleep(f.LateStops)
+		time.Sleep(f.StopDelay)
 	}
 	e.mutex.Lock()
 	x := e.runs[o.ID]
 	e.mutex.Unlock()
 	p := e.Peer(o.To)
 	switch {
-	case f.FailCopies != 0:
-		w.WriteHeader(f.FailCopies)
+	case f.CopyStatus != 0:
+		w.WriteHeader(f.CopyStatus)
 		return
 	case x == nil:
 		w.WriteHeader(http.StatusNotFound)
@@ -67,14 +67,14 @@
 	handle := "h-" + o.ID
 	e.copyTo(p, x, handle)
 	e.mutex.Lock()
-	dead, made := e.dead, x.memory.events
+	dead, made := e.crashed, x.kv.events
 	if o.Last { // it may be taken up here, too
-		m := x.memory
-		m.other = p
+		m := x.kv
+		m.peer = p
 		e.copies[handle] = &m
 	}
 	e.mutex.Unlock()
-	if dead || f.LoseCopies {
+	if dead || f.LoseCopyAnswers {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -83,13 +83,13 @@
 
 // release gives up a copy, at both ends.
 func (e *Engine) release(handle string) {
-	if m := e.drop(handle); m != nil && m.other != nil {
-		m.other.drop(handle)
+	if m := e.drop(handle); m != nil && m.peer != nil {
+		m.peer.drop(handle)
 	}
 }
 
 // drop forgets a copy and returns it, or nil.
-func (e *Engine) drop(handle string) *memory {
+func (e *Engine) drop(handle string) *kvState {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	m := e.copies[handle]
--- a/internal/fake/routed/engine.go
+++ b/internal/fake/routed/engine.go
@@ -18,19 +18,19 @@
 
 // Engine is the stand-in. It is an http.Handler.
 type Engine struct {
-	// Crashed is called with the id of a request that has ended the engine; a seam.
-	Crashed func(request string)
-	// CrashedUnder is called with the body of a request that has ended the engine; a seam.
-	CrashedUnder func(body string)
+	// OnCrash is called with the id of a request that has ended the engine; a seam.
+	OnCrash func(request string)
+	// OnCrashBody is called with the body of a request that has ended the engine; a seam.
+	OnCrashBody func(body string)
 	// Peer returns the engine at an address; a seam.
 	Peer func(address string) *Engine
 
 	id       string
 	mutex    sync.Mutex
 	changed  chan struct{} // closed when the engine dies or a run is stopped
-	cold     cold
-	copies   map[string]*memory
-	dead     bool
+	cold     coldStart
+	copies   map[string]*kvState
+	crashed  bool
 	faults   Faults
 	leaving  bool
 	limit    string        // of requests a second, as its answers name it; "" for none
@@ -39,20 +39,20 @@
 	runs     map[string]*run
 	settings Settings
 	started  map[string]int // by request: runs from their beginning
-	visits   []Visit
+	arrivals []Arrival
 }
 
 // New returns an engine of that id.
 func New(id string, s Settings) *Engine {
 	return &Engine{
-		Crashed: func(string) {}, CrashedUnder: func(string) {},
-		Peer: func(string) *Engine { return nil }, changed: make(chan struct{}), copies: make(map[string]*memory), id: id, link: make(chan struct{}, 1),
+		OnCrash: func(string) {}, OnCrashBody: func(string) {},
+		Peer: func(string) *Engine { return nil }, changed: make(chan struct{}), copies: make(map[string]*kvState), id: id, link: make(chan struct{}, 1),
 		runs: make(map[string]*run), settings: s, started: make(map[string]int),
 	}
 }
 
-// Deadly is how the body of a request begins that ends each engine which it reaches.
-const Deadly = "deadly"
+// PoisonPrefix is how the body of a request begins that ends each engine which it reaches.
+const PoisonPrefix = "deadly"
 
 // Event returns the data of event n of a request, which is the same at every
 // engine, as that of one generation is.
@@ -69,12 +69,12 @@
 	return len(e.copies)
 }
 
-// Die ends the engine: its streams break off, and it answers nothing any more.
-func (e *Engine) Die() {
+// Crash ends the engine: its streams break off, and it answers nothing any more.
+func (e *Engine) Crash() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.dead = true
-	e.signal()
+	e.crashed = true
+	e.wakeStreams()
 }
 
 // Leave makes the engine's report and all its answers say that it is leaving.
@@ -115,7 +115,7 @@
 // ServeHTTP answers one call.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.mutex.Lock()
-	f, dead := e.faults, e.dead
+	f, dead := e.faults, e.crashed
 	e.mutex.Unlock()
 	if dead {
 		panic(http.ErrAbortHandler)
@@ -142,18 +142,18 @@
 	w.WriteHeader(status)
 }
 
-// refuseVisit answers that a request which reached the engine did not run, and for how long
+// refuseArrival answers that a request which reached the engine did not run, and for how long
 // the engine wants rest.
-func (e *Engine) refuseVisit(w http.ResponseWriter, visit int, f *Faults) {
-	e.say(w.Header(), visit, f.Rest)
-	e.refuse(w, f.Refuse)
+func (e *Engine) refuseArrival(w http.ResponseWriter, arrival int, f *Faults) {
+	e.writeStateHeaders(w.Header(), arrival, f.RetryAfter)
+	e.refuse(w, f.RefuseStatus)
 }
 
-// say writes what an answer says of the engine itself.
-func (e *Engine) say(h http.Header, visit int, rest time.Duration) {
-	e.answered(h, visit, rest)
-	if rest > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(rest.Seconds(), 'f', -1, 64))
+// writeStateHeaders writes what an answer says of the engine itself.
+func (e *Engine) writeStateHeaders(h http.Header, arrival int, retryAfter time.Duration) {
+	e.recordAnswer(h, arrival, retryAfter)
+	if retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
 	}
 }
 
@@ -163,14 +163,14 @@
 	defer e.mutex.Unlock()
 	used := 0
 	for _, x := range e.runs {
-		used += x.memory.tokens
+		used += x.kv.tokens
 	}
 	state := "ready"
 	if e.leaving {
 		state = "draining"
 		w.Header().Set("Server-Leaving", "1")
 	}
-	e.nameLimit(w.Header())
+	e.writeLimit(w.Header())
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(map[string]any{"kv_total": e.settings.KVTokens, "kv_used": used, "queued": 0, "running": len(e.runs), "state": state})
 }
@@ -186,29 +186,29 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	visit := e.arrive(id)
-	if strings.HasPrefix(string(b), Deadly) && f.Status == 0 {
-		time.Sleep(f.CrashAfter)
-		e.Die()
-		e.Crashed(id)
-		e.CrashedUnder(string(b))
+	arrival := e.arrive(id)
+	if strings.HasPrefix(string(b), PoisonPrefix) && f.Status == 0 {
+		time.Sleep(f.CrashDelay)
+		e.Crash()
+		e.OnCrash(id)
+		e.OnCrashBody(string(b))
 		panic(http.ErrAbortHandler)
 	}
 	h := w.Header()
-	if f.Refuse != 0 {
-		e.refuseVisit(w, visit, f)
+	if f.RefuseStatus != 0 {
+		e.refuseArrival(w, arrival, f)
 		return
 	}
 	h.Set("X-Linetiller-Request-Id", id)
 	h.Set("Content-Type", "text/plain")
-	if f.OtherEcho {
+	if f.WrongRequestID {
 		h.Set("X-Linetiller-Request-Id", "another")
 	}
-	if !f.Unsigned {
+	if !f.OmitStamp {
 		h.Set("X-Linetiller-Server-Stamp", "stamp."+e.id)
 	}
 	if hint := r.Header.Get("Length-Hint"); hint != "" && f.Status == 0 {
-		e.stream(w, r, visit, f)
+		e.stream(w, r, arrival, f)
 		return
 	}
 	if r.Header.Get("Kv-From") == "" { // or it is still the run that was begun elsewhere
@@ -216,7 +216,7 @@
 		e.started[id]++
 		e.mutex.Unlock()
 	}
-	e.say(h, visit, 0)
+	e.writeStateHeaders(h, arrival, 0)
 	if f.Status != 0 {
 		w.WriteHeader(f.Status)
 	}
--- a/internal/fake/routed/streams.go
+++ b/internal/fake/routed/streams.go
@@ -11,7 +11,7 @@
 
 // run is a request at work.
 type run struct {
-	memory  memory
+	kv      kvState
 	stopped chan struct{} // closed when the run was stopped for a move
 	stop    bool
 }
@@ -22,8 +22,8 @@
 func (e *Engine) admit(r *http.Request) *run {
 	_, handle, _ := strings.Cut(r.Header.Get("Kv-From"), "/")
 	x := e.begin(r, handle)
-	if x != nil && x.memory.other != nil {
-		x.memory.other.drop(handle)
+	if x != nil && x.kv.peer != nil {
+		x.kv.peer.drop(handle)
 	}
 	return x
 }
@@ -35,7 +35,7 @@
 	id := r.Header.Get("X-Linetiller-Request-Id")
 	prompt, _, _ := strings.Cut(r.Header.Get("X-Linetiller-Token-Count"), ",")
 	tokens, _ := strconv.Atoi(prompt)
-	x := &run{memory: memory{request: id, tokens: tokens}, stopped: make(chan struct{})}
+	x := &run{kv: kvState{request: id, tokens: tokens}, stopped: make(chan struct{})}
 	last, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	if handle != "" {
 		m := e.copies[handle]
@@ -43,17 +43,17 @@
 			return nil
 		}
 		delete(e.copies, handle)
-		x.memory = *m
+		x.kv = *m
 	} else {
 		e.started[id]++
 	}
-	x.memory.events = last
+	x.kv.events = last
 	e.runs[id] = x
 	return x
 }
 
-// signal wakes all streams; the lock is held.
-func (e *Engine) signal() {
+// wakeStreams wakes all streams; the lock is held.
+func (e *Engine) wakeStreams() {
 	close(e.changed)
 	e.changed = make(chan struct{})
 }
@@ -69,14 +69,14 @@
 }
 
 // stream writes the events of a run until its end.
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, visit int, f *Faults) {
+func (e *Engine) stream(w http.ResponseWriter, r *http.Request, arrival int, f *Faults) {
 	x := e.admit(r)
 	if x == nil {
-		e.say(w.Header(), visit, 0)
+		e.writeStateHeaders(w.Header(), arrival, 0)
 		e.refuse(w, http.StatusServiceUnavailable)
 		return
 	}
-	id := x.memory.request
+	id := x.kv.request
 	defer func() {
 		e.mutex.Lock()
 		defer e.mutex.Unlock()
@@ -85,20 +85,20 @@
 		}
 	}()
 	length, _ := strconv.Atoi(r.Header.Get("Length-Hint"))
-	events := length / e.settings.TokensAnEvent
+	events := length / e.settings.TokensPerEvent
 	if r.Header.Get("Kv-From") == "" {
-		time.Sleep(time.Duration(x.memory.tokens) * e.settings.PrefillToken)
-	} else if x.memory.events >= events {
-		x.memory.events = events - 1 // a run that is taken up makes one event at least
+		time.Sleep(time.Duration(x.kv.tokens) * e.settings.PrefillPerToken)
+	} else if x.kv.events >= events {
+		x.kv.events = events - 1 // a run that is taken up makes one event at least
 	}
-	if f.Repeat && x.memory.events > 0 {
-		x.memory.events--
+	if f.RepeatLastEvent && x.kv.events > 0 {
+		x.kv.events--
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
-	e.say(w.Header(), visit, 0)
+	e.writeStateHeaders(w.Header(), arrival, 0)
 	c := http.NewResponseController(w)
-	for n := x.memory.events + 1; n <= events; n++ {
-		if f.MuteAfter > 0 && n > f.MuteAfter {
+	for n := x.kv.events + 1; n <= events; n++ {
+		if f.StallAfter > 0 && n > f.StallAfter {
 			<-r.Context().Done()
 		}
 		if !e.wait(r, x) {
@@ -107,8 +107,8 @@
 		e.write(w, f, id, n)
 		_ = c.Flush()
 		e.mutex.Lock()
-		x.memory.events = n
-		x.memory.tokens += e.settings.TokensAnEvent
+		x.kv.events = n
+		x.kv.tokens += e.settings.TokensPerEvent
 		e.mutex.Unlock()
 	}
 }
@@ -116,13 +116,13 @@
 // wait waits until the next event is due, and reports whether the run goes on.
 func (e *Engine) wait(r *http.Request, x *run) bool {
 	e.mutex.Lock()
-	c, dead := e.changed, e.dead
+	c, dead := e.changed, e.crashed
 	e.mutex.Unlock()
 	if dead {
 		return false
 	}
 	select {
-	case <-time.After(e.settings.EventEvery):
+	case <-time.After(e.settings.EventInterval):
 		return true
 	case <-c:
 	case <-x.stopped:
@@ -135,13 +135,13 @@
 func (e *Engine) write(w io.Writer, f *Faults, id string, n int) {
 	const faultAt = 3
 	switch {
-	case f.Gap && n == faultAt:
+	case f.SkipEvent && n == faultAt:
 		return
-	case f.Spoil && n == faultAt:
+	case f.BadEventID && n == faultAt:
 		_, _ = fmt.Fprintf(w, "id: %dx\ndata: %s\n\n", n, Event(id, n))
 		return
 	}
-	if f.BreakAfter > 0 && n > f.BreakAfter {
+	if f.CutAfter > 0 && n > f.CutAfter {
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: ha", n)
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/fake/service/service.go
+++ b/internal/fake/service/service.go
@@ -13,11 +13,11 @@
 
 // Service is the stand-in. It is an http.Handler.
 type Service struct {
-	mutex      sync.Mutex
-	loseAnswer int
-	rest       time.Duration
-	runs       int
-	turnedAway int
+	mutex       sync.Mutex
+	loseAnswers int
+	retryAfter  time.Duration
+	runs        int
+	refused     int
 }
 
 // Answer is what a call is answered with.
@@ -39,14 +39,14 @@
 func (s *Service) LoseAnswers(n int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.loseAnswer = n
+	s.loseAnswers = n
 }
 
-// Rest makes the service turn calls away and ask for rest; 0 ends that.
-func (s *Service) Rest(d time.Duration) {
+// SetRetryAfter makes the service turn calls away and ask for rest; 0 ends that.
+func (s *Service) SetRetryAfter(d time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.rest = d
+	s.retryAfter = d
 }
 
 // Runs returns how many calls ran.
@@ -56,11 +56,11 @@
 	return s.runs
 }
 
-// TurnedAway returns how many calls were turned away.
-func (s *Service) TurnedAway() int {
+// Refused returns how many calls were turned away.
+func (s *Service) Refused() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.turnedAway
+	return s.refused
 }
 
 // ServeHTTP runs one call.
@@ -71,18 +71,18 @@
 		return
 	}
 	s.mutex.Lock()
-	if s.rest > 0 {
-		s.turnedAway++
-		w.Header().Set("Retry-After", strconv.FormatFloat(s.rest.Seconds(), 'f', -1, 64))
+	if s.retryAfter > 0 {
+		s.refused++
+		w.Header().Set("Retry-After", strconv.FormatFloat(s.retryAfter.Seconds(), 'f', -1, 64))
 		s.mutex.Unlock()
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	s.runs++
 	n := s.runs
-	lose := s.loseAnswer > 0
+	lose := s.loseAnswers > 0
 	if lose {
-		s.loseAnswer--
+		s.loseAnswers--
 	}
 	s.mutex.Unlock()
 	if lose {
--- a/internal/fake/soak/copies.go
+++ b/internal/fake/soak/copies.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	copiesStream = 1 << 23         // of the random numbers, beside those of faults and callers
-	copyAgeMost  = 4 * time.Second // of the copy from which the store comes back
-	entryLapse   = 3600 * time.Millisecond
-	// lostWritesMost bounds the writes of others that the store loses with a copy: by so much
+	restoresStream = 1 << 23         // of the random numbers, beside those of faults and callers
+	maxSnapshotAge = 4 * time.Second // of the copy from which the store comes back
+	entryExpiry    = 3600 * time.Millisecond
+	// maxLostWrites bounds the writes of others that the store loses with a copy: by so much
 	// its versions go back.
-	lostWritesMost = 200
-	restoredLeast  = 300 * time.Millisecond
-	// restoredSpread is by how much the time differs for which the store is away, and then
+	maxLostWrites    = 200
+	minRestoreOutage = 300 * time.Millisecond
+	// restoreJitter is by how much the time differs for which the store is away, and then
 	// the time until operators and upstreams write theirs again.
-	restoredSpread = 1500 * time.Millisecond
+	restoreJitter = 1500 * time.Millisecond
 )
 
-// copiesInTurn has the store come back from copies, one after another until the context
+// runRestores has the store come back from copies, one after another until the context
 // ends, and once more then, with a change of the configuration after it.
-func (w *world) copiesInTurn(ctx context.Context, r *rand.Rand) {
+func (w *cluster) runRestores(ctx context.Context, r *rand.Rand) {
 	for ctx.Err() == nil {
 		w.restoreStore(r)
 	}
@@ -34,41 +34,41 @@
 
 // restoreStore has the store come back from a copy. Operators and upstreams go on meanwhile,
 // and write theirs again some time later.
-func (w *world) restoreStore(r *rand.Rand) {
-	w.platform.Copy()
-	for range r.IntN(lostWritesMost) {
+func (w *cluster) restoreStore(r *rand.Rand) {
+	w.platform.TakeSnapshot()
+	for range r.IntN(maxLostWrites) {
 		w.platform.Put("other/row", struct{}{})
 	}
 	w.configure()
-	time.Sleep(time.Duration(r.Int64N(int64(copyAgeMost))))
+	time.Sleep(time.Duration(r.Int64N(int64(maxSnapshotAge))))
 	from := time.Now()
 	w.setStore(fakeplatform.Faults{Down: true})
-	time.Sleep(restoredLeast + time.Duration(r.Int64N(int64(restoredSpread))))
+	time.Sleep(minRestoreOutage + time.Duration(r.Int64N(int64(restoreJitter))))
 	w.platform.Restore()
 	w.setStore(fakeplatform.Faults{})
-	time.Sleep(time.Duration(r.Int64N(int64(restoredSpread))))
-	w.writeAgain()
+	time.Sleep(time.Duration(r.Int64N(int64(restoreJitter))))
+	w.rewriteStore()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.away = append(w.away, interval{from, time.Now()})
+	w.storeOutages = append(w.storeOutages, interval{from, time.Now()})
 }
 
-// writeAgain writes what operators and upstreams have in the store. The entries of upstreams
+// rewriteStore writes what operators and upstreams have in the store. The entries of upstreams
 // that are gone lapse.
-func (w *world) writeAgain() {
+func (w *cluster) rewriteStore() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock() // what changes later is written later
-	w.putConfiguration(w.newest)
+	w.putConfiguration(w.configVersion)
 	for _, h := range []byte(w.halls) {
 		w.putEvacuation(h)
 	}
 	for _, u := range w.upstreams {
 		w.putUpstream(u)
 	}
-	gone := append([]*soakUpstream(nil), w.dead...)
+	ended := append([]*soakUpstream(nil), w.dead...)
 	w.workers.Go(func() {
-		time.Sleep(entryLapse)
-		for _, u := range gone {
+		time.Sleep(entryExpiry)
+		for _, u := range ended {
 			if w.platform.Row("servers/"+u.name) != nil {
 				w.platform.Remove("servers/" + u.name)
 			}
@@ -77,7 +77,7 @@
 }
 
 // putEvacuation writes whether a hall is evacuated; the lock is held.
-func (w *world) putEvacuation(hall byte) {
+func (w *cluster) putEvacuation(hall byte) {
 	key := "op/evacuate/" + string(hall)
 	if w.evacuating[hall] {
 		w.platform.Put(key, json.RawMessage(`{}`))
@@ -87,7 +87,7 @@
 }
 
 // setEvacuation evacuates a hall, or takes it back.
-func (w *world) setEvacuation(hall byte, evacuated bool) {
+func (w *cluster) setEvacuation(hall byte, evacuated bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.evacuating[hall] = evacuated
--- a/internal/fake/soak/faults.go
+++ b/internal/fake/soak/faults.go
@@ -15,38 +15,38 @@
 // fault is one kind of fault. It strikes and, after a while, ends.
 type fault struct {
 	name   string
-	strike func(w *world, r *rand.Rand) (end func(), err error)
+	inject func(w *cluster, r *rand.Rand) (end func(), err error)
 }
 
 // faults are all kinds, in order of name.
 var faults = []fault{
-	{"answers spoilt", spoilAnswers},
-	{"answers spoilt again", spoilAnswers}, // drawn twice as often
+	{"answers spoilt", corruptAnswers},
+	{"answers spoilt again", corruptAnswers}, // drawn twice as often
 	{"box killed", killBox},
 	{"box paused", pauseBox},
 	{"box stopped", stopBox},
-	{"configuration changed", func(w *world, _ *rand.Rand) (func(), error) {
+	{"configuration changed", func(w *cluster, _ *rand.Rand) (func(), error) {
 		w.configure()
 		return nil, nil
 	}},
-	{"connections of callers reset", func(w *world, r *rand.Rand) (func(), error) {
+	{"connections of callers reset", func(w *cluster, r *rand.Rand) (func(), error) {
 		w.boxes[r.IntN(len(w.boxes))].entry.reset()
 		return nil, nil
 	}},
 	{"every box started while the store is away", startWithoutStore},
-	{"engine crashed", func(w *world, r *rand.Rand) (func(), error) { return replaceUpstream(w, r, 0) }},
-	{"engine given notice", func(w *world, r *rand.Rand) (func(), error) { return replaceUpstream(w, r, time.Second) }},
-	{"link to an upstream bad", func(w *world, r *rand.Rand) (func(), error) { return proxyFault(pickUpstream(w, r, "").proxy, r) }},
-	{"link to the store bad", func(w *world, r *rand.Rand) (func(), error) {
+	{"engine crashed", func(w *cluster, r *rand.Rand) (func(), error) { return replaceUpstream(w, r, 0) }},
+	{"engine given notice", func(w *cluster, r *rand.Rand) (func(), error) { return replaceUpstream(w, r, time.Second) }},
+	{"link to an upstream bad", func(w *cluster, r *rand.Rand) (func(), error) { return proxyFault(pickUpstream(w, r, "").proxy, r) }},
+	{"link to the store bad", func(w *cluster, r *rand.Rand) (func(), error) {
 		return proxyFault(w.boxes[r.IntN(len(w.boxes))].store, r)
 	}},
 	{"store bad", storeFault},
 }
 
 // killBox kills a box and starts it again.
-func killBox(w *world, r *rand.Rand) (func(), error) {
+func killBox(w *cluster, r *rand.Rand) (func(), error) {
 	b := w.boxes[r.IntN(len(w.boxes))]
-	p := b.take()
+	p := b.takeProcess()
 	if p == nil {
 		return nil, nil
 	}
@@ -55,7 +55,7 @@
 }
 
 // pauseBox stops a box's clock for a while.
-func pauseBox(w *world, r *rand.Rand) (func(), error) {
+func pauseBox(w *cluster, r *rand.Rand) (func(), error) {
 	b := w.boxes[r.IntN(len(w.boxes))]
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -66,17 +66,17 @@
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return nil, err
 	}
-	b.disturbed = append(b.disturbed, time.Now())
+	b.disturbedAt = append(b.disturbedAt, time.Now())
 	return func() {
-		b.disturb()
+		b.recordDisturbance()
 		_ = p.Signal(syscall.SIGCONT) // it may have been killed meanwhile
 	}, nil
 }
 
 // stopBox asks a box to stop, which cuts off nothing, and starts it again.
-func stopBox(w *world, r *rand.Rand) (func(), error) {
+func stopBox(w *cluster, r *rand.Rand) (func(), error) {
 	b := w.boxes[r.IntN(len(w.boxes))]
-	p := b.take()
+	p := b.takeProcess()
 	if p == nil {
 		return nil, nil
 	}
@@ -85,20 +85,20 @@
 }
 
 // restart starts a box again.
-func (w *world) restart(b *soakBox) {
+func (w *cluster) restart(b *soakBox) {
 	if err := w.startBox(b); err != nil {
-		w.note(err)
+		w.addHarnessError(err)
 	}
 }
 
-// take takes a box's process away from other faults, running on where it was paused;
+// takeProcess takes a box's process away from other faults, running on where it was paused;
 // it returns nil where another fault has it.
-func (b *soakBox) take() *process.Process {
+func (b *soakBox) takeProcess() *process.Process {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	p := b.process
 	b.process = nil
-	b.disturbed = append(b.disturbed, time.Now())
+	b.disturbedAt = append(b.disturbedAt, time.Now())
 	if p != nil {
 		_ = p.Signal(syscall.SIGCONT) // it may have ended by itself
 	}
@@ -106,7 +106,7 @@
 }
 
 // pickUpstream returns an upstream of a service, or of any.
-func pickUpstream(w *world, r *rand.Rand, service string) *soakUpstream {
+func pickUpstream(w *cluster, r *rand.Rand, service string) *soakUpstream {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	var names []string
@@ -125,11 +125,11 @@
 
 // startWithoutStore kills every box and starts them again while the store refuses: they
 // know no configuration then, and may refuse nothing for good.
-func startWithoutStore(w *world, _ *rand.Rand) (func(), error) {
+func startWithoutStore(w *cluster, _ *rand.Rand) (func(), error) {
 	w.setStore(fakeplatform.Faults{Down: true})
 	var g sync.WaitGroup
 	for _, b := range w.boxes {
-		if p := b.take(); p != nil {
+		if p := b.takeProcess(); p != nil {
 			p.Kill()
 			g.Go(func() { w.restart(b) })
 		}
@@ -140,7 +140,7 @@
 
 // proxyFault delays, silences, halves or resets a proxy's connections.
 func proxyFault(p *proxy, r *rand.Rand) (func(), error) {
-	m := []proxyMode{modeDelay, modeOneWay, modeSilent, modePass}[r.IntN(4)]
+	m := []proxyMode{modeDelay, modeOneWay, modeBlackhole, modePass}[r.IntN(4)]
 	if m == modePass {
 		p.reset()
 		return nil, nil
@@ -154,53 +154,53 @@
 
 // replaceUpstream ends an engine, after a notice where there is one, and starts
 // another one in its hall.
-func replaceUpstream(w *world, r *rand.Rand, notice time.Duration) (func(), error) {
-	if len(w.all()) <= enginesCount+servicesEach-2 {
+func replaceUpstream(w *cluster, r *rand.Rand, notice time.Duration) (func(), error) {
+	if len(w.liveUpstreams()) <= engineCount+serviceCount-2 {
 		return nil, nil // enough are gone
 	}
 	u := pickUpstream(w, r, serviceLLM)
 	if notice > 0 {
 		w.leave(u)
-		w.list(u, "draining")
+		w.publishUpstream(u, "draining")
 		time.Sleep(notice)
 	}
 	return w.replace(u), nil
 }
 
 // replace ends an upstream, and returns what starts another one of its service in its hall.
-func (w *world) replace(u *soakUpstream) (start func()) {
-	w.loseUpstream(u)
+func (w *cluster) replace(u *soakUpstream) (start func()) {
+	w.removeUpstream(u)
 	w.mutex.Lock()
-	w.version++
-	name := fmt.Sprintf("%s%d", u.name[:3], 100+w.version)
+	w.sequence++
+	name := fmt.Sprintf("%s%d", u.name[:3], 100+w.sequence)
 	w.mutex.Unlock()
 	return func() {
 		if err := w.startUpstream(name, u.service); err != nil {
-			w.note(err)
+			w.addHarnessError(err)
 		}
 	}
 }
 
-// spoilAnswers makes about half of the upstreams misbehave, each in a way of its own.
-func spoilAnswers(w *world, r *rand.Rand) (func(), error) {
-	ways := []routed.Faults{
-		{BreakAfter: 20}, {Gap: true}, {MuteAfter: 15}, {Spoil: true}, {OtherEcho: true}, {Refuse: 503}, {Status: 500}, {Unsigned: true}, {Refuse: 429}, {FailCopies: 503}, {LoseCopies: true},
+// corruptAnswers makes about half of the upstreams misbehave, each in a way of its own.
+func corruptAnswers(w *cluster, r *rand.Rand) (func(), error) {
+	variants := []routed.Faults{
+		{CutAfter: 20}, {SkipEvent: true}, {StallAfter: 15}, {BadEventID: true}, {WrongRequestID: true}, {RefuseStatus: 503}, {Status: 500}, {OmitStamp: true}, {RefuseStatus: 429}, {CopyStatus: 503}, {LoseCopyAnswers: true},
 	}
-	var spoilt []*soakUpstream
-	for range (enginesCount + servicesEach) / 2 {
+	var faulty []*soakUpstream
+	for range (engineCount + serviceCount) / 2 {
 		u := pickUpstream(w, r, "")
-		u.engine.SetFaults(ways[r.IntN(len(ways))])
-		spoilt = append(spoilt, u)
+		u.engine.SetFaults(variants[r.IntN(len(variants))])
+		faulty = append(faulty, u)
 	}
 	return func() {
-		for _, u := range spoilt {
+		for _, u := range faulty {
 			u.engine.SetFaults(routed.Faults{})
 		}
 	}, nil
 }
 
 // storeFault makes the store refuse, answer late, lose answers or forget its history.
-func storeFault(w *world, r *rand.Rand) (func(), error) {
+func storeFault(w *cluster, r *rand.Rand) (func(), error) {
 	switch r.IntN(4) {
 	case 0:
 		w.setStore(fakeplatform.Faults{Down: true})
@@ -209,7 +209,7 @@
 	case 2:
 		w.setStore(fakeplatform.Faults{LateMilliseconds: 1500, LoseAnswers: 3})
 	default:
-		w.platform.ForgetHistory()
+		w.platform.CompactHistory()
 	}
 	return func() { w.setStore(fakeplatform.Faults{}) }, nil
 }
--- a/internal/fake/soak/judge.go
+++ b/internal/fake/soak/judge.go
@@ -20,8 +20,8 @@
 	writtenAt      time.Time
 }
 
-// listed is a word of the platform's list that an upstream leaves.
-type listed struct {
+// listedDrain is a word of the platform's list that an upstream leaves.
+type listedDrain struct {
 	acknowledgedAt time.Time
 	upstream       *soakUpstream
 }
@@ -35,32 +35,32 @@
 	version    int
 }
 
-// judge tells from what was written, asked and answered whether boxes went by the newest
+// changeChecker tells from what was written, asked and answered whether boxes went by the newest
 // configuration in time. It knows nothing of what was done to them but by its functions.
-type judge struct {
-	changes []change // in the order of their writing
-	inTouch func(box string, from, to time.Time) bool
-	oneLife func(box string, from, to time.Time) bool
-	probes  []probe
+type changeChecker struct {
+	changes     []change // in the order of their writing
+	faultFree   func(box string, from, to time.Time) bool
+	undisturbed func(box string, from, to time.Time) bool
+	probes      []probe
 }
 
-// broken returns what broke the rules, and how many answers were judged.
-func (j *judge) broken() (l []string, judged int) {
+// violations returns what broke the rules, and how many answers were judged.
+func (j *changeChecker) violations() (l []string, checked int) {
 	for i := range j.probes {
-		x, ok := j.late(&j.probes[i])
+		x, ok := j.checkProbe(&j.probes[i])
 		if ok {
-			judged++
+			checked++
 		}
 		if x != "" {
 			l = append(l, x)
 		}
 	}
-	return append(l, j.wentBack()...), judged
+	return append(l, j.rollbacks()...), checked
 }
 
-// inForceAfter returns, for each version and box in touch, how long after the acknowledgement
+// applyDelays returns, for each version and box in touch, how long after the acknowledgement
 // the first answer by that version had been asked for.
-func (j *judge) inForceAfter() []time.Duration {
+func (j *changeChecker) applyDelays() []time.Duration {
 	type key struct {
 		box     string
 		version int
@@ -70,7 +70,7 @@
 		c, _ := j.changeOf(p.version)
 		d := p.sentAt.Sub(c.acknowledgedAt)
 		k := key{p.box, p.version}
-		if known, ok := first[k]; p.known && (!ok || d < known) && j.inTouch(p.box, c.writtenAt.Add(-contactBound), p.answeredAt) {
+		if known, ok := first[k]; p.known && (!ok || d < known) && j.faultFree(p.box, c.writtenAt.Add(-contactBound), p.answeredAt) {
 			first[k] = d
 		}
 	}
@@ -83,7 +83,7 @@
 }
 
 // changeOf returns a version's writing, and the next version's; it is zero where there is none.
-func (j *judge) changeOf(version int) (c, next change) {
+func (j *changeChecker) changeOf(version int) (c, next change) {
 	for i, x := range j.changes {
 		if x.version != version {
 			continue
@@ -96,11 +96,11 @@
 	return change{}, change{}
 }
 
-// late tells what is wrong with one answer, and whether it could be judged: whether a box in
+// checkProbe tells what is wrong with one answer, and whether it could be judged: whether a box in
 // touch knows a route later than the bound, or still knows one that the next version lacks.
-func (j *judge) late(p *probe) (wrong string, judged bool) {
+func (j *changeChecker) checkProbe(p *probe) (wrong string, checked bool) {
 	c, next := j.changeOf(p.version)
-	if !j.inTouch(p.box, p.sentAt.Add(-contactBound), p.answeredAt) {
+	if !j.faultFree(p.box, p.sentAt.Add(-contactBound), p.answeredAt) {
 		return "", false
 	}
 	newest := next.writtenAt.IsZero() || p.answeredAt.Before(next.writtenAt)
@@ -119,8 +119,8 @@
 	return "", false
 }
 
-// wentBack returns which boxes went by an older version after a newer one, within one life.
-func (j *judge) wentBack() []string {
+// rollbacks returns which boxes went by an older version after a newer one, within one life.
+func (j *changeChecker) rollbacks() []string {
 	var l []string
 	known := make(map[string]probe) // by box: the answer by the newest version
 	ordered := slices.SortedStableFunc(slices.Values(j.probes), func(a, b probe) int { return cmp.Compare(a.sentAt.UnixNano(), b.sentAt.UnixNano()) })
@@ -128,7 +128,7 @@
 		k, ok := known[p.box]
 		_, next := j.changeOf(p.version)
 		newest := next.writtenAt.IsZero() || p.answeredAt.Before(next.writtenAt)
-		if ok && !p.known && newest && k.version == p.version && p.sentAt.Sub(k.answeredAt) > rollbackBound && j.oneLife(p.box, k.sentAt, p.answeredAt) {
+		if ok && !p.known && newest && k.version == p.version && p.sentAt.Sub(k.answeredAt) > rollbackBound && j.undisturbed(p.box, k.sentAt, p.answeredAt) {
 			l = append(l, fmt.Sprintf("%s went back from version %d %s after it had gone by it", p.box, p.version, p.sentAt.Sub(k.answeredAt).Round(time.Millisecond)))
 		}
 		if p.known && (!ok || p.version > k.version) {
--- a/internal/fake/soak/judge_test.go
+++ b/internal/fake/soak/judge_test.go
@@ -31,13 +31,13 @@
 		{"went back within the slack", []probe{ask(0.1, 3, true), ask(0.3, 3, false)}, 0, 0, 0},
 		{"started again", []probe{ask(0.1, 3, true), ask(1.5, 3, false)}, 1, 0, 0},
 	} {
-		left := func(_ string, from, to time.Time) bool {
+		undisturbed := func(_ string, from, to time.Time) bool {
 			return x.touched == 0 || at(x.touched).Before(from) || at(x.touched).After(to)
 		}
-		j := &judge{changes: changes, inTouch: left, oneLife: left, probes: x.probes}
-		got, judged := j.broken()
-		if len(got) != x.want || judged != x.judged {
-			t.Errorf("%s: got %q, %d judged; want %d broken, %d judged", x.name, got, judged, x.want, x.judged)
+		j := &changeChecker{changes: changes, faultFree: undisturbed, undisturbed: undisturbed, probes: x.probes}
+		got, checked := j.violations()
+		if len(got) != x.want || checked != x.judged {
+			t.Errorf("%s: got %q, %d judged; want %d broken, %d judged", x.name, got, checked, x.want, x.judged)
 		}
 	}
 }
@@ -46,12 +46,12 @@
 func TestJudgeTellsWhenAChangeWasInForce(t *testing.T) {
 	start := time.Unix(1000, 0)
 	always := func(string, time.Time, time.Time) bool { return true }
-	j := &judge{changes: []change{{acknowledgedAt: start, version: 1, writtenAt: start}}, inTouch: always, oneLife: always}
+	j := &changeChecker{changes: []change{{acknowledgedAt: start, version: 1, writtenAt: start}}, faultFree: always, undisturbed: always}
 	for i, known := range []bool{false, true, true} {
 		s := start.Add(time.Duration(i) * 50 * time.Millisecond)
 		j.probes = append(j.probes, probe{answeredAt: s, box: "b", known: known, sentAt: s, version: 1})
 	}
-	if got := j.inForceAfter(); len(got) != 1 || got[0] != 50*time.Millisecond {
+	if got := j.applyDelays(); len(got) != 1 || got[0] != 50*time.Millisecond {
 		t.Errorf("got %v, want 50ms", got)
 	}
 }
--- a/internal/fake/soak/limits.go
+++ b/internal/fake/soak/limits.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	limitBound   = time.Second            // around which a box that was disturbed is excused
-	limitLeast   = 0.2                    // requests a second that an upstream accepts
-	limitMost    = 2.5                    // at the most
-	limitPeriod  = 5 * time.Second        // that an upstream names a limit, before that changes
-	limitPause   = 500 * time.Millisecond // between two upstreams that name one
-	limitsStream = 1<<20 + 4              // of the random numbers, beside the others
+	limitExclusion = time.Second            // around which a box that was disturbed is excused
+	minLimit       = 0.2                    // requests a second that an upstream accepts
+	maxLimit       = 2.5                    // at the most
+	limitPeriod    = 5 * time.Second        // that an upstream names a limit, before that changes
+	limitPause     = 500 * time.Millisecond // between two upstreams that name one
+	limitsStream   = 1<<20 + 4              // of the random numbers, beside the others
 
-	pressCallEvery = 25 * time.Millisecond
-	pressPlanEvery = 100 * time.Millisecond
-	pressPeriod    = 3 * time.Second // for one of these requests
+	loadCallInterval = 25 * time.Millisecond
+	loadPlanInterval = 100 * time.Millisecond
+	loadTimeout      = 3 * time.Second // for one of these requests
 )
 
-// limitsInTurn has an upstream, or all of a service, name a limit, then another one, and then none any
+// runLimits has an upstream, or all of a service, name a limit, then another one, and then none any
 // more, while callers press for more, again and again until the context ends. Some name what is no
 // limit in between.
-func (c *callers) limitsInTurn(ctx context.Context, r *rand.Rand) {
+func (c *callers) runLimits(ctx context.Context, r *rand.Rand) {
 	for n := 0; ctx.Err() == nil; n++ {
 		service := []string{serviceDesk, serviceDesk, serviceLLM}[r.IntN(3)]
-		l := []*soakUpstream{pickUpstream(c.world, r, service)}
+		l := []*soakUpstream{pickUpstream(c.cluster, r, service)}
 		if r.IntN(2) == 0 {
-			l = c.world.of(service)
+			l = c.cluster.upstreamsOf(service)
 		}
-		pressed, release := context.WithCancel(ctx)
+		loadCtx, stopLoad := context.WithCancel(ctx)
 		var g sync.WaitGroup
-		own := rand.New(rand.NewPCG(r.Uint64(), 0))
-		g.Go(func() { c.press(pressed, service, n, own) })
+		rng := rand.New(rand.NewPCG(r.Uint64(), 0))
+		g.Go(func() { c.sendLoad(loadCtx, service, n, rng) })
 		for range 1 + r.IntN(2) {
-			setLimit(l, strconv.FormatFloat(limitLeast+r.Float64()*(limitMost-limitLeast), 'f', 2, 64))
+			setLimit(l, strconv.FormatFloat(minLimit+r.Float64()*(maxLimit-minLimit), 'f', 2, 64))
 			pause(ctx, limitPeriod)
 		}
 		if r.IntN(4) == 0 {
@@ -46,60 +46,60 @@
 			pause(ctx, limitPause)
 		}
 		setLimit(l, "")
-		release()
+		stopLoad()
 		g.Wait()
 		pause(ctx, limitPause)
 	}
 }
 
-// press sends requests to a service, through any box, until the context ends, and waits for their
+// sendLoad sends requests to a service, through any box, until the context ends, and waits for their
 // ends.
-func (c *callers) press(ctx context.Context, service string, number int, r *rand.Rand) {
+func (c *callers) sendLoad(ctx context.Context, service string, number int, r *rand.Rand) {
 	var g sync.WaitGroup
 	defer g.Wait()
 	for i := 0; ctx.Err() == nil; i++ {
-		s := &sent{id: fmt.Sprintf("press-%d-%d", number, i), method: http.MethodGet, path: "/often/x"}
-		every := pressCallEvery
+		s := &callerRequest{id: fmt.Sprintf("press-%d-%d", number, i), method: http.MethodGet, path: "/often/x"}
+		every := loadCallInterval
 		if service == serviceLLM {
 			s.method, s.path, s.tokens = http.MethodPost, "/plan/x", 40
-			every = pressPlanEvery
+			every = loadPlanInterval
 		}
-		box := c.world.boxes[r.IntN(len(c.world.boxes))]
+		box := c.cluster.boxes[r.IntN(len(c.cluster.boxes))]
 		g.Go(func() {
-			call, cancel := context.WithTimeout(context.WithoutCancel(ctx), pressPeriod)
+			callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), loadTimeout)
 			defer cancel()
-			c.call(call, box, s)
+			c.call(callCtx, box, s)
 		})
 		pause(ctx, every)
 	}
 }
 
-// limited checks that no upstream got more than the limits that it named allow.
-func (c *callers) limited() {
-	for _, u := range c.world.every() {
-		if broken := u.engine.OverLimit(func(request string) (string, time.Time) { return c.inTouch(u, request) }); broken != "" {
+// checkLimits checks that no upstream got more than the limits that it named allow.
+func (c *callers) checkLimits() {
+	for _, u := range c.cluster.allUpstreams() {
+		if broken := u.engine.LimitViolation(func(request string) (string, time.Time) { return c.senderOf(u, request) }); broken != "" {
 			c.fail("%s: %s", u.name, broken)
 		}
 	}
 }
 
-// inTouch names the box that sent a request to an upstream, or returns "" where that was disturbed,
+// senderOf names the box that sent a request to an upstream, or returns "" where that was disturbed,
 // or the upstream's link bad, a moment before. A box that was disturbed earlier counts as another one
 // since.
-func (c *callers) inTouch(u *soakUpstream, request string) (box string, sentAt time.Time) {
-	j := c.journeyOf(request)
-	if j.box == nil || !j.box.quiet(j.sentAt.Add(-limitBound), j.sentAt.Add(limitBound)) || u.proxy.badWithin(j.sentAt.Add(-limitBound), j.sentAt) {
+func (c *callers) senderOf(u *soakUpstream, request string) (box string, sentAt time.Time) {
+	j := c.dispatchOf(request)
+	if j.box == nil || !j.box.undisturbed(j.sentAt.Add(-limitExclusion), j.sentAt.Add(limitExclusion)) || u.proxy.faultyWithin(j.sentAt.Add(-limitExclusion), j.sentAt) {
 		return "", j.sentAt
 	}
-	return fmt.Sprintf("%s after %d", j.box.name, j.box.disturbances(j.sentAt)), j.sentAt
+	return fmt.Sprintf("%s after %d", j.box.name, j.box.disturbancesBefore(j.sentAt)), j.sentAt
 }
 
-// disturbances returns how often a box was disturbed before a time.
-func (b *soakBox) disturbances(before time.Time) int {
+// disturbancesBefore returns how often a box was disturbed before a time.
+func (b *soakBox) disturbancesBefore(before time.Time) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	n := 0
-	for _, t := range b.disturbed {
+	for _, t := range b.disturbedAt {
 		if t.Before(before) {
 			n++
 		}
--- a/internal/fake/soak/proxy.go
+++ b/internal/fake/soak/proxy.go
@@ -11,42 +11,42 @@
 
 // The modes of a proxy.
 const (
-	modeDelay  proxyMode = "delay"   // bytes come late
-	modeOneWay proxyMode = "one-way" // nothing comes back
-	modePass   proxyMode = "pass"
-	modeSilent proxyMode = "silent" // nothing passes, and nobody is told
+	modeDelay     proxyMode = "delay"   // bytes come late
+	modeOneWay    proxyMode = "one-way" // nothing comes back
+	modePass      proxyMode = "pass"
+	modeBlackhole proxyMode = "silent" // nothing passes, and nobody is told
 )
 
 // proxy passes the connections of one address on to another one, on loopback, under
 // faults that are switched on and off.
 type proxy struct {
-	bad         []interval // when it did not pass all at once; the last one may last
+	faulty      []interval // when it did not pass all at once; the last one may last
 	closed      chan struct{}
 	connections map[net.Conn]bool
 	listener    net.Listener
 	mode        proxyMode
-	passedAt    time.Time         // when bytes last came back
-	mutex       sync.Mutex        // guards bad, connections, mode, passedAt, silent and target
-	silent      map[net.Conn]bool // what arrives over them is lost, and nobody is told
+	lastReplyAt time.Time         // when bytes last came back
+	mutex       sync.Mutex        // guards bad, connections, mode, lastReplyAt, silent and target
+	stalled     map[net.Conn]bool // what arrives over them is lost, and nobody is told
 	target      string
 	workers     sync.WaitGroup
 }
 
 const (
 	proxyDelay = 150 * time.Millisecond // well beyond any answer's time on loopback
-	proxyLook  = 20 * time.Millisecond  // between looks whether a silent proxy passes again
+	proxyPoll  = 20 * time.Millisecond  // between looks whether a silent proxy passes again
 )
 
-// noted is a connection whose proxy notes when bytes come back over it.
-type noted struct {
+// replyRecorder is a connection whose proxy notes when bytes come back over it.
+type replyRecorder struct {
 	net.Conn
 	proxy *proxy
 }
 
 // Write writes bytes, and notes when.
-func (n *noted) Write(b []byte) (int, error) {
+func (n *replyRecorder) Write(b []byte) (int, error) {
 	n.proxy.mutex.Lock()
-	n.proxy.passedAt = time.Now()
+	n.proxy.lastReplyAt = time.Now()
 	n.proxy.mutex.Unlock()
 	return n.Conn.Write(b)
 }
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{closed: make(chan struct{}), connections: make(map[net.Conn]bool), listener: l, mode: modePass, silent: make(map[net.Conn]bool), target: target}
+	p := &proxy{closed: make(chan struct{}), connections: make(map[net.Conn]bool), listener: l, mode: modePass, stalled: make(map[net.Conn]bool), target: target}
 	p.workers.Go(p.accept)
 	return p, nil
 }
@@ -92,7 +92,7 @@
 	}
 	clear(p.connections)
 	now := time.Now()
-	p.bad = append(p.bad, interval{now, now})
+	p.faulty = append(p.faulty, interval{now, now})
 }
 
 // set switches to a mode.
@@ -101,30 +101,30 @@
 	defer p.mutex.Unlock()
 	p.mode = m
 	now := time.Now()
-	if n := len(p.bad); n > 0 && p.bad[n-1].to.IsZero() {
-		p.bad[n-1].to = now
+	if n := len(p.faulty); n > 0 && p.faulty[n-1].to.IsZero() {
+		p.faulty[n-1].to = now
 	}
 	if m != modePass {
-		p.bad = append(p.bad, interval{from: now})
+		p.faulty = append(p.faulty, interval{from: now})
 	}
 }
 
-// silence makes the open connections carry nothing more, while new ones work.
-func (p *proxy) silence() {
+// stallConnections makes the open connections carry nothing more, while new ones work.
+func (p *proxy) stallConnections() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for c := range p.connections {
-		p.silent[c] = true
+		p.stalled[c] = true
 	}
 	now := time.Now()
-	p.bad = append(p.bad, interval{now, now})
+	p.faulty = append(p.faulty, interval{now, now})
 }
 
-// badWithin reports whether the proxy was bad, or reset its connections, between two moments.
-func (p *proxy) badWithin(from, to time.Time) bool {
+// faultyWithin reports whether the proxy was bad, or reset its connections, between two moments.
+func (p *proxy) faultyWithin(from, to time.Time) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for _, x := range p.bad {
+	for _, x := range p.faulty {
 		if x.from.Before(to) && (x.to.IsZero() || x.to.After(from)) {
 			return true
 		}
@@ -155,20 +155,20 @@
 	p.connections[c], p.connections[d] = true, true
 	p.mutex.Unlock()
 	var g sync.WaitGroup
-	g.Go(func() { p.pass(d, c, modeSilent) })
-	g.Go(func() { p.pass(&noted{c, p}, d, modeSilent, modeOneWay) })
+	g.Go(func() { p.forward(d, c, modeBlackhole) })
+	g.Go(func() { p.forward(&replyRecorder{c, p}, d, modeBlackhole, modeOneWay) })
 	g.Wait()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, x := range []net.Conn{c, d} {
 		delete(p.connections, x)
-		delete(p.silent, x)
+		delete(p.stalled, x)
 	}
 }
 
-// pass copies from one connection to the other; it holds bytes back while the proxy
+// forward copies from one connection to the other; it holds bytes back while the proxy
 // is in one of the modes.
-func (p *proxy) pass(to, from net.Conn, held ...proxyMode) {
+func (p *proxy) forward(to, from net.Conn, blocking ...proxyMode) {
 	defer func() {
 		_ = to.Close()
 		_ = from.Close()
@@ -176,7 +176,7 @@
 	b := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(b)
-		if n > 0 && !p.isSilent(from) && p.wait(held) {
+		if n > 0 && !p.isStalled(from) && p.awaitForwarding(blocking) {
 			if _, err := to.Write(b[:n]); err != nil {
 				return
 			}
@@ -187,22 +187,22 @@
 	}
 }
 
-// passed returns when bytes last came back.
-func (p *proxy) passed() time.Time {
+// lastReply returns when bytes last came back.
+func (p *proxy) lastReply() time.Time {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.passedAt
+	return p.lastReplyAt
 }
 
-// isSilent reports whether what arrives over a connection is lost.
-func (p *proxy) isSilent(c net.Conn) bool {
+// isStalled reports whether what arrives over a connection is lost.
+func (p *proxy) isStalled(c net.Conn) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.silent[c]
+	return p.stalled[c]
 }
 
-// wait waits until bytes may pass, and reports whether the proxy still stands.
-func (p *proxy) wait(held []proxyMode) bool {
+// awaitForwarding waits until bytes may pass, and reports whether the proxy still stands.
+func (p *proxy) awaitForwarding(blocking []proxyMode) bool {
 	for {
 		p.mutex.Lock()
 		m := p.mode
@@ -211,9 +211,9 @@
 		if m == modeDelay {
 			wait = proxyDelay
 		}
-		for _, h := range held {
+		for _, h := range blocking {
 			if m == h {
-				wait = proxyLook
+				wait = proxyPoll
 			}
 		}
 		select {
@@ -221,7 +221,7 @@
 			return false
 		case <-time.After(wait):
 		}
-		if wait != proxyLook {
+		if wait != proxyPoll {
 			return true
 		}
 	}
--- a/internal/fake/soak/rows.go
+++ b/internal/fake/soak/rows.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	rowEvery   = 300 * time.Millisecond // between two rows that name no upstream
-	rowKeys    = 3                      // under which they are written
-	rowsStream = 1<<20 + 3              // of the random numbers, beside the others
+	invalidRowInterval = 300 * time.Millisecond // between two rows that name no upstream
+	invalidRowKeys     = 3                      // under which they are written
+	invalidRowsStream  = 1<<20 + 3              // of the random numbers, beside the others
 )
 
-// foreignRows are values that name no upstream.
-var foreignRows = []string{
+// invalidRows are values that name no upstream.
+var invalidRows = []string{
 	`7`, `"ready"`, `[{}]`, `null`, `{}`, `{"service":7}`, `{"service":"desk","address":"host:1","zone":"a","state":"ready"}`,
 	`{"service":"desk","address":"127.0.0.1","zone":"a","state":"ready"}`, `{"service":"desk","address":"127.0.0.1:1","zone":"a","state":"asleep"}`,
 	`{"service":"desk","address":"127.0.0.1:1","zone":"a","state":"ready","born":-1}`, `{"service":"desk","address":"127.0.0.1:1","zone":"a","state":"ready","models":3}`,
 }
 
-// foreignRowsInTurn writes rows beside those of upstreams that name none, and removes them, until
+// runInvalidRows writes rows beside those of upstreams that name none, and removes them, until
 // the context ends. Some stay.
-func (w *world) foreignRowsInTurn(ctx context.Context, r *rand.Rand) {
+func (w *cluster) runInvalidRows(ctx context.Context, r *rand.Rand) {
 	for ctx.Err() == nil {
-		key := fmt.Sprintf("servers/foreign-%d", r.IntN(rowKeys))
+		key := fmt.Sprintf("servers/foreign-%d", r.IntN(invalidRowKeys))
 		if r.IntN(4) == 0 {
 			w.platform.Remove(key)
 		} else {
-			w.platform.Put(key, json.RawMessage(foreignRows[r.IntN(len(foreignRows))]))
+			w.platform.Put(key, json.RawMessage(invalidRows[r.IntN(len(invalidRows))]))
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(rowEvery):
+		case <-time.After(invalidRowInterval):
 		}
 	}
 }
--- a/internal/fake/soak/soak.go
+++ b/internal/fake/soak/soak.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	callersCount = 12
-	exitBroken   = 1
-	exitUsage    = 2
-	faultEvery   = 700 * time.Millisecond // at the mean, so that faults overlap
-	faultLong    = 2500 * time.Millisecond
-	quietPeriod  = 3 * time.Second  // for the boxes to find each other again
-	servePeriod  = 20 * time.Second // after which every box must serve again
+	callerCount      = 12
+	exitFailure      = 1
+	exitUsage        = 2
+	faultInterval    = 700 * time.Millisecond // at the mean, so that faults overlap
+	maxFaultDuration = 2500 * time.Millisecond
+	settlePeriod     = 3 * time.Second  // for the boxes to find each other again
+	recoveryPeriod   = 20 * time.Second // after which every box must serve again
 )
 
-// quietLog swallows what stand-ins' servers say of connections that faults broke.
-var quietLog = slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug)
+// discardLog swallows what stand-ins' servers say of connections that faults broke.
+var discardLog = slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug)
 
 // Main runs a soak and returns an exit code.
 func Main(arguments []string, output io.Writer) int {
@@ -59,110 +59,110 @@
 	if *seed == 0 {
 		*seed = rand.Uint64N(1 << 32)
 	}
-	broken, err := run(*programs, *seed, *span, extras{changes: *changes, copies: *copies, faults: only, halls: *halls, limits: *limits, many: *many, rows: *rows, wide: *wide, words: *words}, output)
+	violations, err := run(*programs, *seed, *span, activities{changes: *changes, restores: *copies, faults: only, evacuations: *halls, limits: *limits, poisonBursts: *many, invalidRows: *rows, wide: *wide, notices: *words}, output)
 	if err != nil {
 		_, _ = fmt.Fprintln(output, "soak:", err)
-		return exitBroken
+		return exitFailure
 	}
-	for _, b := range broken {
+	for _, b := range violations {
 		_, _ = fmt.Fprintln(output, "BROKEN", b)
 	}
-	if len(broken) > 0 {
-		_, _ = fmt.Fprintf(output, "soak: seed %d broke %d promises\n", *seed, len(broken))
-		return exitBroken
+	if len(violations) > 0 {
+		_, _ = fmt.Fprintf(output, "soak: seed %d broke %d promises\n", *seed, len(violations))
+		return exitFailure
 	}
 	return 0
 }
 
-// extras are what goes on beside the faults that are drawn, each by random numbers of its own.
-type extras struct {
-	changes bool           // the configuration changes often, and connections to the store fall silent
-	copies  bool           // the store comes back from copies
-	faults  *regexp.Regexp // names of those that strike
-	halls   bool           // halls are evacuated, and engines start cold
-	limits  bool           // upstreams name limits
-	many    bool           // poison requests are sent several at once, and for longer
-	rows    bool           // rows that name no upstream are written
-	wide    bool           // nine boxes in three halls
-	words   bool           // upstreams say that they leave, or ask for rest, with their answers, and requests end them
+// activities are what goes on beside the faults that are drawn, each by random numbers of its own.
+type activities struct {
+	changes      bool           // the configuration changes often, and connections to the store fall silent
+	restores     bool           // the store comes back from copies
+	faults       *regexp.Regexp // names of those that strike
+	evacuations  bool           // halls are evacuated, and engines start cold
+	limits       bool           // upstreams name limits
+	poisonBursts bool           // poison requests are sent several at once, and for longer
+	invalidRows  bool           // rows that name no upstream are written
+	wide         bool           // nine boxes in three halls
+	notices      bool           // upstreams say that they leave, or ask for rest, with their answers, and requests end them
 }
 
 // start starts what goes on beside the faults, until the context ends.
-func (x *extras) start(ctx context.Context, g *sync.WaitGroup, seed uint64, c *callers, p *prober) {
-	w := c.world
+func (x *activities) start(ctx context.Context, g *sync.WaitGroup, seed uint64, c *callers, p *prober) {
+	w := c.cluster
 	if x.changes {
 		g.Go(func() { p.runAll(ctx, seed) })
 	}
-	if x.copies {
-		g.Go(func() { w.copiesInTurn(ctx, rand.New(rand.NewPCG(seed, copiesStream))) })
+	if x.restores {
+		g.Go(func() { w.runRestores(ctx, rand.New(rand.NewPCG(seed, restoresStream))) })
 	}
-	if x.halls {
-		g.Go(func() { w.evacuateInTurn(ctx, rand.New(rand.NewPCG(seed, hallsStream))) })
+	if x.evacuations {
+		g.Go(func() { w.runEvacuations(ctx, rand.New(rand.NewPCG(seed, evacuationsStream))) })
 	}
 	if x.limits {
-		g.Go(func() { c.limitsInTurn(ctx, rand.New(rand.NewPCG(seed, limitsStream))) })
+		g.Go(func() { c.runLimits(ctx, rand.New(rand.NewPCG(seed, limitsStream))) })
 	}
-	if x.rows {
-		g.Go(func() { w.foreignRowsInTurn(ctx, rand.New(rand.NewPCG(seed, rowsStream))) })
+	if x.invalidRows {
+		g.Go(func() { w.runInvalidRows(ctx, rand.New(rand.NewPCG(seed, invalidRowsStream))) })
 	}
-	if x.words {
-		g.Go(func() { w.wordsInTurn(ctx, rand.New(rand.NewPCG(seed, wordsStream))) })
-		g.Go(func() { c.deadlyInTurn(ctx, rand.New(rand.NewPCG(seed, deadlyStream)), x.many) })
+	if x.notices {
+		g.Go(func() { w.runNotices(ctx, rand.New(rand.NewPCG(seed, noticesStream))) })
+		g.Go(func() { c.runPoison(ctx, rand.New(rand.NewPCG(seed, poisonStream)), x.poisonBursts) })
 	}
 }
 
 // run runs one soak and returns the promises that were broken.
-func run(programs string, seed uint64, span time.Duration, x extras, output io.Writer) (broken []string, err error) {
-	w, err := newWorld(programs, x.halls, x.wide)
+func run(programs string, seed uint64, span time.Duration, x activities, output io.Writer) (violations []string, err error) {
+	w, err := newCluster(programs, x.evacuations, x.wide)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { w.close(len(broken) > 0 || err != nil) }()
+	defer func() { w.close(len(violations) > 0 || err != nil) }()
 	c := newCallers(w)
-	if !c.allServe() {
-		return nil, fmt.Errorf("the boxes did not serve before any fault: %v", c.counts)
+	if !c.awaitServing() {
+		return nil, fmt.Errorf("the boxes did not serve before any fault: %v", c.statusCounts)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), span)
 	defer cancel()
 	var g sync.WaitGroup
-	for i := range callersCount {
+	for i := range callerCount {
 		g.Go(func() { c.run(ctx, i, rand.New(rand.NewPCG(seed, uint64(i+1)))) })
 	}
 	p := newProber(c)
 	x.start(ctx, &g, seed, c, p)
-	struck := w.strikeAll(ctx, rand.New(rand.NewPCG(seed, 0)), x.faults)
+	injected := w.injectAll(ctx, rand.New(rand.NewPCG(seed, 0)), x.faults)
 	g.Wait()
-	time.Sleep(quietPeriod)
-	if !c.allServe() {
-		c.fail("not every box serves %s after the last fault", servePeriod)
-	}
-	c.inForce()
-	c.evacuated()
-	c.spared()
-	c.heeded()
-	c.limited()
-	c.spentFew()
+	time.Sleep(settlePeriod)
+	if !c.awaitServing() {
+		c.fail("not every box serves %s after the last fault", recoveryPeriod)
+	}
+	c.checkConfiguration()
+	c.checkEvacuations()
+	c.checkColdStarts()
+	c.checkNotices()
+	c.checkLimits()
+	c.checkPoison()
 	p.report(output)
-	if len(w.trouble) > 0 {
-		return c.broken, fmt.Errorf("trouble of its own: %v; logs of the boxes: %s", w.trouble, w.logs.path)
+	if len(w.harnessErrors) > 0 {
+		return c.violations, fmt.Errorf("trouble of its own: %v; logs of the boxes: %s", w.harnessErrors, w.logs.path)
 	}
-	c.settle()
-	_, _ = fmt.Fprintf(output, "soak: seed %d: %d requests that may run once, answers by status %v, faults %v\n", seed, len(c.unsafely), c.counts, struck)
-	if len(c.broken) > 0 {
+	c.checkExecutions()
+	_, _ = fmt.Fprintf(output, "soak: seed %d: %d requests that may run once, answers by status %v, faults %v\n", seed, len(c.atMostOnce), c.statusCounts, injected)
+	if len(c.violations) > 0 {
 		_, _ = fmt.Fprintln(output, "soak: logs of the boxes:", w.logs.path)
 	}
-	return c.broken, nil
+	return c.violations, nil
 }
 
-// allServe waits until every box serves a plan and a call.
-func (c *callers) allServe() bool {
-	until := time.Now().Add(servePeriod)
-	for i, b := range c.world.boxes {
+// awaitServing waits until every box serves a plan and a call.
+func (c *callers) awaitServing() bool {
+	until := time.Now().Add(recoveryPeriod)
+	for i, b := range c.cluster.boxes {
 		for try := 0; ; try++ {
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 			id := fmt.Sprintf("serve-%d-%d-%d", i, try, time.Now().UnixNano())
-			ok := c.call(ctx, b, &sent{id: id + "p", path: "/plan/x", method: "POST", tokens: 40}) &&
-				c.call(ctx, b, &sent{id: id + "c", path: "/often/x", method: "GET"})
+			ok := c.call(ctx, b, &callerRequest{id: id + "p", path: "/plan/x", method: "POST", tokens: 40}) &&
+				c.call(ctx, b, &callerRequest{id: id + "c", path: "/often/x", method: "GET"})
 			cancel()
 			if ok {
 				break
@@ -176,34 +176,34 @@
 	return true
 }
 
-// strikeAll lets faults strike until the context ends, in series and overlapping, and
+// injectAll lets faults strike until the context ends, in series and overlapping, and
 // ends them all: those kinds whose names match. It returns how often each struck.
-func (w *world) strikeAll(ctx context.Context, r *rand.Rand, only *regexp.Regexp) map[string]int {
-	struck := make(map[string]int)
+func (w *cluster) injectAll(ctx context.Context, r *rand.Rand, only *regexp.Regexp) map[string]int {
+	counts := make(map[string]int)
 	var g sync.WaitGroup
 	for ctx.Err() == nil {
 		x := faults[r.IntN(len(faults))]
-		long := time.Duration(r.Int64N(int64(faultLong)))
-		own := rand.New(rand.NewPCG(r.Uint64(), 0))
+		duration := time.Duration(r.Int64N(int64(maxFaultDuration)))
+		rng := rand.New(rand.NewPCG(r.Uint64(), 0))
 		if only.MatchString(x.name) {
-			struck[x.name]++
-			g.Go(func() { strike(w, x, own, long) })
+			counts[x.name]++
+			g.Go(func() { inject(w, x, rng, duration) })
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Duration(r.Int64N(int64(2 * faultEvery)))):
+		case <-time.After(time.Duration(r.Int64N(int64(2 * faultInterval)))):
 		}
 	}
 	g.Wait()
-	return struck
+	return counts
 }
 
-// strike lets a fault strike for a time.
-func strike(w *world, x fault, r *rand.Rand, long time.Duration) {
-	end, err := x.strike(w, r)
+// inject lets a fault strike for a time.
+func inject(w *cluster, x fault, r *rand.Rand, duration time.Duration) {
+	end, err := x.inject(w, r)
 	if err != nil || end == nil {
 		return
 	}
-	time.Sleep(long)
+	time.Sleep(duration)
 	end()
 }
--- a/internal/fake/soak/world.go
+++ b/internal/fake/soak/world.go
@@ -19,92 +19,92 @@
 	"github.com/linetiller/linetiller/internal/process"
 )
 
-// world is what a soak runs: boxes as processes, each behind a proxy of its own and
+// cluster is what a soak runs: boxes as processes, each behind a proxy of its own and
 // with one to the store; engines and services of this process, behind proxies.
-type world struct {
-	boxes   []*soakBox
-	away    []interval // when the store was bad
-	changes []change   // of the configuration
-	cold    bool       // engines start cold
-	emptied []emptied
+type cluster struct {
+	boxes        []*soakBox
+	storeOutages []interval // when the store was bad
+	changes      []change   // of the configuration
+	cold         bool       // engines start cold
+	evacuations  []evacuation
 	// evacuating are the halls that are evacuated now.
-	evacuating map[byte]bool
-	newest     int // version of the configuration
-	directory  string
-	halls      string // a letter each
-	logs       *logFile
-	mutex      sync.Mutex // guards away, changes, crashes, dead, emptied, evacuating, newest, trouble, upstreams and version
-	crashes    []crash
-	dead       []*soakUpstream
-	platform   *fakeplatform.Platform
-	programs   string
-	store      *httptest.Server
-	trouble    []error // of the soak's own
-	upstreams  map[string]*soakUpstream
-	version    int
-	workers    sync.WaitGroup
+	evacuating    map[byte]bool
+	configVersion int // version of the configuration
+	directory     string
+	halls         string // a letter each
+	logs          *logFile
+	mutex         sync.Mutex // guards away, changes, crashes, dead, emptied, evacuating, newest, trouble, upstreams and version
+	crashes       []crash
+	dead          []*soakUpstream
+	platform      *fakeplatform.Platform
+	programs      string
+	store         *httptest.Server
+	harnessErrors []error // of the soak's own
+	upstreams     map[string]*soakUpstream
+	sequence      int
+	workers       sync.WaitGroup
 }
 
 // soakBox is one box.
 type soakBox struct {
-	disturbed []time.Time // when it was killed, stopped, started or paused, or went on
-	entry     *proxy      // between callers and the box
-	mutex     sync.Mutex  // guards disturbed and process
-	name      string
-	process   *process.Process
-	settings  string
-	store     *proxy // between the box and the store
+	disturbedAt []time.Time // when it was killed, stopped, started or paused, or went on
+	entry       *proxy      // between callers and the box
+	mutex       sync.Mutex  // guards disturbed and process
+	name        string
+	process     *process.Process
+	settings    string
+	store       *proxy // between the box and the store
 }
 
 // soakUpstream is one engine or service.
 type soakUpstream struct {
-	cold    interval // when it is cold
-	engine  *routed.Engine
-	leaving bool   // it has said so; the world's lock guards it
-	listed  string // the state of its entry; the world's lock guards it
-	name    string
-	proxy   *proxy
-	server  *httptest.Server
-	service string
+	cold        interval // when it is cold
+	engine      *routed.Engine
+	leaving     bool   // it has said so; the world's lock guards it
+	listedState string // the state of its entry; the world's lock guards it
+	name        string
+	proxy       *proxy
+	server      *httptest.Server
+	service     string
 }
 
 const (
-	boxesCount   = 4 // in two halls
-	wideBoxes    = 9 // in three
-	enginesCount = 4
-	serviceDesk  = "desk"
-	serviceLLM   = "llm"
-	serviceNone  = "none" // is not declared: a box that knows a route there says so at once
-	soakHost     = "soak.example"
-	soakKey      = "soak-key"
-	servicesEach = 2
+	boxCount          = 4 // in two halls
+	wideBoxCount      = 9 // in three
+	engineCount       = 4
+	serviceDesk       = "desk"
+	serviceLLM        = "llm"
+	undeclaredService = "none" // is not declared: a box that knows a route there says so at once
+	soakHost          = "soak.example"
+	soakKey           = "soak-key"
+	serviceCount      = 2
 )
 
-// newWorld starts everything, in two data halls or, where it is wide, in three.
-func newWorld(programs string, cold, wide bool) (*world, error) {
+// newCluster starts everything, in two data halls or, where it is wide, in three.
+func newCluster(programs string, cold, wide bool) (*cluster, error) {
 	d, err := os.MkdirTemp("", "linetiller-soak-")
 	if err != nil {
 		return nil, err
 	}
-	w := &world{cold: cold, directory: d, halls: "ab", logs: newLogFile(filepath.Join(d, "boxes.log")), evacuating: make(map[byte]bool), platform: fakeplatform.New(), programs: programs, upstreams: make(map[string]*soakUpstream)}
+	w := &cluster{cold: cold, directory: d, halls: "ab", logs: newLogFile(filepath.Join(d, "boxes.log")), evacuating: make(map[byte]bool), platform: fakeplatform.New(), programs: programs, upstreams: make(map[string]*soakUpstream)}
 	if wide {
 		w.halls = "abc"
 	}
 	w.store = httptest.NewServer(w.platform)
 	w.configure()
-	for i := range enginesCount {
+	for i := range engineCount {
 		if err := w.startUpstream(fmt.Sprintf("i-%c%d", w.halls[i%len(w.halls)], i), serviceLLM); err != nil {
 			return nil, err
 		}
 	}
-	for i := range servicesEach {
+	for i := range serviceCount {
 		if err := w.startUpstream(fmt.Sprintf("s-%c%d", w.halls[i%len(w.halls)], i), serviceDesk); err != nil {
 			return nil, err
 		}
 	}
-	boxes := boxesCount
+	boxes := boxCount
 	if wide {
-		boxes = wideBoxes
+		boxes = wideBoxCount
 	}
 	for i := range boxes {
 		if err := w.addBox(i); err != nil {
@@ -116,7 +116,7 @@
 }
 
 // addBox makes a box with its proxies and starts it.
-func (w *world) addBox(i int) error {
+func (w *cluster) addBox(i int) error {
 	b := &soakBox{name: fmt.Sprintf("box-%c%d", w.halls[i%len(w.halls)], i)}
 	w.boxes = append(w.boxes, b)
 	addresses, err := freeAddresses(6)
@@ -157,8 +157,8 @@
 	return nil
 }
 
-// all returns the upstreams that stand.
-func (w *world) all() []*soakUpstream {
+// liveUpstreams returns the upstreams that stand.
+func (w *cluster) liveUpstreams() []*soakUpstream {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	var l []*soakUpstream
@@ -168,8 +168,8 @@
 	return l
 }
 
-// box returns the box of a name.
-func (w *world) box(name string) *soakBox {
+// boxNamed returns the box of a name.
+func (w *cluster) boxNamed(name string) *soakBox {
 	for _, b := range w.boxes {
 		if b.name == name {
 			return b
@@ -178,20 +178,20 @@
 	return nil
 }
 
-// inTouch reports whether nothing was done between two moments to a box, its links or the store.
-func (w *world) inTouch(b *soakBox, from, to time.Time) bool {
-	return b.quiet(from, to) && !b.store.badWithin(from, to) && !b.entry.badWithin(from, to) && w.awayWithin(from, to) == 0
+// faultFree reports whether nothing was done between two moments to a box, its links or the store.
+func (w *cluster) faultFree(b *soakBox, from, to time.Time) bool {
+	return b.undisturbed(from, to) && !b.store.faultyWithin(from, to) && !b.entry.faultyWithin(from, to) && w.storeOutageWithin(from, to) == 0
 }
 
-// written returns the versions of the configuration that were written, in order.
-func (w *world) written() []change {
+// writtenChanges returns the versions of the configuration that were written, in order.
+func (w *cluster) writtenChanges() []change {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return append([]change(nil), w.changes...)
 }
 
 // close ends everything that was started; the logs stay where keep is set.
-func (w *world) close(keep bool) {
+func (w *cluster) close(keep bool) {
 	for _, b := range w.boxes {
 		b.mutex.Lock()
 		if b.process != nil {
@@ -202,8 +202,8 @@
 		b.entry.close()
 		b.store.close()
 	}
-	for _, u := range append(w.all(), w.dead...) {
-		u.engine.Die()
+	for _, u := range append(w.liveUpstreams(), w.dead...) {
+		u.engine.Crash()
 		u.proxy.close()
 		u.server.CloseClientConnections()
 		u.server.Close()
@@ -218,19 +218,19 @@
 }
 
 // configure writes a new version of the configuration.
-func (w *world) configure() {
+func (w *cluster) configure() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock() // a later version is written later
-	w.version++
-	w.newest = w.version
-	x := change{version: w.newest, writtenAt: time.Now()}
-	w.putConfiguration(w.newest)
+	w.sequence++
+	w.configVersion = w.sequence
+	x := change{version: w.configVersion, writtenAt: time.Now()}
+	w.putConfiguration(w.configVersion)
 	x.acknowledgedAt = time.Now()
 	w.changes = append(w.changes, x)
 }
 
 // putConfiguration writes a version of the configuration; the lock is held.
-func (w *world) putConfiguration(v int) {
+func (w *cluster) putConfiguration(v int) {
 	route := `{"name":%q,"host":"` + soakHost + `","path_prefix":"/%s/","kind":%q,"timeout_ms":%d,"target_latency_ms":1800,"priority":0,"service":%q,"max_attempts":%d,"resumable":%v}`
 	w.platform.Put("op/config", json.RawMessage(fmt.Sprintf(`{"version":%d,"routes":[`+
 		fmt.Sprintf(route, "plan", "plan", "streaming", 20_000, serviceLLM, 1, false)+","+
@@ -238,28 +238,28 @@
 		fmt.Sprintf(route, "once", "once", "unsafe", 2000, serviceDesk, 1, false)+","+
 		fmt.Sprintf(route, "often", "often", "safe", 2000, serviceDesk, 2, false)+","+
 		fmt.Sprintf(route, "extra", fmt.Sprintf("extra%d", v), "safe", 2000, serviceDesk, 2, false)+","+
-		fmt.Sprintf(route, "probe", fmt.Sprintf("probe%d", v), "safe", 2000, serviceNone, 2, false)+
+		fmt.Sprintf(route, "probe", fmt.Sprintf("probe%d", v), "safe", 2000, undeclaredService, 2, false)+
 		`],"services":[{"name":"llm","engine":{"slots":64,"kv_tokens":34545,"kv_bytes":18432,"link_mbps":2700.0,"moves":true,"stride":4,"models":[{"name":"m"}]},"cold_per_s":%d},{"name":"desk","cold_per_s":%d}],
-"tenants":[{"name":"w","api_keys":[%q]}]}`, v, w.coldBears(), w.coldBears(), soakKey)))
+"tenants":[{"name":"w","api_keys":[%q]}]}`, v, w.declaredColdRate(), w.declaredColdRate(), soakKey)))
 }
 
-// list writes an upstream's entry.
-func (w *world) list(u *soakUpstream, state string) {
+// publishUpstream writes an upstream's entry.
+func (w *cluster) publishUpstream(u *soakUpstream, state string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	u.listed = state
+	u.listedState = state
 	w.putUpstream(u)
 }
 
 // putUpstream writes an upstream's entry; the lock is held.
-func (w *world) putUpstream(u *soakUpstream) {
+func (w *cluster) putUpstream(u *soakUpstream) {
 	left := max(0, time.Until(u.cold.to).Milliseconds())
 	w.platform.Put("servers/"+u.name, json.RawMessage(fmt.Sprintf(
-		`{"service":%q,"address":%q,"zone":"%c","state":%q,"cold_left_ms":%d,"models":[{"name":"m"}]}`, u.service, u.proxy.address(), u.name[2], u.listed, left)))
+		`{"service":%q,"address":%q,"zone":"%c","state":%q,"cold_left_ms":%d,"models":[{"name":"m"}]}`, u.service, u.proxy.address(), u.name[2], u.listedState, left)))
 }
 
-// loseUpstream ends an upstream, whose entry goes later.
-func (w *world) loseUpstream(u *soakUpstream) {
+// removeUpstream ends an upstream, whose entry goes later.
+func (w *cluster) removeUpstream(u *soakUpstream) {
 	w.mutex.Lock()
 	lost := w.upstreams[u.name] != u
 	if !lost {
@@ -270,22 +270,22 @@
 	if lost {
 		return // another fault was first
 	}
-	u.engine.Die()
+	u.engine.Crash()
 	u.server.CloseClientConnections()
 	u.proxy.reset()
 	w.platform.Remove("servers/" + u.name)
 }
 
-// note takes in that the soak itself failed to do something.
-func (w *world) note(err error) {
+// addHarnessError takes in that the soak itself failed to do something.
+func (w *cluster) addHarnessError(err error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.trouble = append(w.trouble, err)
+	w.harnessErrors = append(w.harnessErrors, err)
 }
 
-// peer returns the engine at an address.
-func (w *world) peer(address string) *routed.Engine {
-	for _, u := range w.all() {
+// engineAt returns the engine at an address.
+func (w *cluster) engineAt(address string) *routed.Engine {
+	for _, u := range w.liveUpstreams() {
 		if u.proxy.address() == address {
 			return u.engine
 		}
@@ -293,7 +293,7 @@
 	return nil
 }
 
-func (w *world) startBox(b *soakBox) error {
+func (w *cluster) startBox(b *soakBox) error {
 	p, _, err := process.StartBox(filepath.Join(w.programs, "linetiller"), b.settings, b.name, w.logs)
 	if err != nil {
 		return err
@@ -301,23 +301,23 @@
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.process = p
-	b.disturbed = append(b.disturbed, time.Now())
+	b.disturbedAt = append(b.disturbedAt, time.Now())
 	return nil
 }
 
-func (w *world) startUpstream(name, service string) error {
+func (w *cluster) startUpstream(name, service string) error {
 	s := routed.DefaultSettings()
-	s.EventEvery, s.CopyToken = 10*time.Millisecond, 20*time.Microsecond
-	u := &soakUpstream{engine: routed.New(name, s), listed: "ready", name: name, service: service}
-	u.engine.Peer = w.peer
-	u.engine.Crashed = func(request string) { w.crash(u, request) }
+	s.EventInterval, s.CopyPerToken = 10*time.Millisecond, 20*time.Microsecond
+	u := &soakUpstream{engine: routed.New(name, s), listedState: "ready", name: name, service: service}
+	u.engine.Peer = w.engineAt
+	u.engine.OnCrash = func(request string) { w.recordCrash(u, request) }
 	if w.cold {
 		now := time.Now()
 		u.cold = interval{now, now.Add(coldPeriod)}
 		u.engine.SetCold(u.cold.to, coldPerSecond)
 	}
 	u.server = httptest.NewUnstartedServer(u.engine)
-	u.server.Config.ErrorLog = quietLog
+	u.server.Config.ErrorLog = discardLog
 	u.server.Start()
 	var err error
 	if u.proxy, err = newProxy(u.server.Listener.Addr().String()); err != nil {
@@ -326,7 +326,7 @@
 	w.mutex.Lock()
 	w.upstreams[name] = u
 	w.mutex.Unlock()
-	w.list(u, "ready")
+	w.publishUpstream(u, "ready")
 	return nil
 }
 
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -43,7 +43,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		l, p := link.New(), fakeplatform.New()
-		l.Join("store", p)
+		l.Handle("store", p)
 		f(t.Context(), t, p, newHolder(l, "a"), newHolder(l, "b"))
 	})
 }
@@ -92,7 +92,7 @@
 					b.acquire(ctx, t)
 					time.Sleep(TTL)
 				}
-				p.Copy()
+				p.TakeSnapshot()
 				l := a.acquire(ctx, t)
 				if l == nil {
 					t.Fatal("before the restore: got no lease, want one")
@@ -127,7 +127,7 @@
 // row was lost.
 func TestLeaseIsNotTakenInAnEraUnheardOf(t *testing.T) {
 	withHolders(t, func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, b *holder) {
-		p.Copy()
+		p.TakeSnapshot()
 		a.acquire(ctx, t)
 		p.Restore()
 		if l := b.acquire(ctx, t); l != nil {
--- a/internal/measure/boxes.go
+++ b/internal/measure/boxes.go
@@ -107,7 +107,7 @@
 	}
 	told := make(map[*entryBox]bool)
 	e.scheduler.Each(func(g *engine.Generation) {
-		r := g.Caller.(*request)
+		r := g.UserData.(*request)
 		told[r.box] = true
 		e.owner.Progress(r.work.ID, g.Produced, w.now)
 	})
@@ -140,7 +140,7 @@
 	}
 	r.state, r.place = stateRunning, e
 	r.generation = &engine.Generation{
-		Caller: r, ID: r.work.ID, Max: r.work.MaxTokens, Output: r.output, Prefix: r.work.Prefix, Priority: r.work.Priority, Prompt: r.work.Prompt,
+		UserData: r, ID: r.work.ID, MaxOutput: r.work.MaxTokens, OutputLength: r.output, Prefix: r.work.Prefix, Priority: r.work.Priority, Prompt: r.work.Prompt,
 	}
 	e.scheduler.Submit(r.generation)
 	if !e.busy {
--- a/internal/measure/engines.go
+++ b/internal/measure/engines.go
@@ -49,7 +49,7 @@
 
 // emit takes one token from an engine to its client.
 func (w *world) emit(e *modelEngine, g *engine.Generation, finished bool, at time.Time) {
-	r := g.Caller.(*request)
+	r := g.UserData.(*request)
 	w.tokens++
 	if r.first.IsZero() {
 		r.first = at
@@ -79,7 +79,7 @@
 	}
 	r := policy.Report{
 		AsOf: at, Preemptions: e.scheduler.Preemptions, Running: e.scheduler.Running(),
-		StepSeconds: e.step.Seconds(), UsedTokens: e.scheduler.Used, Waiting: e.scheduler.Waiting(),
+		StepSeconds: e.step.Seconds(), UsedTokens: e.scheduler.UsedTokens, Waiting: e.scheduler.Waiting(),
 	}
 	w.after(reportLag, func() {
 		if !w.scenario.Naive {
--- a/internal/order/reconciler_test.go
+++ b/internal/order/reconciler_test.go
@@ -36,12 +36,12 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		r := &fixture{link: link.New(), platform: fakeplatform.New(), view: resource.NewView()}
-		r.link.Join("platform", r.platform)
+		r.link.Handle("platform", r.platform)
 		r.apply(1, resource.KindModel, "m", `{"maxTokens":10,"default":"v1"}`)
 		for i, n := range []string{"u1", "u2"} {
 			e := engine.NewServer(engine.DefaultSettings(), 0)
 			r.engines = append(r.engines, e)
-			r.link.Join(n, e)
+			r.link.Handle(n, e)
 			r.apply(int64(i+2), resource.KindUpstream, n, `{"address":"http://`+n+`","hall":"a","kvTokens":1,"maxBatch":1,"models":["m"],"type":"engine","checksFence":true}`)
 		}
 		engines := upstream.NewClient(2*time.Second, upstream.WithTransport(r.link))
--- a/internal/placement/surge_test.go
+++ b/internal/placement/surge_test.go
@@ -34,7 +34,7 @@
 )
 
 var surgeEngineSettings = engine.Settings{
-	KVTokens: 21_878, MaxRunning: 24, PrefillChunk: 113, PrefillToken: time.Second / 14_000, StepBase: 7 * time.Millisecond,
+	KVTokens: 21_878, MaxRunning: 24, PrefillChunk: 113, PrefillPerToken: time.Second / 14_000, StepBase: 7 * time.Millisecond,
 }
 
 // surgeRoute describes the requests of one route.
@@ -156,7 +156,7 @@
 					e.owner.Progress(g.ID, g.Produced, now)
 				}
 				if g.Produced == 1 {
-					g.Caller.(chan time.Time) <- now
+					g.UserData.(chan time.Time) <- now
 				}
 			})
 		}
@@ -165,7 +165,7 @@
 		}
 		if !now.Before(report) {
 			report = now.Add(surgeReportInterval)
-			e.owner.SetReport(policy.Report{AsOf: now, Running: e.scheduler.Running(), UsedTokens: e.scheduler.Used, Waiting: e.scheduler.Waiting()}, now)
+			e.owner.SetReport(policy.Report{AsOf: now, Running: e.scheduler.Running(), UsedTokens: e.scheduler.UsedTokens, Waiting: e.scheduler.Waiting()}, now)
 		}
 		if !now.Before(next) || len(done) > 0 {
 			next = now.Add(surgeTick)
@@ -204,7 +204,7 @@
 		e := c.engines[p.Upstream.Name]
 		first := make(chan time.Time, 1)
 		e.mutex.Lock()
-		e.scheduler.Submit(&engine.Generation{Caller: first, ID: w.ID, Max: 1760, Output: x.output, Priority: x.route.priority, Prompt: x.prompt})
+		e.scheduler.Submit(&engine.Generation{UserData: first, ID: w.ID, MaxOutput: 1760, OutputLength: x.output, Priority: x.route.priority, Prompt: x.prompt})
 		e.mutex.Unlock()
 		select {
 		case at := <-first:
--- a/internal/relay/crash_test.go
+++ b/internal/relay/crash_test.go
@@ -22,7 +22,7 @@
 // poisonRequest returns q with a body that crashes every engine that runs it.
 func poisonRequest(q *http.Request) *http.Request {
 	q.Body = http.NoBody
-	r, err := http.NewRequestWithContext(q.Context(), q.Method, q.URL.String(), strings.NewReader(routed.Deadly))
+	r, err := http.NewRequestWithContext(q.Context(), q.Method, q.URL.String(), strings.NewReader(routed.PoisonPrefix))
 	if err != nil {
 		panic(err)
 	}
@@ -33,8 +33,8 @@
 // crashOnPoison takes upstreams down, and counts them, when a poison request crashes them.
 func (r *rig) crashOnPoison() {
 	for n, e := range r.engines {
-		e.Crashed = func(string) {
-			r.link.Down(n, true)
+		e.OnCrash = func(string) {
+			r.link.SetDown(n, true)
 			r.mutex.Lock()
 			defer r.mutex.Unlock()
 			r.crashes++
@@ -104,7 +104,7 @@
 		name  string
 		fault func(r *rig, engine string)
 	}{
-		{"its connections break", func(r *rig, n string) { r.engines[n].SetFaults(routed.Faults{BreakAfter: 10}) }},
+		{"its connections break", func(r *rig, n string) { r.engines[n].SetFaults(routed.Faults{CutAfter: 10}) }},
 		{"it leaves", func(r *rig, n string) {
 			r.list(n, "llm", true)
 			time.AfterFunc(300*time.Millisecond, func() { r.kill(n) })
@@ -176,7 +176,7 @@
 			for _, e := range r.engines {
 				e.SetFaults(f)
 			}
-			q := request(t.Context(), http.MethodPost, "/once/x", fmt.Sprint("id-", i), routed.Deadly)
+			q := request(t.Context(), http.MethodPost, "/once/x", fmt.Sprint("id-", i), routed.PoisonPrefix)
 			_, _, _ = r.do(q)
 			time.Sleep(time.Second)
 		}
@@ -225,7 +225,7 @@
 		withRig(t, 8, 8, func(t *testing.T, r *rig) {
 			r.crashOnPoison()
 			for _, e := range r.engines {
-				e.SetFaults(routed.Faults{CrashAfter: 200 * time.Millisecond})
+				e.SetFaults(routed.Faults{CrashDelay: 200 * time.Millisecond})
 			}
 			for i := range 6 {
 				ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
--- a/internal/relay/evacuation_test.go
+++ b/internal/relay/evacuation_test.go
@@ -118,7 +118,7 @@
 // evacuated: it must not be run again there.
 func TestStreamIsNotResumedInAnEvacuatedHall(t *testing.T) {
 	withRig(t, 2, 0, func(t *testing.T, r *rig) {
-		r.setFaults("u", routed.Faults{BreakAfter: 10})
+		r.setFaults("u", routed.Faults{CutAfter: 10})
 		r.relay.Place = func(_ context.Context, w *policy.Work, avoid map[string]bool) (*placement.Place, error) {
 			if u := r.firstFree(w, avoid); u != nil {
 				return &placement.Place{GrantedAt: time.Now(), Upstream: u}, nil
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -74,7 +74,7 @@
 		time.Sleep(1500 * time.Millisecond)
 		r.kill("u1")
 		g.Wait()
-		if broken := r.engines["u2"].OverLimit(oneBox); broken != "" {
+		if broken := r.engines["u2"].LimitViolation(oneBox); broken != "" {
 			t.Error(broken)
 		}
 		if got, least := complete.Load(), int32(2); got < least {
@@ -94,10 +94,10 @@
 			time.Sleep(500 * time.Millisecond)
 		}
 		failed := make(map[string]bool)
-		for _, v := range r.engines["s1"].Visits() {
+		for _, v := range r.engines["s1"].Arrivals() {
 			failed[v.Request] = true
 		}
-		first := r.engines["s2"].Visits()
+		first := r.engines["s2"].Arrivals()
 		if got, least := len(failed), 1; got < least {
 			t.Fatalf("requests that failed at first: got %d, want at least %d", got, least)
 		}
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -49,25 +49,25 @@
 			r.list("u1", "llm", false)
 		}, 150, true, true},
 		{"no engine has room", 20, func(r *rig) {
-			r.engines["u1"].SetFaults(routed.Faults{FailCopies: http.StatusServiceUnavailable})
+			r.engines["u1"].SetFaults(routed.Faults{CopyStatus: http.StatusServiceUnavailable})
 			notice(r)
 			time.AfterFunc(1500*time.Millisecond, func() { r.kill("u1") })
 		}, 20, false, true},
 		{"the engine ends the generation meanwhile", 20, func(r *rig) {
-			r.engines["u1"].SetFaults(routed.Faults{FailCopies: http.StatusNotFound})
+			r.engines["u1"].SetFaults(routed.Faults{CopyStatus: http.StatusNotFound})
 			notice(r)
 		}, 150, true, true},
 		{"the answers to the copies are lost", 20, func(r *rig) {
-			r.engines["u1"].SetFaults(routed.Faults{LoseCopies: true})
+			r.engines["u1"].SetFaults(routed.Faults{LoseCopyAnswers: true})
 			notice(r)
 			time.AfterFunc(1500*time.Millisecond, func() { r.kill("u1") })
 		}, 20, false, true},
 		{"the next engine refuses", 20, func(r *rig) {
-			r.engines["u2"].SetFaults(routed.Faults{Refuse: http.StatusServiceUnavailable})
+			r.engines["u2"].SetFaults(routed.Faults{RefuseStatus: http.StatusServiceUnavailable})
 			notice(r)
 		}, 150, true, true},
 		{"the next engine sends the last event again", 20, func(r *rig) {
-			r.engines["u2"].SetFaults(routed.Faults{Repeat: true})
+			r.engines["u2"].SetFaults(routed.Faults{RepeatLastEvent: true})
 			notice(r)
 		}, 150, true, true},
 		{"the next engine leaves at once, too", 20, func(r *rig) {
@@ -164,7 +164,7 @@
 	const events = 150
 	for at := events - 30; at < events; at++ {
 		withRig(t, 2, 0, func(t *testing.T, r *rig) {
-			r.engines["u1"].SetFaults(routed.Faults{LateStops: 40 * time.Millisecond})
+			r.engines["u1"].SetFaults(routed.Faults{StopDelay: 40 * time.Millisecond})
 			s, err := r.readStream(planRequest(t.Context(), "id", 4*events), func(n int) {
 				if n == at {
 					r.list("u1", "llm", true)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -89,7 +89,7 @@
 func TestUnknownConfigurationIsNoRefusalForGood(t *testing.T) {
 	withRig(t, 0, 1, func(t *testing.T, r *rig) {
 		x := relay.New(resource.NewView(), placement.NewTracker(func(*policy.Load) {}), policy.NewLengths(), "a", r.metrics, slog.New(slog.DiscardHandler))
-		r.link.Join("box", platform.NewIngress(x, 1<<20))
+		r.link.Handle("box", platform.NewIngress(x, 1<<20))
 		w, _, err := r.do(request(t.Context(), http.MethodPost, "/once/x", "id", ""))
 		if err != nil || w.StatusCode != http.StatusServiceUnavailable || w.Header.Get("Retry-After") == "" {
 			t.Errorf("got %v %v, want 503 with Retry-After", w, err)
@@ -121,13 +121,13 @@
 		repeats     int // of the other one
 	}{
 		{"sound", routed.Faults{}, 200, 200, 1, 1},
-		{"nothing runs", routed.Faults{Refuse: 503}, 503, 503, 0, 0},
-		{"too many", routed.Faults{Refuse: 429}, 503, 503, 0, 0},
+		{"nothing runs", routed.Faults{RefuseStatus: 503}, 503, 503, 0, 0},
+		{"too many", routed.Faults{RefuseStatus: 429}, 503, 503, 0, 0},
 		{"a failure", routed.Faults{Status: 500}, 500, 500, 1, 2},
 		{"the caller's fault", routed.Faults{Status: 400}, 400, 400, 1, 1},
 		{"a promise that the upstream did not make", routed.Faults{Status: 503}, 502, 502, 1, 2},
-		{"another request's answer", routed.Faults{OtherEcho: true}, 502, 502, 1, 2},
-		{"an answer without a mark", routed.Faults{Unsigned: true}, 502, 502, 1, 2},
+		{"another request's answer", routed.Faults{WrongRequestID: true}, 502, 502, 1, 2},
+		{"an answer without a mark", routed.Faults{OmitStamp: true}, 502, 502, 1, 2},
 		{"silence", routed.Faults{Silent: true}, 504, 504, 0, 0},
 	} {
 		t.Run(x.name, func(t *testing.T) {
@@ -165,7 +165,7 @@
 // once by another one.
 func TestRefusalGoesElsewhere(t *testing.T) {
 	withRig(t, 0, 2, func(t *testing.T, r *rig) {
-		r.engines["s1"].SetFaults(routed.Faults{Refuse: http.StatusServiceUnavailable})
+		r.engines["s1"].SetFaults(routed.Faults{RefuseStatus: http.StatusServiceUnavailable})
 		for i := range 20 {
 			id := fmt.Sprint("id-", i)
 			w, body, err := r.do(request(t.Context(), http.MethodPost, "/once/x", id, ""))
@@ -183,7 +183,7 @@
 // skipped, and that this is not charged to the retry budget.
 func TestUnreachableUpstreamCostsNothing(t *testing.T) {
 	withRig(t, 0, 2, func(t *testing.T, r *rig) {
-		r.link.Down("s1", true)
+		r.link.SetDown("s1", true)
 		for i := range 20 {
 			w, _, err := r.do(request(t.Context(), http.MethodPost, "/once/x", fmt.Sprint("id-", i), ""))
 			if err != nil || w.StatusCode != http.StatusOK {
@@ -199,7 +199,7 @@
 func TestServiceOutOfReachIsRefusedAtOnce(t *testing.T) {
 	withRig(t, 0, 3, func(t *testing.T, r *rig) {
 		for _, n := range []string{"s1", "s2", "s3"} {
-			r.link.Down(n, true)
+			r.link.SetDown(n, true)
 		}
 		tried := 0
 		for i := range 100 {
@@ -217,7 +217,7 @@
 		if tried > 3*(outOfReachAttempts+5) {
 			t.Errorf("requests sent in 5 s: got %d, want at most one a second to each and a few at first", tried)
 		}
-		r.link.Down("s2", false)
+		r.link.SetDown("s2", false)
 		time.Sleep(time.Second)
 		served := 0
 		for i := range 4 {
@@ -284,7 +284,7 @@
 // again.
 func TestBrokenStreamDoesNotLookWhole(t *testing.T) {
 	withRig(t, 2, 0, func(t *testing.T, r *rig) {
-		r.engines["u1"].SetFaults(routed.Faults{BreakAfter: 10})
+		r.engines["u1"].SetFaults(routed.Faults{CutAfter: 10})
 		s, err := r.readStream(planRequest(t.Context(), "id", 400), nil)
 		if err != nil || s.events != 10 || s.complete {
 			t.Errorf("got %+v %v, want 10 events and no end", s, err)
@@ -298,7 +298,7 @@
 // TestGapIsNotPassedOn checks that no event is forwarded after a missing one.
 func TestGapIsNotPassedOn(t *testing.T) {
 	withRig(t, 1, 0, func(t *testing.T, r *rig) {
-		r.engines["u1"].SetFaults(routed.Faults{Gap: true})
+		r.engines["u1"].SetFaults(routed.Faults{SkipEvent: true})
 		s, err := r.readStream(planRequest(t.Context(), "id", 400), nil)
 		if err != nil || s.events != 2 || s.complete {
 			t.Errorf("got %+v %v, want 2 events and no end", s, err)
--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -55,7 +55,7 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			withRig(t, 2, 2, func(t *testing.T, r *rig) {
-				r.engines[x.rests].SetFaults(routed.Faults{Refuse: x.status, Rest: x.rest})
+				r.engines[x.rests].SetFaults(routed.Faults{RefuseStatus: x.status, RetryAfter: x.rest})
 				var g sync.WaitGroup
 				began, i := time.Now(), 0
 				for ; time.Since(began) < x.rest; i++ {
@@ -68,22 +68,22 @@
 					time.Sleep(pace)
 				}
 				g.Wait()
-				for _, l := range r.engines[x.rests].Unheeded(oneBox, 0) {
+				for _, l := range r.engines[x.rests].NoticeViolations(oneBox, 0) {
 					t.Error(l)
 				}
-				if got := len(r.engines[x.rests].Visits()); got == 0 {
+				if got := len(r.engines[x.rests].Arrivals()); got == 0 {
 					t.Error("requests at the upstream that asks for back-off: got 0, want at least 1")
 				}
 				r.engines[x.rests].SetFaults(routed.Faults{})
 				time.Sleep(time.Second)
-				before := len(r.engines[x.rests].Visits())
+				before := len(r.engines[x.rests].Arrivals())
 				for range 50 {
 					if err := x.send(r, i); err != nil {
 						t.Errorf("request %d, after the back-off: %v", i, err)
 					}
 					i++
 				}
-				if got := len(r.engines[x.rests].Visits()) - before; got == 0 {
+				if got := len(r.engines[x.rests].Arrivals()) - before; got == 0 {
 					t.Error("requests at the upstream after its back-off: got 0, want some")
 				}
 			})
@@ -96,7 +96,7 @@
 func TestAllUpstreamsRest(t *testing.T) {
 	withRig(t, 2, 2, func(t *testing.T, r *rig) {
 		for n, rest := range map[string]time.Duration{"s1": 3 * time.Second, "s2": 5 * time.Second, "u1": 3 * time.Second, "u2": 5 * time.Second} {
-			r.engines[n].SetFaults(routed.Faults{Refuse: http.StatusServiceUnavailable, Rest: rest})
+			r.engines[n].SetFaults(routed.Faults{RefuseStatus: http.StatusServiceUnavailable, RetryAfter: rest})
 		}
 		send := func(id string) map[string]*response {
 			once, _, err := r.do(request(t.Context(), http.MethodPost, "/once/x", "once-"+id, ""))
@@ -122,7 +122,7 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		for n, e := range r.engines {
-			if got := len(e.Visits()); got != 1 {
+			if got := len(e.Arrivals()); got != 1 {
 				t.Errorf("%s: got %d requests, want 1", n, got)
 			}
 		}
@@ -133,7 +133,7 @@
 // they waited: they must go to another one, and that must not exhaust the retry budget.
 func TestRestBeginsDuringAWait(t *testing.T) {
 	withRig(t, 2, 0, func(t *testing.T, r *rig) {
-		r.engines["u1"].SetFaults(routed.Faults{Refuse: http.StatusServiceUnavailable, Rest: 3 * time.Second})
+		r.engines["u1"].SetFaults(routed.Faults{RefuseStatus: http.StatusServiceUnavailable, RetryAfter: 3 * time.Second})
 		r.relay.Place = func(ctx context.Context, w *policy.Work, avoid map[string]bool) (*placement.Place, error) {
 			u := r.firstFree(w, avoid)
 			time.Sleep(time.Second)
@@ -152,7 +152,7 @@
 			time.Sleep(200 * time.Millisecond)
 		}
 		g.Wait()
-		for _, l := range r.engines["u1"].Unheeded(oneBox, 0) {
+		for _, l := range r.engines["u1"].NoticeViolations(oneBox, 0) {
 			t.Error(l)
 		}
 	})
@@ -164,7 +164,7 @@
 // refused.
 func TestUpstreamThatTurnsAllAwayGetsLittle(t *testing.T) {
 	withRig(t, 0, 3, func(t *testing.T, r *rig) {
-		r.engines["s1"].SetFaults(routed.Faults{Refuse: http.StatusServiceUnavailable})
+		r.engines["s1"].SetFaults(routed.Faults{RefuseStatus: http.StatusServiceUnavailable})
 		const requests = 400
 		served := 0
 		for i := range requests {
@@ -177,17 +177,17 @@
 		if served != requests {
 			t.Errorf("served: got %d, want all %d", served, requests)
 		}
-		got := len(r.engines["s1"].Visits())
+		got := len(r.engines["s1"].Arrivals())
 		if most := requests / 20; got == 0 || got > most {
 			t.Errorf("requests at the upstream: got %d, want some and at most %d", got, most)
 		}
 		r.engines["s1"].SetFaults(routed.Faults{})
 		time.Sleep(10 * time.Second)
-		before := len(r.engines["s1"].Visits())
+		before := len(r.engines["s1"].Arrivals())
 		for i := range 100 {
 			_, _, _ = r.do(request(t.Context(), http.MethodPost, "/once/x", fmt.Sprint("later-", i), ""))
 		}
-		if got := len(r.engines["s1"].Visits()) - before; got < 10 {
+		if got := len(r.engines["s1"].Arrivals()) - before; got < 10 {
 			t.Errorf("of 100 requests once it serves again: got %d, want 10 or more", got)
 		}
 	})
@@ -198,7 +198,7 @@
 // reject requests.
 func TestEngineThatTurnsAllAwayGetsLittle(t *testing.T) {
 	withRig(t, 2, 0, func(t *testing.T, r *rig) {
-		r.engines["u1"].SetFaults(routed.Faults{Refuse: http.StatusServiceUnavailable})
+		r.engines["u1"].SetFaults(routed.Faults{RefuseStatus: http.StatusServiceUnavailable})
 		send := func(streams int, name string) (served int) {
 			for i := range streams {
 				if s, err := r.readStream(planRequest(t.Context(), fmt.Sprint(name, i), 4), nil); err == nil && s.complete {
@@ -211,11 +211,11 @@
 		if got := send(streams, "first-"); got != streams {
 			t.Errorf("served: got %d, want all %d", got, streams)
 		}
-		if got := len(r.engines["u1"].Visits()); got == 0 || got > 8 {
+		if got := len(r.engines["u1"].Arrivals()); got == 0 || got > 8 {
 			t.Errorf("requests at the engine in some 15 s: got %d, want 1 to 8", got)
 		}
 		r.engines["u1"].SetFaults(routed.Faults{})
-		r.engines["u2"].SetFaults(routed.Faults{Refuse: http.StatusServiceUnavailable})
+		r.engines["u2"].SetFaults(routed.Faults{RefuseStatus: http.StatusServiceUnavailable})
 		if got := send(20, "other-"); got != 20 {
 			t.Errorf("served with the other one refusing: got %d, want all 20", got)
 		}
@@ -239,7 +239,7 @@
 			return &placement.Place{GrantedAt: time.Now(), Upstream: r.view.Upstream(name)}, nil
 		}
 		for _, n := range []string{"u1", "u2"} {
-			r.engines[n].SetFaults(routed.Faults{LateStops: 500 * time.Millisecond})
+			r.engines[n].SetFaults(routed.Faults{StopDelay: 500 * time.Millisecond})
 		}
 		var g sync.WaitGroup
 		send := func(id string) {
@@ -255,10 +255,10 @@
 		r.list("u1", "llm", true)
 		r.list("u2", "llm", true)
 		time.Sleep(500 * time.Millisecond) // by now both are copied and the orders to stop are under way
-		r.engines["u3"].SetFaults(routed.Faults{Refuse: http.StatusServiceUnavailable, Rest: 5 * time.Second})
+		r.engines["u3"].SetFaults(routed.Faults{RefuseStatus: http.StatusServiceUnavailable, RetryAfter: 5 * time.Second})
 		send("asker")
 		g.Wait()
-		if got := len(r.engines["u3"].Visits()); got != 1 {
+		if got := len(r.engines["u3"].Arrivals()); got != 1 {
 			t.Errorf("requests at the engine that asked for back-off: got %d, want 1, which it rejected", got)
 		}
 	})
@@ -269,16 +269,16 @@
 func TestFaultOfARequestKeepsNobodyAway(t *testing.T) {
 	withRig(t, 2, 2, func(t *testing.T, r *rig) {
 		for _, n := range []string{"u1", "s1"} {
-			r.engines[n].SetFaults(routed.Faults{Refuse: http.StatusBadRequest})
+			r.engines[n].SetFaults(routed.Faults{RefuseStatus: http.StatusBadRequest})
 		}
 		for i := range 200 {
 			_, _, _ = r.do(planRequest(t.Context(), fmt.Sprint("bad-plan-", i), 4))
 			_, _, _ = r.do(request(t.Context(), http.MethodPost, "/once/x", fmt.Sprint("bad-call-", i), ""))
 		}
-		if got, least := len(r.engines["u1"].Visits()), 200; got < least {
+		if got, least := len(r.engines["u1"].Arrivals()), 200; got < least {
 			t.Errorf("streams at the engine: got %d, want %d", got, least)
 		}
-		if got, least := len(r.engines["s1"].Visits()), 50; got < least {
+		if got, least := len(r.engines["s1"].Arrivals()), 50; got < least {
 			t.Errorf("calls at the service: got %d, want %d or more", got, least)
 		}
 	})
--- a/internal/relay/resume_test.go
+++ b/internal/relay/resume_test.go
@@ -68,16 +68,16 @@
 	}{
 		{"the engine crashes", 10, func(r *rig) { r.kill("u1") }, "u1"},
 		{"the engine breaks off in the middle of an event", -1, func(r *rig) {
-			r.engines["u1"].SetFaults(routed.Faults{BreakAfter: 10})
+			r.engines["u1"].SetFaults(routed.Faults{CutAfter: 10})
 		}, "u1"},
 		{"the engine spoils an event", -1, func(r *rig) {
-			r.engines["u1"].SetFaults(routed.Faults{Spoil: true})
+			r.engines["u1"].SetFaults(routed.Faults{BadEventID: true})
 		}, "u1"},
 		{"the engine leaves out an event", -1, func(r *rig) {
-			r.engines["u1"].SetFaults(routed.Faults{Gap: true})
+			r.engines["u1"].SetFaults(routed.Faults{SkipEvent: true})
 		}, "u1"},
 		{"the engine falls silent", -1, func(r *rig) {
-			r.engines["u1"].SetFaults(routed.Faults{MuteAfter: 10})
+			r.engines["u1"].SetFaults(routed.Faults{StallAfter: 10})
 		}, "u1"},
 		{"the engine is silent from the start", -1, func(r *rig) {
 			r.engines["u1"].SetFaults(routed.Faults{Silent: true})
@@ -86,10 +86,10 @@
 			r.engines["u1"].SetFaults(routed.Faults{Status: http.StatusInternalServerError})
 		}, "u2"},
 		{"the engine's answer has no mark", -1, func(r *rig) {
-			r.engines["u1"].SetFaults(routed.Faults{Unsigned: true})
+			r.engines["u1"].SetFaults(routed.Faults{OmitStamp: true})
 		}, "u2"},
 		{"the engine leaves and goes before its run was copied", 10, func(r *rig) {
-			r.engines["u1"].SetFaults(routed.Faults{FailCopies: http.StatusServiceUnavailable})
+			r.engines["u1"].SetFaults(routed.Faults{CopyStatus: http.StatusServiceUnavailable})
 			r.list("u1", "llm", true)
 			time.AfterFunc(200*time.Millisecond, func() { r.kill("u1") })
 		}, "u1"},
@@ -124,7 +124,7 @@
 func TestResumptionsAreBounded(t *testing.T) {
 	withRig(t, 4, 0, func(t *testing.T, r *rig) {
 		for _, e := range r.engines {
-			e.SetFaults(routed.Faults{BreakAfter: 10})
+			e.SetFaults(routed.Faults{CutAfter: 10})
 		}
 		s, err := r.readStream(checkRequest(t.Context(), 400), nil)
 		if err != nil || s.complete || s.events != 10 {
@@ -140,7 +140,7 @@
 // is used up.
 func TestResumptionTakesFromTheBudget(t *testing.T) {
 	withRig(t, 2, 0, func(t *testing.T, r *rig) {
-		r.engines["u1"].SetFaults(routed.Faults{BreakAfter: 10})
+		r.engines["u1"].SetFaults(routed.Faults{CutAfter: 10})
 		s, err := r.readStream(checkRequest(t.Context(), 400), nil)
 		if err != nil || s.complete || s.events != 10 {
 			t.Errorf("got %+v %v, want 10 events and no end", s, err)
@@ -157,7 +157,7 @@
 func TestFailureIsNotPassedOnAfterAStream(t *testing.T) {
 	withRig(t, 2, 0, func(t *testing.T, r *rig) {
 		r.engines["u1"].SetFaults(routed.Faults{Status: http.StatusInternalServerError})
-		r.engines["u2"].SetFaults(routed.Faults{BreakAfter: 10})
+		r.engines["u2"].SetFaults(routed.Faults{CutAfter: 10})
 		s, err := r.readStream(checkRequest(t.Context(), 400), nil)
 		if err != nil || s.complete || s.events != 10 {
 			t.Errorf("got %+v %v, want 10 events and no end", s, err)
@@ -182,9 +182,9 @@
 func TestEachRunHasAnIDOfItsOwn(t *testing.T) {
 	withRig(t, 4, 0, func(t *testing.T, r *rig) {
 		for _, n := range []string{"u1", "u2"} {
-			r.engines[n].SetFaults(routed.Faults{BreakAfter: 10})
+			r.engines[n].SetFaults(routed.Faults{CutAfter: 10})
 		}
-		r.engines["u3"].SetFaults(routed.Faults{Refuse: http.StatusServiceUnavailable})
+		r.engines["u3"].SetFaults(routed.Faults{RefuseStatus: http.StatusServiceUnavailable})
 		asked := make(map[string]int)
 		r.relay.Place = func(ctx context.Context, w *policy.Work, avoid map[string]bool) (*placement.Place, error) {
 			asked[w.ID]++
--- a/internal/relay/rig_test.go
+++ b/internal/relay/rig_test.go
@@ -71,7 +71,7 @@
 		r.relay.Turn = func(ctx context.Context, u *resource.Upstream, arriving bool, x *policy.Run) (func(), error) {
 			return r.turns.Acquire(ctx, u.Name, arriving, x)
 		}
-		r.link.Join("box", platform.NewIngress(r.relay, 1<<20))
+		r.link.Handle("box", platform.NewIngress(r.relay, 1<<20))
 		r.declareRoutes()
 		for i := range engines {
 			r.start(fmt.Sprintf("u%d", i+1), "llm")
@@ -117,7 +117,7 @@
 	e := routed.New(name, routed.DefaultSettings())
 	e.Peer = func(address string) *routed.Engine { return r.engines[address] }
 	r.engines[name] = e
-	r.link.Join(name, e)
+	r.link.Handle(name, e)
 	r.list(name, service, false)
 }
 
@@ -138,8 +138,8 @@
 
 // kill ends an upstream's process.
 func (r *rig) kill(name string) {
-	r.engines[name].Die()
-	r.link.Down(name, true)
+	r.engines[name].Crash()
+	r.link.SetDown(name, true)
 }
 
 // place places w at the first engine that may be used.
--- a/internal/requestkey/restored_test.go
+++ b/internal/requestkey/restored_test.go
@@ -51,7 +51,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		l, p := link.New(), fakeplatform.New()
-		l.Join("store", p)
+		l.Handle("store", p)
 		newBox := func() *testBox {
 			b := &testBox{Keys: New(platform.NewStore("http://store", platform.WithStoreTransport(l)).Table(), metric.NewSet())}
 			b.Era = b.storeEra
@@ -111,7 +111,7 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			withBoxes(t, func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, b *testBox) {
-				p.Copy()
+				p.TakeSnapshot()
 				a.claim(ctx, t, "first")
 				p.Restore()
 				repeat := func() {
@@ -153,10 +153,10 @@
 	}{{"lost", false, true}, {"older", true, true}, {"lost, unheard", false, false}, {"older, unheard", true, false}} {
 		t.Run(x.name, func(t *testing.T) {
 			withBoxes(t, func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, _ *testBox) {
-				p.Copy()
+				p.TakeSnapshot()
 				c := a.claim(ctx, t, "first")
 				if x.copied {
-					p.Copy()
+					p.TakeSnapshot()
 				}
 				r := c.Record
 				r.Upstream = "u"
@@ -182,7 +182,7 @@
 func TestReleasedKeyStaysReleased(t *testing.T) {
 	withBoxes(t, func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, _ *testBox) {
 		c := a.claim(ctx, t, "first")
-		p.Copy()
+		p.TakeSnapshot()
 		p.Restore()
 		a.learnEra(p)
 		if err := a.Release(ctx, c); err != nil {
@@ -197,7 +197,7 @@
 // an error, not an empty answer.
 func TestAnswerThatTheStoreLost(t *testing.T) {
 	withBoxes(t, func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, _ *testBox) {
-		p.Copy()
+		p.TakeSnapshot()
 		r := record("first")
 		if err := a.StoreAnswer(ctx, testRowKey, &r, strings.Repeat("x", maxInlineBytes+1)); err != nil {
 			t.Fatal(err)
@@ -216,7 +216,7 @@
 // the first check and the write that the store was restored.
 func TestKeyIsNotClaimedAsTheStoreIsRestored(t *testing.T) {
 	withBoxes(t, func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, _ *testBox) {
-		p.Copy()
+		p.TakeSnapshot()
 		p.Restore()
 		if _, _, err := a.Insert(ctx, "request/w/other", record("t")); err == nil {
 			t.Fatal("first claim, which reveals the era: got no error, want a refusal")
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -27,7 +27,7 @@
 			n := fmt.Sprint("desk-", i)
 			x := fakeservice.New()
 			upstreams = append(upstreams, x)
-			l.Join(n, x)
+			l.Handle(n, x)
 			spec := fmt.Sprintf(`{"address":"http://%s","hall":"a","service":"desk","type":"service"}`, n)
 			changes = append(changes, resource.Change{Revision: int64(i + 1), Resource: &resource.Resource{Kind: resource.KindUpstream, Metadata: resource.Metadata{Name: n}, Spec: []byte(spec)}})
 		}
@@ -48,21 +48,21 @@
 // while both upstreams back off.
 func TestServiceThatAsksForRestGetsNone(t *testing.T) {
 	withRouter(t, func(t *testing.T, r *Router, _ *link.Link, upstreams []*fakeservice.Service) {
-		upstreams[0].Rest(3 * time.Second)
+		upstreams[0].SetRetryAfter(3 * time.Second)
 		for range 100 {
 			_, _ = r.get(t.Context())
 			time.Sleep(20 * time.Millisecond)
 		}
-		if got, want := upstreams[0].TurnedAway(), 1; got != want {
+		if got, want := upstreams[0].Refused(), 1; got != want {
 			t.Errorf("rejected calls: got %d, want %d", got, want)
 		}
-		upstreams[1].Rest(3 * time.Second)
+		upstreams[1].SetRetryAfter(3 * time.Second)
 		_, _ = r.get(t.Context())
 		_, err := r.get(t.Context())
 		if got, most := time.Until(fail.RetryAt(err)), time.Second; fail.Reason(err) != "resting" || got <= 0 || got > most {
 			t.Errorf("both backing off: got %v, retry in %s; want reason resting, retry within %s", err, got, most)
 		}
-		upstreams[0].Rest(0)
+		upstreams[0].SetRetryAfter(0)
 		time.Sleep(2 * time.Second)
 		if a, err := r.get(t.Context()); err != nil || a.Status != http.StatusOK {
 			t.Errorf("after the back-off: got %+v, %v; want 200", a, err)
@@ -74,11 +74,11 @@
 // off and the other cannot be reached.
 func TestServiceAtRestWhileTheOtherFails(t *testing.T) {
 	withRouter(t, func(t *testing.T, r *Router, l *link.Link, upstreams []*fakeservice.Service) {
-		upstreams[0].Rest(3 * time.Second)
-		for upstreams[0].TurnedAway() == 0 {
+		upstreams[0].SetRetryAfter(3 * time.Second)
+		for upstreams[0].Refused() == 0 {
 			_, _ = r.get(t.Context())
 		}
-		l.Down("desk-1", true)
+		l.SetDown("desk-1", true)
 		if a, err := r.get(t.Context()); a != nil || fail.Reason(err) == "" || fail.Reason(err) == "internal" {
 			t.Errorf("got %+v, %v; want an error with its reason", a, err)
 		}
--- a/internal/upstream/engine_test.go
+++ b/internal/upstream/engine_test.go
@@ -14,7 +14,7 @@
 // is missing, and none otherwise.
 func TestCacheEventsTellGaps(t *testing.T) {
 	l := link.New()
-	l.Join("u", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	l.Handle("u", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode([]upstream.CacheEvent{{Number: 3, Stored: true}, {Number: 4}, {Number: 6}})
 	}))
 	c := upstream.NewClient(time.Second, upstream.WithTransport(l))
@@ -27,7 +27,7 @@
 			t.Errorf("after %d: got %v, gap %v, %v; want 3 events, gap %v", x.after, events, gap, err, x.want)
 		}
 	}
-	l.Join("u", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	l.Handle("u", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode([]upstream.CacheEvent{{Number: 3}, {Number: 4}})
 	}))
 	if _, gap, err := c.CacheEvents(t.Context(), "http://u", 2); gap || err != nil {
--- a/kept_test.go
+++ b/kept_test.go
@@ -92,8 +92,8 @@
 		f.kill(n)
 	}
 	for _, n := range boxes {
-		f.link.Down(n, false)
-		f.link.Down(n+"-entry", false)
+		f.link.SetDown(n, false)
+		f.link.SetDown(n+"-entry", false)
 		f.startEntryBox(n)
 	}
 	time.Sleep(5 * time.Second)
@@ -221,7 +221,7 @@
 			time.Sleep(10 * time.Second)
 		}},
 		{"the store comes back from a copy that lacks it", func(f *servingFleet) {
-			f.platform.Copy()
+			f.platform.TakeSnapshot()
 			f.serve(10*time.Second, all, servedBody)
 			f.platform.Restore()
 			time.Sleep(20 * time.Second)
@@ -282,13 +282,13 @@
 		}
 		for range 3 {
 			for _, n := range boxesAlternatingHalls {
-				p.send(n, routed.Deadly)
+				p.send(n, routed.PoisonPrefix)
 				time.Sleep(time.Second)
 			}
 			time.Sleep(10 * time.Second)
 			restart()
 		}
-		if got, want := p.crashCount(routed.Deadly), 2; got != want {
+		if got, want := p.crashCount(routed.PoisonPrefix), 2; got != want {
 			t.Errorf("crashes: got %d, want %d", got, want)
 		}
 	})
--- a/leaving_test.go
+++ b/leaving_test.go
@@ -174,14 +174,14 @@
 				})
 				c.sendFromAll(8*time.Second, x.streams)
 				for _, from := range []routed.Sender{c.sender, c.anySender} {
-					if l := r.upstreams[x.upstream].Unheeded(from, leavingBound); len(l) > 0 {
+					if l := r.upstreams[x.upstream].NoticeViolations(from, leavingBound); len(l) > 0 {
 						t.Errorf("requests after the announcement: got %d, want none, the first: %s", len(l), l[0])
 					}
 				}
 				if got, want := c.served, len(c.sent); got != want {
 					t.Errorf("served: got %d, want all %d", got, want)
 				}
-				if len(r.upstreams[x.upstream].Visits()) == 0 {
+				if len(r.upstreams[x.upstream].Arrivals()) == 0 {
 					t.Error("the upstream got no requests, want some before it leaves")
 				}
 			})
@@ -204,7 +204,7 @@
 			c.call(n, "later-"+n)
 		}
 		var got []string
-		for _, v := range r.upstreams["s-a1"].Visits() {
+		for _, v := range r.upstreams["s-a1"].Arrivals() {
 			got = append(got, v.Request)
 		}
 		if want := "first"; strings.Join(got, " ") != want {
--- a/limit_test.go
+++ b/limit_test.go
@@ -82,7 +82,7 @@
 	t.Helper()
 	for n, e := range c.region.upstreams {
 		for _, from := range []routed.Sender{c.sender, c.anySender} {
-			if broken := e.OverLimit(from); broken != "" {
+			if broken := e.LimitViolation(from); broken != "" {
 				t.Errorf("%s: %s", n, broken)
 			}
 		}
@@ -133,8 +133,8 @@
 	restart := func(r *routedRegion, name string) {
 		r.kill(name)
 		time.Sleep(200 * time.Millisecond)
-		r.link.Down(name, false)
-		r.link.Down(name+"-entry", false)
+		r.link.SetDown(name, false)
+		r.link.SetDown(name+"-entry", false)
 		r.startEntryBox(name)
 	}
 	for _, x := range []struct {
@@ -193,7 +193,7 @@
 // requestsSince returns how many requests an upstream got since a time.
 func (r *routedRegion) requestsSince(upstream string, since time.Time) int {
 	n := 0
-	for _, at := range r.upstreams[upstream].Arrivals() {
+	for _, at := range r.upstreams[upstream].ArrivalTimes() {
 		if !at.Before(since) {
 			n++
 		}
--- a/poison_test.go
+++ b/poison_test.go
@@ -54,10 +54,10 @@
 	name := fmt.Sprintf("%s.%d", place, p.starts)
 	p.mutex.Unlock()
 	p.startUpstream(name)
-	p.link.Down(upstreamAddress(name), false)
+	p.link.SetDown(upstreamAddress(name), false)
 	e := p.upstreamAt(upstreamAddress(name))
-	e.CrashedUnder = func(body string) {
-		p.link.Down(upstreamAddress(name), true)
+	e.OnCrashBody = func(body string) {
+		p.link.SetDown(upstreamAddress(name), true)
 		p.mutex.Lock()
 		p.crashes[body] = append(p.crashes[body], time.Now())
 		p.mutex.Unlock()
@@ -125,13 +125,13 @@
 	withPoisonFleet(t, func(_ *testing.T, p *poisonFleet) {
 		for i := range 4 {
 			for _, b := range boxesAlternatingHalls {
-				p.send(b, routed.Deadly)
+				p.send(b, routed.PoisonPrefix)
 				time.Sleep(time.Second)
 			}
 			p.restart(boxesAlternatingHalls[i])
 			time.Sleep(convergencePeriod)
 		}
-		p.checkLateRetries(routed.Deadly, 2)
+		p.checkLateRetries(routed.PoisonPrefix, 2)
 	})
 }
 
@@ -160,11 +160,11 @@
 			withPoisonFleet(t, func(t *testing.T, p *poisonFleet) {
 				x.before(p)
 				for range 5 {
-					p.send("box-a1", routed.Deadly)
+					p.send("box-a1", routed.PoisonPrefix)
 					time.Sleep(time.Second)
 				}
 				time.Sleep(3 * time.Second)
-				before := p.crashCount(routed.Deadly)
+				before := p.crashCount(routed.PoisonPrefix)
 				if before < 2 {
 					t.Fatalf("crashes at first: got %d, want at least 2", before)
 				}
@@ -172,11 +172,11 @@
 				time.Sleep(convergencePeriod)
 				for range 3 {
 					for _, b := range x.boxes {
-						p.send(b, routed.Deadly)
+						p.send(b, routed.PoisonPrefix)
 						time.Sleep(time.Second)
 					}
 				}
-				if got := p.crashCount(routed.Deadly) - before; got != 0 {
+				if got := p.crashCount(routed.PoisonPrefix) - before; got != 0 {
 					t.Errorf("crashes afterwards: got %d, want none", got)
 				}
 			})
@@ -190,13 +190,13 @@
 func TestPoisonRequestForAnHour(t *testing.T) {
 	withPoisonFleet(t, func(_ *testing.T, p *poisonFleet) {
 		for i := range 180 {
-			p.send(boxesAlternatingHalls[i%len(boxesAlternatingHalls)], routed.Deadly)
+			p.send(boxesAlternatingHalls[i%len(boxesAlternatingHalls)], routed.PoisonPrefix)
 			time.Sleep(20 * time.Second)
 			if i == 90 {
 				time.Sleep(4 * time.Minute)
 			}
 		}
-		p.checkLateRetries(routed.Deadly, 2)
+		p.checkLateRetries(routed.PoisonPrefix, 2)
 	})
 }
 
@@ -204,7 +204,7 @@
 func distinctDeadlyBodies(n int) []string {
 	var l []string
 	for i := range n {
-		l = append(l, fmt.Sprint(routed.Deadly, "-", i+1))
+		l = append(l, fmt.Sprint(routed.PoisonPrefix, "-", i+1))
 	}
 	return l
 }
@@ -218,11 +218,11 @@
 		bodies     []string // sent at once
 		minCrashes int      // under each body: others may have crashed the upstreams of one, which then has none
 	}{
-		{"the same, three at once", []string{routed.Deadly, routed.Deadly, routed.Deadly}, 1},
-		{"the same, four at once", []string{routed.Deadly, routed.Deadly, routed.Deadly, routed.Deadly}, 1},
+		{"the same, three at once", []string{routed.PoisonPrefix, routed.PoisonPrefix, routed.PoisonPrefix}, 1},
+		{"the same, four at once", []string{routed.PoisonPrefix, routed.PoisonPrefix, routed.PoisonPrefix, routed.PoisonPrefix}, 1},
 		{"three different ones", distinctDeadlyBodies(3), 1},
 		{"sixteen different ones", distinctDeadlyBodies(16), 0},
-		{"two of two", []string{routed.Deadly + "-1", routed.Deadly + "-2", routed.Deadly + "-1", routed.Deadly + "-2"}, 1},
+		{"two of two", []string{routed.PoisonPrefix + "-1", routed.PoisonPrefix + "-2", routed.PoisonPrefix + "-1", routed.PoisonPrefix + "-2"}, 1},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			withPoisonFleet(t, func(t *testing.T, p *poisonFleet) {
--- a/region_test.go
+++ b/region_test.go
@@ -84,7 +84,7 @@
 		storeTransports: make(map[string]http.RoundTripper),
 		refusedBoxes:    make(map[string]bool), t: t,
 	}
-	r.link.Join("platform", r.platform)
+	r.link.Handle("platform", r.platform)
 	return r
 }
 
@@ -173,7 +173,7 @@
 	e := engine.NewServer(engine.DefaultSettings(), 0)
 	r.engines[name] = e
 	r.setHall(engineHosts[name], name[len(name)-1:])
-	r.link.Join(engineHosts[name], e)
+	r.link.Handle(engineHosts[name], e)
 }
 
 // storeCallsOf returns how many store calls a box has made.
@@ -187,8 +187,8 @@
 func (r *region) startBox(name string, change ...func(*settings.Settings)) {
 	r.t.Helper()
 	b := r.newBox(name, change...)
-	r.link.Join(name, b.clientServer.Handler)
-	r.link.Join(name+"-operator", b.operatorServer.Handler)
+	r.link.Handle(name, b.clientServer.Handler)
+	r.link.Handle(name+"-operator", b.operatorServer.Handler)
 	r.serving.Go(func() { _ = b.Serve(context.Background()) })
 	synctest.Wait()
 }
@@ -239,7 +239,7 @@
 	b := r.boxes[name]
 	delete(r.boxes, name)
 	r.mutex.Unlock()
-	r.link.Down(name, true)
+	r.link.SetDown(name, true)
 	_ = b.Close()
 }
 
--- a/restored_test.go
+++ b/restored_test.go
@@ -67,7 +67,7 @@
 func TestChangeAfterTheStoreWasRestored(t *testing.T) {
 	withRoutedRegion(t, func(_ *testing.T, r *routedRegion) {
 		r.writeVersions(2, 3)
-		r.platform.Copy()
+		r.platform.TakeSnapshot()
 		r.writeVersions(4, 5, 6, 7, 8, 9)
 		time.Sleep(changeBound)
 		r.restoreStore()
@@ -100,7 +100,7 @@
 // its entry again.
 func TestUpstreamsAfterTheStoreWasRestored(t *testing.T) {
 	withRoutedRegion(t, func(_ *testing.T, r *routedRegion) {
-		r.platform.Copy()
+		r.platform.TakeSnapshot()
 		r.listUpstream("i-a1", "draining")
 		r.killUpstream("i-a2")
 		r.startUpstream("i-b3")
@@ -139,7 +139,7 @@
 	withRoutedRegion(t, func(_ *testing.T, r *routedRegion) {
 		r.evacuate(false, "b")
 		time.Sleep(time.Second)
-		r.platform.Copy()
+		r.platform.TakeSnapshot()
 		r.writeVersions(2, 3, 4)
 		r.evacuate(true, "b")
 		r.evacuate(false, "a")
@@ -169,7 +169,7 @@
 // operators write it again without one, while no box can read it: the hall is used again all the same.
 func TestWithdrawnWhileTheStoreWasAway(t *testing.T) {
 	withRoutedRegion(t, func(_ *testing.T, r *routedRegion) {
-		r.platform.Copy()
+		r.platform.TakeSnapshot()
 		r.writeVersions(2, 3, 4)
 		r.evacuate(false, "a")
 		time.Sleep(2 * time.Second)
@@ -187,7 +187,7 @@
 // the other boxes still know it, and its row is written again within 2 s.
 func TestBoxesAfterTheStoreWasRestored(t *testing.T) {
 	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
-		r.platform.Copy()
+		r.platform.TakeSnapshot()
 		r.writeVersions(2, 3, 4)
 		r.startEntryBox("box-a3")
 		time.Sleep(3 * time.Second)
@@ -213,7 +213,7 @@
 	withRoutedRegion(t, func(_ *testing.T, r *routedRegion) {
 		r.startUpstream("i-a3")
 		time.Sleep(time.Second)
-		r.platform.Copy()
+		r.platform.TakeSnapshot()
 		r.writeVersions(2, 3)
 		time.Sleep(time.Second)
 		r.platform.SetFaults(fakeplatform.Faults{Down: true})
@@ -239,7 +239,7 @@
 	withRegion(t, func(t *testing.T, r *region) {
 		r.apply("box-a1", resource.KindPriority, "old", `{"value":1}`)
 		time.Sleep(time.Second)
-		r.platform.Copy()
+		r.platform.TakeSnapshot()
 		r.apply("box-a1", resource.KindPriority, "new", `{"value":2}`)
 		r.apply("box-b1", resource.KindModel, "m", `{"maxTokens":5000}`)
 		r.remove("box-a2", resource.KindPriority, "old")
@@ -269,7 +269,7 @@
 			check("restored")
 		}
 		r.kill("box-b2")
-		r.link.Down("box-b2", false)
+		r.link.SetDown("box-b2", false)
 		r.startBox("box-b2")
 		time.Sleep(3 * time.Second)
 		check("after a box has started")
@@ -293,7 +293,7 @@
 // later.
 func declareAfter(t *testing.T, wait time.Duration) {
 	withRegion(t, func(t *testing.T, r *region) {
-		r.platform.Copy()
+		r.platform.TakeSnapshot()
 		r.platform.Restore()
 		time.Sleep(wait)
 		o := operator.NewClient("http://box-a1-operator", "", &http.Client{Transport: r.link})
@@ -322,12 +322,12 @@
 				r.startEntryBox(name)
 			}
 			time.Sleep(20 * time.Second)
-			r.platform.Copy()
+			r.platform.TakeSnapshot()
 			r.writeVersions(2, 3, 4)
 			time.Sleep(5 * time.Second)
 			tables := []string{"box", "op", "servers"}
 			for _, x := range tables {
-				fullReads -= r.platform.Wholes(x)
+				fullReads -= r.platform.FullReads(x)
 			}
 			r.platform.SetFaults(fakeplatform.Faults{Down: true})
 			time.Sleep(storeDownPeriod)
@@ -337,7 +337,7 @@
 			r.platform.SetFaults(fakeplatform.Faults{})
 			n = r.storeCallsDuring(10 * time.Second)
 			for _, x := range tables {
-				fullReads += r.platform.Wholes(x)
+				fullReads += r.platform.FullReads(x)
 			}
 		})
 		return n, fullReads
--- a/routed_store_test.go
+++ b/routed_store_test.go
@@ -50,8 +50,8 @@
 		r.upstreams["i-a2"].Leave()
 		time.Sleep(1600 * time.Millisecond)
 		for _, n := range []string{"i-a1", "i-a2"} {
-			r.upstreams[n].Die()
-			r.link.Down(upstreamAddress(n), true)
+			r.upstreams[n].Crash()
+			r.link.SetDown(upstreamAddress(n), true)
 		}
 		g.Wait()
 	})
@@ -111,7 +111,7 @@
 		r.platform.SetFaults(fakeplatform.Faults{Down: true})
 		r.kill("box-a2")
 		time.Sleep(time.Second)
-		r.link.Down("box-a2", false)
+		r.link.SetDown("box-a2", false)
 		r.startEntryBox("box-a2")
 		if _, _, status := r.streamPlan("box-a2", "early", routedKey, 40); status != http.StatusServiceUnavailable && status != http.StatusOK {
 			t.Errorf("at once: got status %d, want 503 or 200", status)
@@ -136,13 +136,13 @@
 			r.kill(n)
 		}
 		time.Sleep(time.Second)
-		before := r.platform.Wholes("servers")
+		before := r.platform.FullReads("servers")
 		for _, n := range names {
-			r.link.Down(n, false)
+			r.link.SetDown(n, false)
 			r.startEntryBox(n)
 		}
 		time.Sleep(2 * time.Second)
-		if got, want := r.platform.Wholes("servers")-before, 2; got > want {
+		if got, want := r.platform.FullReads("servers")-before, 2; got > want {
 			t.Errorf("full reads of the list: got %d, want at most %d", got, want)
 		}
 		for _, n := range names {
@@ -202,7 +202,7 @@
 			time.Sleep(40 * time.Millisecond)
 		}
 		time.Sleep(3 * time.Second)
-		if got, want := r.platform.Wholes("servers"), 2; got > want {
+		if got, want := r.platform.FullReads("servers"), 2; got > want {
 			t.Errorf("full reads of the list: got %d, want at most %d", got, want)
 		}
 		for _, n := range names {
@@ -262,7 +262,7 @@
 		time.Sleep(time.Second)
 		r.refuseBoxes("box-b2")
 		r.kill("box-b2")
-		r.link.Down("box-b2", false)
+		r.link.SetDown("box-b2", false)
 		r.startEntryBox("box-b2")
 		time.Sleep(5 * time.Second)
 		want := r.boxes["box-b1"].view.Revisions()[resource.SourceConfiguration]
--- a/routed_test.go
+++ b/routed_test.go
@@ -84,7 +84,7 @@
 	r.upstreams[name] = e
 	r.mutex.Unlock()
 	r.setHall(upstreamAddress(name), name[2:3])
-	r.link.Join(upstreamAddress(name), e)
+	r.link.Handle(upstreamAddress(name), e)
 	r.listUpstream(name, "ready")
 }
 
@@ -102,8 +102,8 @@
 
 // killUpstream ends an upstream without notice, and removes its entry.
 func (r *routedRegion) killUpstream(name string) {
-	r.upstreams[name].Die()
-	r.link.Down(upstreamAddress(name), true)
+	r.upstreams[name].Crash()
+	r.link.SetDown(upstreamAddress(name), true)
 	r.platform.Remove("servers/" + name)
 }
 
@@ -113,7 +113,7 @@
 		s.Timeouts.Platform.Duration = time.Second
 	}
 	r.startBox(name, append(change, entry)...)
-	r.link.Join(name+"-entry", r.boxes[name].entry[0].server.Handler)
+	r.link.Handle(name+"-entry", r.boxes[name].entry[0].server.Handler)
 }
 
 // streamPlan streams a plan of that many tokens through a box, checks its events, and returns their
@@ -286,7 +286,7 @@
 		}
 		time.Sleep(time.Second)
 		for _, n := range names {
-			r.link.Down(n, false)
+			r.link.SetDown(n, false)
 			r.startEntryBox(n)
 		}
 		time.Sleep(2 * time.Second)
