--- a/internal/fake/engine/handlers.go
+++ b/internal/fake/engine/handlers.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// find returns the record that a request names, or answers that there is none;
-// the lock is held.
+// find returns the record of the generation in the path, or answers 404 and returns nil; the lock
+// is held.
 func (s *Server) find(w http.ResponseWriter, r *http.Request) *record {
 	v := s.records[r.PathValue("id")]
 	if v == nil {
--- a/internal/fake/engine/scheduler.go
+++ b/internal/fake/engine/scheduler.go
@@ -1,9 +1,8 @@
-// Package engine is a small stand-in of a model engine: continuous batching,
-// a limited key-value memory, a prefix cache, priorities, preemption,
-// cancellation, resumption and a load report that lags.
+// Package engine is a small fake of a model engine: continuous batching, a limited KV cache, a
+// prefix cache, priorities, preemption, cancellation, resumption and a load report that lags.
 //
-// Scheduler holds the engine's decisions without I/O or a clock, so that the
-// stand-in process and the measurements run the same code.
+// Scheduler makes the engine's decisions without I/O or a clock, so that the fake process and the
+// simulations run the same code.
 package engine
 
 import (
@@ -14,23 +13,23 @@
 
 // Settings describes an engine.
 type Settings struct {
-	KVTokens        int           // memory for prompts and outputs, in tokens
-	MaxRunning      int           // generations that may be in one batch
-	PrefillChunk    int           // prompt tokens computed in one step at most
-	PrefixSlots     int           // prefixes the cache holds
-	PrefillPerToken time.Duration // per prompt token computed
-	StepBase        time.Duration // per step
-	StepPerSequence time.Duration // per generation in the batch and step
+	KVTokens        int           // KV cache for prompts and outputs, in tokens
+	MaxRunning      int           // maximum number of generations in a batch
+	PrefillChunk    int           // maximum number of prompt tokens computed in one step
+	PrefixSlots     int           // number of prefixes that the cache holds
+	PrefillPerToken time.Duration // duration per prompt token computed
+	StepBase        time.Duration // fixed duration of a step
+	StepPerSequence time.Duration // duration per step for each generation in the batch
 }
 
-// Generation is one piece of work in an engine.
+// Generation is one request to generate tokens.
 type Generation struct {
 	Arrival      int64 // order of arrival, from 1
-	UserData     any   // carried along for who submitted it
+	UserData     any   // belongs to whoever submitted it; not used by the scheduler
 	ID           string
-	MaxOutput    int    // output tokens at most
+	MaxOutput    int    // maximum number of output tokens
 	OutputLength int    // output tokens after which it ends by itself
-	Prefix       uint64 // key of its prompt's prefix
+	Prefix       uint64 // key of its prompt's prefix; 0 is not cached
 	Priority     int    // higher goes first
 	Produced     int    // output tokens so far
 	Prompt       int    // prompt tokens
@@ -39,7 +38,7 @@
 	state   State
 }
 
-// State is where a generation stands in the engine.
+// State is the state of a generation in the engine.
 type State string
 
 // The states of a generation.
@@ -53,7 +52,7 @@
 // concurrent use.
 type Scheduler struct {
 	Preemptions int64
-	UsedTokens  int // tokens of memory in use
+	UsedTokens  int // tokens of the KV cache in use
 
 	arrivals int64
 	byID     map[string]*Generation
@@ -66,7 +65,7 @@
 // cachedShare is the share of a prompt that a cached prefix covers.
 const cachedShare = 0.5
 
-// DefaultSettings returns a small engine whose memory fills before its batch.
+// DefaultSettings returns a small engine whose KV cache fills up before its batch does.
 func DefaultSettings() Settings {
 	return Settings{
 		KVTokens:        60_000,
@@ -84,7 +83,7 @@
 	return &Scheduler{byID: make(map[string]*Generation), settings: s}
 }
 
-// Cancel removes a generation and reports whether it was there.
+// Cancel removes a generation and reports whether it existed.
 func (s *Scheduler) Cancel(id string) bool {
 	g := s.byID[id]
 	if g == nil {
@@ -100,7 +99,7 @@
 	return true
 }
 
-// Each calls f with every generation that runs or waits.
+// Each calls f with every running and waiting generation.
 func (s *Scheduler) Each(f func(g *Generation)) {
 	for _, g := range s.running {
 		f(g)
@@ -110,7 +109,7 @@
 	}
 }
 
-// Idle reports whether nothing runs or waits.
+// Idle reports whether no generation runs or waits.
 func (s *Scheduler) Idle() bool {
 	return len(s.byID) == 0
 }
@@ -120,8 +119,9 @@
 	return len(s.running)
 }
 
-// Step computes one step: it starts what fits, preempts what no longer fits,
-// and hands each new token to emit. It returns how long the step took.
+// Step computes one step: it starts the waiting generations that fit, preempts running ones that
+// no longer fit, and passes each generation that produced a token to emit. It returns the duration
+// of the step.
 func (s *Scheduler) Step(emit func(g *Generation, finished bool)) time.Duration {
 	s.admit()
 	s.preempt()
@@ -133,7 +133,8 @@
 	return d
 }
 
-// Submit takes in a generation and reports whether its id was new and it can ever fit.
+// Submit enqueues a generation. It reports false if the ID is in use or the prompt is larger than
+// the KV cache.
 func (s *Scheduler) Submit(g *Generation) bool {
 	if s.byID[g.ID] != nil || g.Prompt+1 > s.settings.KVTokens {
 		return false
@@ -150,12 +151,12 @@
 	return true
 }
 
-// Waiting returns how many generations wait, preempted ones included.
+// Waiting returns how many generations wait, including preempted ones.
 func (s *Scheduler) Waiting() int {
 	return len(s.waiting)
 }
 
-// admit starts waiting generations, in order, while the next one fits.
+// admit starts waiting generations in order, as long as the next one fits.
 func (s *Scheduler) admit() {
 	for len(s.waiting) > 0 && len(s.running) < s.settings.MaxRunning {
 		g := s.waiting[0]
@@ -192,7 +193,7 @@
 	s.running = kept
 }
 
-// insertWaiting keeps the queue by priority, then by arrival.
+// insertWaiting inserts g into the queue, which is ordered by priority, then by arrival.
 func (s *Scheduler) insertWaiting(g *Generation) {
 	i, _ := slices.BinarySearchFunc(s.waiting, g, func(a, b *Generation) int {
 		return cmp.Or(cmp.Compare(b.Priority, a.Priority), cmp.Compare(a.Arrival, b.Arrival))
@@ -200,8 +201,8 @@
 	s.waiting = slices.Insert(s.waiting, i, g)
 }
 
-// preempt preempts, lowest priority and newest first, until a token for every
-// running generation fits.
+// preempt returns running generations to the queue, lowest priority and newest first, until one
+// more token for each running generation fits.
 func (s *Scheduler) preempt() {
 	for len(s.running) > 1 && s.UsedTokens+len(s.running) > s.settings.KVTokens {
 		v := 0
@@ -221,7 +222,8 @@
 	}
 }
 
-// prefill computes up to a chunk of prompt tokens, oldest first.
+// prefill computes up to PrefillChunk prompt tokens, in batch order, and returns how many it
+// computed.
 func (s *Scheduler) prefill() int {
 	left := s.settings.PrefillChunk
 	for _, g := range s.running {
@@ -235,7 +237,7 @@
 	return s.settings.PrefillChunk - left
 }
 
-// touchPrefix reports whether p is cached, and makes it the most recently used.
+// touchPrefix reports whether p is cached, and makes it the most recently used prefix.
 func (s *Scheduler) touchPrefix(p uint64) bool {
 	if p == 0 {
 		return false
@@ -252,7 +254,7 @@
 	return false
 }
 
-// kvTokens returns the memory that g takes while it runs, in tokens.
+// kvTokens returns how many tokens of the KV cache g occupies while it runs.
 func (g *Generation) kvTokens() int {
 	return g.Prompt + g.Produced
 }
--- a/internal/fake/engine/server.go
+++ b/internal/fake/engine/server.go
@@ -13,7 +13,7 @@
 	"github.com/linetiller/linetiller/internal/upstream"
 )
 
-// Server runs a Scheduler in real time behind an engine's interface. It is an
+// Server runs a Scheduler in real time behind the HTTP interface of an engine. It is an
 // http.Handler; Close stops its loop and waits for it.
 type Server struct {
 	mutex         sync.Mutex
@@ -26,9 +26,9 @@
 	role          string
 	instance      string
 	leaving       bool
-	loads         []upstream.Load // recent reports, oldest first
+	loads         []upstream.Load // recent load reports, oldest first
 	mux           *http.ServeMux
-	startRequests int // starts that came, refused ones too
+	startRequests int // including refused ones
 	records       map[string]*record
 	reportLag     time.Duration
 	scheduler     *Scheduler
@@ -37,22 +37,22 @@
 	wake          chan struct{}
 }
 
-// Faults are the switches of the stand-in.
+// Faults selects the faults that the fake injects.
 type Faults struct {
-	CrossFrames       int  `json:"crossFrames"`   // the next streams that carry a frame of another generation
-	CutAfter          int  `json:"cutAfter"`      // streams are cut after that many tokens; 0 is never
-	DuplicateFrames   int  `json:"doubleFrames"`  // the next streams that carry every frame twice
-	SkipFrames        int  `json:"skipFrames"`    // the next streams that leave out a token
-	StallAfter        int  `json:"stallAfter"`    // streams stop without an end after that many tokens
-	IgnoreFence       bool `json:"ignoreFence"`   // orders with an old fence are obeyed
-	LoseStarts        int  `json:"loseStarts"`    // the next starts that take effect without an answer
-	RefuseLeaving     bool `json:"refuseLeaving"` // starts are refused, as by an engine that leaves
-	RetryAfterSeconds int  `json:"restSeconds"`   // starts are refused, and the sender is asked to stay away for so long
+	CrossFrames       int  `json:"crossFrames"`   // how many of the next streams carry a frame of another generation
+	CutAfter          int  `json:"cutAfter"`      // streams are cut after this many tokens; 0 is never
+	DuplicateFrames   int  `json:"doubleFrames"`  // how many of the next streams carry every frame twice
+	SkipFrames        int  `json:"skipFrames"`    // how many of the next streams leave out a token
+	StallAfter        int  `json:"stallAfter"`    // streams stop without an end after this many tokens; 0 is never
+	IgnoreFence       bool `json:"ignoreFence"`   // orders with an outdated fence are obeyed
+	LoseStarts        int  `json:"loseStarts"`    // how many of the next starts take effect without an answer
+	RefuseLeaving     bool `json:"refuseLeaving"` // starts are refused, and the load report says that the engine is leaving
+	RetryAfterSeconds int  `json:"restSeconds"`   // starts are refused with this Retry-After; 0 is off
 }
 
 // record is a generation with the tokens it has produced.
 type record struct {
-	changed    chan struct{} // closed at each token
+	changed    chan struct{} // closed and replaced at each token
 	finish     string
 	generation *Generation
 	readers    int
@@ -62,12 +62,12 @@
 
 const (
 	cacheEventsKept    = 256
-	charactersPerToken = 4 // of a prompt, per token
+	charactersPerToken = 4 // of a prompt
 	maxBodyBytes       = 16 << 20
 	reportsKept        = 64
 )
 
-// NewServer returns a running engine whose load report is late by reportLag.
+// NewServer returns a running engine whose load report lags by reportLag.
 func NewServer(s Settings, reportLag time.Duration) *Server {
 	v := &Server{
 		closed:    make(chan struct{}),
@@ -106,36 +106,36 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-// StartRequests returns how many starts came, those that were refused too.
-func (s *Server) StartRequests() int {
+// SetFaults replaces the injected faults.
+func (s *Server) SetFaults(f Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.startRequests
+	s.faults = f
 }
 
-// SetFaults switches faults on and off.
-func (s *Server) SetFaults(f Faults) {
+// StartRequests returns how many requests to start a generation arrived, including refused ones.
+func (s *Server) StartRequests() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.faults = f
+	return s.startRequests
 }
 
-// Started returns how many generations were ever started.
+// Started returns how many generations were started so far.
 func (s *Server) Started() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.records)
 }
 
-// Token returns the text of token i of the generation of a prompt. It depends
-// on the generation, so that a splice of two runs shows.
+// Token returns the text of token i of a generation. It depends on the generation's ID, so that a
+// stream mixed from two generations is detected.
 func Token(generation string, i int) string {
 	h := fnv.New32a()
 	_, _ = fmt.Fprintf(h, "%s/%d", generation, i)
 	return fmt.Sprintf(" t%d.%04x", i, h.Sum32()&0xffff)
 }
 
-// loop computes steps while there is work, and rests otherwise.
+// loop runs scheduler steps while there is work, and waits otherwise.
 func (s *Server) loop() {
 	defer close(s.done)
 	for {
@@ -156,7 +156,19 @@
 	}
 }
 
-// recordToken records one token of g; the lock is held.
+// recordLoad appends the current load to the reports; the lock is held.
+func (s *Server) recordLoad() {
+	s.loads = append(s.loads, upstream.Load{
+		AsOf: time.Now(), Instance: s.instance, KVTokens: s.settings.KVTokens,
+		Preemptions: s.scheduler.Preemptions, Running: s.scheduler.Running(),
+		StepMicros: s.stepMicros, Used: s.scheduler.UsedTokens, Waiting: s.scheduler.Waiting(),
+	})
+	if len(s.loads) > reportsKept {
+		s.loads = s.loads[1:]
+	}
+}
+
+// recordToken appends a token to the record of g; the lock is held.
 func (s *Server) recordToken(g *Generation, finished bool) {
 	v := s.records[g.ID]
 	if v.finish != "" {
@@ -174,19 +186,8 @@
 	v.end(upstream.FinishStop)
 }
 
-// recordLoad keeps the load as it is now; the lock is held.
-func (s *Server) recordLoad() {
-	s.loads = append(s.loads, upstream.Load{
-		AsOf: time.Now(), Instance: s.instance, KVTokens: s.settings.KVTokens,
-		Preemptions: s.scheduler.Preemptions, Running: s.scheduler.Running(),
-		StepMicros: s.stepMicros, Used: s.scheduler.UsedTokens, Waiting: s.scheduler.Waiting(),
-	})
-	if len(s.loads) > reportsKept {
-		s.loads = s.loads[1:]
-	}
-}
-
-// start enters a generation; the lock is held.
+// start submits a generation to the scheduler; the lock is held. It fails if the ID is in use or
+// the prompt does not fit into the memory.
 func (s *Server) start(v *upstream.Start) (*record, error) {
 	if s.records[v.ID] != nil {
 		return nil, fmt.Errorf("generation %q exists", v.ID)
@@ -211,7 +212,8 @@
 	return x, nil
 }
 
-// step takes the time of a step first and then hands out its tokens.
+// step runs one scheduler step, waits for its duration and then publishes its tokens. It reports
+// false when the server is closed.
 func (s *Server) step() bool {
 	var out []func()
 	s.mutex.Lock()
@@ -244,8 +246,9 @@
 	r.changed = make(chan struct{})
 }
 
-// outputLength reads a length from a prompt that ends in "length=N", so that
-// tests and demonstrations can choose it; others draw one from their text.
+// outputLength returns the output length of a prompt in tokens: N if the prompt contains
+// "length=N", so that tests and demonstrations can choose it, or else a value derived from a hash
+// of the prompt.
 func outputLength(prompt string) int {
 	if _, n, ok := strings.Cut(prompt, "length="); ok {
 		f := strings.Fields(n)
--- a/internal/fake/engine/streams.go
+++ b/internal/fake/engine/streams.go
@@ -9,8 +9,15 @@
 	"github.com/linetiller/linetiller/internal/upstream"
 )
 
-// cutOrStall cuts the stream or stalls it where a fault says so, and reports whether
-// it has ended.
+// closeReader counts a reader of v out.
+func (s *Server) closeReader(v *record) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	v.readers--
+}
+
+// cutOrStall cuts or stalls the stream if a fault asks for it after this many tokens, and reports
+// whether the stream has ended.
 func (s *Server) cutOrStall(r *http.Request, c *http.ResponseController, sent int, f *Faults) bool {
 	if f.CutAfter > 0 && sent >= f.CutAfter {
 		_ = c.Flush()
@@ -27,13 +34,7 @@
 	return true
 }
 
-func (s *Server) closeReader(v *record) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	v.readers--
-}
-
-// openReader counts a reader of v and returns the faults that its stream has.
+// openReader counts a reader of v in and returns the faults of its stream.
 func (s *Server) openReader(v *record) Faults {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -45,7 +46,7 @@
 	return f
 }
 
-// stream writes v's events from a token index until its end or a fault.
+// stream writes the events of v from a token index until its end or a fault.
 func (s *Server) stream(w http.ResponseWriter, r *http.Request, v *record, from int) {
 	f := s.openReader(v)
 	defer s.closeReader(v)
@@ -84,8 +85,8 @@
 	_, _ = w.Write(sse.Append(nil, sse.Event{Data: b}))
 }
 
-// writeWithFaults writes the frame that is the sent-th of its stream, crossed, doubled
-// or left out where a fault says so.
+// writeWithFaults writes the frame number sent of a stream, counted from 1: with another
+// generation's ID, twice or not at all if a fault asks for it.
 func writeWithFaults(w io.Writer, x upstream.Frame, sent int, f *Faults) {
 	const faultyFrame = 3
 	if f.CrossFrames > 0 && sent == faultyFrame {
--- a/internal/fake/link/link.go
+++ b/internal/fake/link/link.go
@@ -1,5 +1,5 @@
-// Package link joins clients and servers in memory, so that tests can run in
-// virtual time, with links that can be cut, and that note each call.
+// Package link connects HTTP clients and handlers in memory, so that tests can run in virtual
+// time. It records each call, and can lose answers and refuse connections.
 package link
 
 import (
@@ -14,7 +14,7 @@
 	"syscall"
 )
 
-// Link is an http.RoundTripper to handlers by host name.
+// Link is an http.RoundTripper that passes requests to handlers by host name.
 type Link struct {
 	mutex       sync.Mutex
 	calls       []string
@@ -25,58 +25,52 @@
 
 // responseWriter is the writing end of one response.
 type responseWriter struct {
-	headerSent bool // its header was sent
+	headerSent bool // the header was sent
 	header     http.Header
-	aborted    bool // the handler broke off before it sent a header
-	ready      chan struct{}
+	aborted    bool          // the handler panicked before it sent a header
+	ready      chan struct{} // closed when the header was sent or the handler ended
 	status     int
 	startOnce  sync.Once
 	writer     *io.PipeWriter
 }
 
-// responseBody is the reading end of one response; closing it hangs up.
+// responseBody is the reading end of one response. Closing it cancels the request.
 type responseBody struct {
 	*io.PipeReader
 	cancel context.CancelFunc
 }
 
-// errAnswerDropped is what a call on a cut link ends with.
-var errAnswerDropped = errors.New("the link is cut")
+// errAnswerDropped is returned for calls to a host whose answers are dropped.
+var errAnswerDropped = errors.New("link: answer of the host dropped")
 
-// New returns a link to no host.
+// New returns a link without hosts.
 func New() *Link {
 	return &Link{dropAnswers: make(map[string]bool), down: make(map[string]bool), hosts: make(map[string]http.Handler)}
 }
 
-// Calls returns the calls made so far, one a line.
+// Calls returns the calls made so far, each as host, method and URI.
 func (l *Link) Calls() []string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return append([]string(nil), l.calls...)
 }
 
-// DropAnswers makes calls to a host reach it while their answers are lost, until on is false.
+// DropAnswers sets whether calls to a host reach it but fail for the client.
 func (l *Link) DropAnswers(host string, on bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.dropAnswers[host] = on
 }
 
-// SetDown makes a host refuse connections, until on is false.
-func (l *Link) SetDown(host string, on bool) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.down[host] = on
-}
-
-// Handle makes h answer for a host.
+// Handle registers the handler for a host.
 func (l *Link) Handle(host string, h http.Handler) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.hosts[host] = h
 }
 
-// RoundTrip makes one call.
+// RoundTrip passes a request to the handler of its host and returns once the header of the
+// response is there.
 func (l *Link) RoundTrip(r *http.Request) (*http.Response, error) {
 	l.mutex.Lock()
 	h, dropAnswer, down := l.hosts[r.URL.Host], l.dropAnswers[r.URL.Host], l.down[r.URL.Host]
@@ -124,7 +118,14 @@
 	}
 }
 
-// Close hangs up.
+// SetDown sets whether a host refuses connections.
+func (l *Link) SetDown(host string, on bool) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.down[host] = on
+}
+
+// Close cancels the request and closes the body.
 func (b *responseBody) Close() error {
 	b.cancel()
 	return b.PipeReader.Close()
--- a/internal/fake/platform/discard.go
+++ b/internal/fake/platform/discard.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// discardWriter takes an answer that is to be lost.
+// discardWriter discards an answer that is to be lost.
 type discardWriter struct{ header http.Header }
 
 func (d *discardWriter) Header() http.Header { return d.header }
--- a/internal/fake/platform/platform.go
+++ b/internal/fake/platform/platform.go
@@ -1,7 +1,7 @@
-// Package platform is a small stand-in of the platform's store: rows in
-// transactions, feeds of changes whose history can be lost, and objects, with
-// switches for outage, slowness, lost and late answers, and for coming back from a
-// copy. It keeps everything in memory and speaks the published protocol.
+// Package platform is a small fake of the platform's store: rows in transactions, change feeds
+// whose history can be compacted, and objects. It can be made unavailable or slow, lose answers,
+// apply writes late, and be restored from a snapshot. It keeps everything in memory and speaks the
+// published protocol.
 package platform
 
 import (
@@ -15,12 +15,12 @@
 	"github.com/linetiller/linetiller/internal/table"
 )
 
-// Faults are the switches of the stand-in.
+// Faults selects the faults that the fake injects.
 type Faults struct {
-	DelayMilliseconds int  `json:"delayMilliseconds"` // before each answer
+	DelayMilliseconds int  `json:"delayMilliseconds"` // delay of each answer
 	Down              bool `json:"down"`              // every call is refused
-	LateMilliseconds  int  `json:"lateMilliseconds"`  // after which a write whose answer is lost takes effect
-	LoseAnswers       int  `json:"loseAnswers"`       // the next writes that take effect without an answer
+	LateMilliseconds  int  `json:"lateMilliseconds"`  // delay after which a write whose answer is lost takes effect
+	LoseAnswers       int  `json:"loseAnswers"`       // how many of the next writes take effect without an answer
 }
 
 // Counters count the calls that reached the store.
@@ -29,24 +29,24 @@
 	Writes int64 `json:"writes"`
 }
 
-// Platform is the stand-in. It is an http.Handler.
+// Platform is a fake of the platform's store. It is an http.Handler.
 type Platform struct {
 	mutex        sync.Mutex
-	changed      chan struct{} // closed at the next change
+	changed      chan struct{} // closed and replaced at each change
 	lastSnapshot snapshot
 	counters     Counters
-	era          int64 // how often the store came back from a copy
+	era          int64 // how often the store was restored from a snapshot
 	faults       Faults
-	compactedTo  int64 // feeds that ask for changes after a lower revision are told that history is gone
+	compactedTo  int64 // feeds that ask for changes after a lower revision are answered that the history is gone
 	mux          *http.ServeMux
 	objects      map[string][]byte
 	revision     int64
-	rows         map[string]table.Row // by table and key; removed ones stay as marks
+	rows         map[string]table.Row // by table and key; removed ones stay as tombstones
 	started      time.Time
-	fullReads    map[string]int // reads from the beginning, by table
+	fullReads    map[string]int // reads from the first row, by table
 }
 
-// maxBodyBytes bounds the body of a call that is read.
+// maxBodyBytes bounds how much of a request's body is read.
 const maxBodyBytes = 16 << 20
 
 // New returns an empty platform.
@@ -79,14 +79,8 @@
 	return p.commit(t)
 }
 
-// Counters returns how often the store was called.
-func (p *Platform) Counters() Counters {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	return p.counters
-}
-
-// CompactHistory makes feeds that are behind start anew.
+// CompactHistory drops the history of changes, so that feeds that are behind must read the table
+// again.
 func (p *Platform) CompactHistory() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -99,7 +93,21 @@
 	p.wakeFeeds()
 }
 
-// Put writes a row, as an operator or an engine does.
+// Counters returns how often the store was called.
+func (p *Platform) Counters() Counters {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return p.counters
+}
+
+// FullReads returns how often a table was read from its first row.
+func (p *Platform) FullReads(name string) int {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return p.fullReads[name]
+}
+
+// Put writes a row, as an operator or an engine would.
 func (p *Platform) Put(key string, value any) {
 	b, err := json.Marshal(value)
 	if err != nil {
@@ -113,7 +121,7 @@
 	p.Commit(&table.Transaction{Writes: []table.Write{{Delete: true, Key: key}}})
 }
 
-// Row returns a row, or nil where none exists.
+// Row returns a row, or nil if there is none.
 func (p *Platform) Row(key string) *table.Row {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -124,7 +132,8 @@
 	return &r
 }
 
-// ServeHTTP answers one call, under the faults that are switched on.
+// ServeHTTP answers one call, subject to the injected faults. The calls of the fake itself, under
+// /fake/, are exempt.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if strings.HasPrefix(r.URL.Path, "/fake/") {
 		p.mux.ServeHTTP(w, r)
@@ -151,7 +160,7 @@
 	}
 }
 
-// SetFaults switches faults on and off.
+// SetFaults replaces the injected faults.
 func (p *Platform) SetFaults(f Faults) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -159,14 +168,39 @@
 	p.wakeFeeds()
 }
 
-// FullReads returns how often a table was read from its beginning.
-func (p *Platform) FullReads(name string) int {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	return p.fullReads[name]
+// applyWithoutAnswer applies a write, after a delay if there is one, and aborts the connection
+// without an answer.
+func (p *Platform) applyWithoutAnswer(r *http.Request, delay time.Duration) {
+	b, _ := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
+	c := r.Clone(r.Context())
+	apply := func() {
+		c.Body = io.NopCloser(strings.NewReader(string(b)))
+		p.mux.ServeHTTP(&discardWriter{header: make(http.Header)}, c)
+	}
+	if delay > 0 {
+		time.AfterFunc(delay, apply)
+	} else {
+		apply()
+	}
+	panic(http.ErrAbortHandler)
+}
+
+// commit applies a transaction; the lock is held.
+func (p *Platform) commit(t *table.Transaction) table.Result {
+	p.counters.Writes++
+	if c := p.failedConditions(t.Conditions); len(c) > 0 {
+		return table.Result{Current: c, Revision: p.revision}
+	}
+	p.revision++
+	for _, w := range t.Writes {
+		p.rows[w.Key] = table.Row{Deleted: w.Delete, Key: w.Key, Revision: p.revision, Value: w.Value}
+	}
+	p.wakeFeeds()
+	return table.Result{Committed: true, Revision: p.revision}
 }
 
-// failedConditions returns the current rows of the conditions where one does not hold.
+// failedConditions returns nil if all conditions hold, and else the current rows of all of them;
+// the lock is held.
 func (p *Platform) failedConditions(c []table.Condition) []table.Row {
 	var rows []table.Row
 	ok := true
@@ -185,40 +219,10 @@
 	return rows
 }
 
-// commit applies a transaction; the lock is held.
-func (p *Platform) commit(t *table.Transaction) table.Result {
-	p.counters.Writes++
-	if c := p.failedConditions(t.Conditions); len(c) > 0 {
-		return table.Result{Current: c, Revision: p.revision}
-	}
-	p.revision++
-	for _, w := range t.Writes {
-		p.rows[w.Key] = table.Row{Deleted: w.Delete, Key: w.Key, Revision: p.revision, Value: w.Value}
-	}
-	p.wakeFeeds()
-	return table.Result{Committed: true, Revision: p.revision}
-}
-
 func (p *Platform) getCounters(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, p.Counters())
 }
 
-// applyWithoutAnswer lets a write take effect, at once or later, and answers nothing.
-func (p *Platform) applyWithoutAnswer(r *http.Request, delay time.Duration) {
-	b, _ := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
-	c := r.Clone(r.Context())
-	apply := func() {
-		c.Body = io.NopCloser(strings.NewReader(string(b)))
-		p.mux.ServeHTTP(&discardWriter{header: make(http.Header)}, c)
-	}
-	if delay > 0 {
-		time.AfterFunc(delay, apply)
-	} else {
-		apply()
-	}
-	panic(http.ErrAbortHandler)
-}
-
 func (p *Platform) putFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
@@ -228,10 +232,10 @@
 	p.SetFaults(f)
 }
 
-// now returns the platform's steady clock in milliseconds. It is not the time of day.
+// now returns the platform's monotonic clock in milliseconds. It is not the time of day.
 func (p *Platform) now() int64 { return 1 + time.Since(p.started).Milliseconds() }
 
-// wakeFeeds wakes the feeds; the lock is held.
+// wakeFeeds wakes the waiting feeds; the lock is held.
 func (p *Platform) wakeFeeds() {
 	close(p.changed)
 	p.changed = make(chan struct{})
--- a/internal/fake/platform/rows.go
+++ b/internal/fake/platform/rows.go
@@ -13,7 +13,7 @@
 	"github.com/linetiller/linetiller/internal/table"
 )
 
-// wireRow is a row on the wire.
+// wireRow is a row in the format of the protocol.
 type wireRow struct {
 	Gone  bool   `json:"gone,omitempty"`
 	Key   string `json:"key"`
@@ -31,17 +31,18 @@
 	Ver   int64     `json:"ver"`
 }
 
-// wireTransaction is a transaction on the wire.
+// wireTransaction is a transaction in the format of the protocol.
 type wireTransaction struct {
 	Expected []wireRow `json:"expected_rev"`
 	Put      []wireRow `json:"put"`
 	Remove   []wireRow `json:"remove"`
 }
 
-// maxRows bounds the rows of one answer, as the platform does.
+// maxRows bounds the rows of one answer, as the real platform does.
 const maxRows = 500
 
-// getFeed answers the changes of a table after a version, as soon as there are some.
+// getFeed answers with the changes of a table after a revision. It waits up to wait_ms for one. It
+// answers 410 if the history after that revision is gone.
 func (p *Platform) getFeed(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.FormValue("after_rev"), 10, 64)
 	if err != nil {
@@ -84,7 +85,7 @@
 	}
 }
 
-// getRows answers a page of a table, in order of key.
+// getRows answers with a page of a table, ordered by key.
 func (p *Platform) getRows(w http.ResponseWriter, r *http.Request) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -104,7 +105,8 @@
 	writeJSON(w, wireRows{More: len(l) > limit, NowMS: p.now(), Rows: l[:min(limit, len(l))], Ver: p.revision})
 }
 
-// postTransaction applies a transaction, or answers the rows that its conditions name.
+// postTransaction applies a transaction. If a condition fails, it answers 412 with the current
+// rows of the conditions.
 func (p *Platform) postTransaction(w http.ResponseWriter, r *http.Request) {
 	x := new(wireTransaction)
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(x); err != nil {
@@ -140,14 +142,14 @@
 	_ = json.NewEncoder(w).Encode(a)
 }
 
-// putRow writes a row, for the demonstration.
+// putRow writes a row directly, for demonstrations.
 func (p *Platform) putRow(_ http.ResponseWriter, r *http.Request) {
 	b, _ := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	p.Commit(&table.Transaction{Writes: []table.Write{{Key: r.PathValue("table") + "/" + r.PathValue("key"), Value: b}}})
 }
 
-// rowsAfter returns the rows of a table written after a revision, in its order; the
-// lock is held.
+// rowsAfter returns the rows of a table written after a revision, in the order they were written;
+// the lock is held.
 func (p *Platform) rowsAfter(name string, after int64) []wireRow {
 	l := []wireRow{}
 	for k, r := range p.rows {
--- a/internal/fake/platform/copy.go
+++ b/internal/fake/platform/snapshot.go
@@ -8,32 +8,25 @@
 	"github.com/linetiller/linetiller/internal/table"
 )
 
-// headerEra tells in every answer how often the store came back from a copy.
+// headerEra is the header of every answer that tells how often the store was restored.
 const headerEra = "Store-Era"
 
-// snapshot is what a copy of the store holds.
+// snapshot is a copy of the store's contents.
 type snapshot struct {
 	objects  map[string][]byte
 	revision int64
 	rows     map[string]table.Row
 }
 
-// TakeSnapshot takes a copy of the store. The store may come back from it.
-func (p *Platform) TakeSnapshot() {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.lastSnapshot = snapshot{objects: maps.Clone(p.objects), revision: p.revision, rows: maps.Clone(p.rows)}
-}
-
-// Era returns how often the store came back from a copy.
+// Era returns how often the store was restored from a snapshot.
 func (p *Platform) Era() int64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.era
 }
 
-// Restore brings the store back from its newest copy: what was written since is gone, its
-// revisions are given out again, and calls that wait end without an answer.
+// Restore replaces the store's contents with the latest snapshot: later writes are lost, their
+// revisions are assigned again, and waiting calls end without an answer.
 func (p *Platform) Restore() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -43,7 +36,14 @@
 	p.wakeFeeds()
 }
 
-// setEraHeader sets the header of the era; the lock is held.
+// TakeSnapshot takes the snapshot that Restore goes back to.
+func (p *Platform) TakeSnapshot() {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.lastSnapshot = snapshot{objects: maps.Clone(p.objects), revision: p.revision, rows: maps.Clone(p.rows)}
+}
+
+// setEraHeader sets the Store-Era header; the lock is held.
 func (p *Platform) setEraHeader(w http.ResponseWriter) {
 	w.Header().Set(headerEra, strconv.FormatInt(p.era, 10))
 }
--- a/internal/fake/routed/visits.go
+++ b/internal/fake/routed/arrivals.go
@@ -6,36 +6,45 @@
 	"time"
 )
 
-// Arrival is a request that reached an engine and was not rejected as meant for another one.
+// Arrival is a request that reached an engine and was not rejected with 421 as meant for another
+// instance.
 type Arrival struct {
-	AnsweredAt time.Time // when its answer's head was written; zero where it has none
+	AnsweredAt time.Time // when the header of its answer was written; zero if there was none
 	At         time.Time
-	Leaving    bool          // the answer says that the engine leaves
-	Limit      float64       // requests a second that the answer names as the engine's limit
-	HasLimit   bool          // it names one
-	Request    string        // its id
-	RetryAfter time.Duration // that the answer asks its sender for, 0 for none
+	Leaving    bool          // the answer says that the engine is leaving
+	Limit      float64       // the rate limit that the answer names, in requests per second
+	HasLimit   bool          // the answer names a rate limit
+	Request    string        // its ID
+	RetryAfter time.Duration // back-off that the answer asks for; 0 for none
 }
 
-// Sender tells which box sent a request and when its caller had sent it there. A box that
-// was started again, or was paused, counts as another one.
+// Sender returns which box sent a request, and when the caller had sent it to that box. A box that
+// was restarted or paused since counts as another one.
 type Sender func(request string) (box string, sentAt time.Time)
 
-// What the pages allow of requests to an engine that rests.
+// Requests that the documented rules allow while an engine asks for back-off.
 const (
-	// BackoffGrace is how long after an answer that asks for rest requests may still come:
-	// they were on their way.
+	// BackoffGrace is how long requests may still arrive after an answer that asks for back-off,
+	// because they were already on their way.
 	BackoffGrace = 500 * time.Millisecond
-	// BackoffMaxRequests is how many requests an engine bears from one box while it rests.
+	// BackoffMaxRequests is how many requests one box may send during the back-off.
 	BackoffMaxRequests = 2
 )
 
-// NoticeViolations returns what the engine got from boxes that had heard from itself that it leaves,
-// from requests sent later than a time after that, or that it wants rest.
+// Arrivals returns the requests that reached the engine, in order.
+func (e *Engine) Arrivals() []Arrival {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	return append([]Arrival(nil), e.arrivals...)
+}
+
+// NoticeViolations returns a description of each violation by a box that had received a notice
+// from this engine: a request sent there later than drain after an answer that the engine is
+// leaving, or too many requests during the back-off that an answer asked for.
 func (e *Engine) NoticeViolations(sender Sender, drain time.Duration) []string {
 	var violations []string
 	l := e.Arrivals()
-	leaving := make(map[string]time.Time) // since when each box knows
+	leaving := make(map[string]time.Time) // when each box was notified
 	for _, v := range l {
 		box, sentAt := sender(v.Request)
 		if at, ok := leaving[box]; ok && sentAt.Sub(at) > drain {
@@ -61,15 +70,8 @@
 	return violations
 }
 
-// Arrivals returns the requests that reached the engine, in order.
-func (e *Engine) Arrivals() []Arrival {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	return append([]Arrival(nil), e.arrivals...)
-}
-
-// recordAnswer notes that the head of the answer to a visit is written, with what it says of the
-// engine.
+// recordAnswer records that the header of the answer to an arrival is written, and adds the
+// headers about the engine's leaving and rate limit.
 func (e *Engine) recordAnswer(h http.Header, arrival int, retryAfter time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/fake/routed/cold.go
+++ b/internal/fake/routed/cold.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// coldStart is how an engine is that has just started: it falls over under many requests.
+// coldStart describes an engine that has just started and crashes under too many requests.
 type coldStart struct {
 	until     time.Time
-	perSecond int // requests that it bears
+	perSecond int // requests that it can serve
 }
 
-// overloadFactor is how many times what a cold engine bears makes it fall over.
+// overloadFactor is the multiple of perSecond, counted over the last second, above which a cold
+// engine crashes.
 const overloadFactor = 2
 
-// ArrivalTimes returns when requests reached the engine that it did not reject as meant for
-// another one.
+// ArrivalTimes returns the times of the requests that reached the engine and were not rejected as
+// meant for another instance.
 func (e *Engine) ArrivalTimes() []time.Time {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -23,15 +24,16 @@
 	return l
 }
 
-// SetCold makes the engine cold until a time, in which it bears so many requests a second.
+// SetCold makes the engine cold until a time, and sets how many requests per second it can serve
+// until then.
 func (e *Engine) SetCold(until time.Time, perSecond int) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.cold = coldStart{until, perSecond}
 }
 
-// arrive notes a request, under which an engine that is cold may fall over, and returns its
-// place among the visits.
+// arrive records a request and returns its index in the arrivals. It crashes a cold engine that
+// gets too many requests.
 func (e *Engine) arrive(request string) (index int) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/fake/routed/copies.go
+++ b/internal/fake/routed/copies.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// kvState is what an engine holds of a run.
+// kvState is the KV cache of a run, on the engine that runs it or as a copy on another one.
 type kvState struct {
-	events  int
-	peer    *Engine // of a copy: the engine that holds the other one, nil where none does
+	events  int     // emitted so far
+	peer    *Engine // set in a copy: the engine that holds the other copy; nil if there is none
 	request string
-	tokens  int
+	tokens  int // size of the cache
 }
 
-// copyTo copies what is new of a run to a peer, which holds it under a handle.
+// copyTo copies the part of a run's KV cache that the peer does not have yet, and stores it there
+// under the handle. It takes as long as the transfer would.
 func (e *Engine) copyTo(p *Engine, x *run, handle string) {
 	e.link <- struct{}{}
 	defer func() { <-e.link }()
@@ -35,7 +36,7 @@
 	p.copies[handle] = &m
 }
 
-// move answers an order to copy a run to another engine.
+// move handles an order to copy a run to another engine. The last copy stops the run here first.
 func (e *Engine) move(w http.ResponseWriter, r *http.Request, f *Faults) {
 	var o struct {
 		ID   string `json:"id"`
@@ -68,7 +69,7 @@
 	e.copyTo(p, x, handle)
 	e.mutex.Lock()
 	dead, made := e.crashed, x.kv.events
-	if o.Last { // it may be taken up here, too
+	if o.Last { // the run may also be resumed here
 		m := x.kv
 		m.peer = p
 		e.copies[handle] = &m
@@ -81,14 +82,14 @@
 	_ = json.NewEncoder(w).Encode(map[string]any{"handle": handle, "made": made})
 }
 
-// release gives up a copy, at both ends.
+// release deletes a copy on this engine and on its peer.
 func (e *Engine) release(handle string) {
 	if m := e.drop(handle); m != nil && m.peer != nil {
 		m.peer.drop(handle)
 	}
 }
 
-// drop forgets a copy and returns it, or nil.
+// drop deletes a copy and returns it, or nil if there is none.
 func (e *Engine) drop(handle string) *kvState {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/fake/routed/engine.go
+++ b/internal/fake/routed/engine.go
@@ -1,7 +1,7 @@
-// Package routed is a small stand-in of the engines and services that requests
-// of routes go to on the users' platform. It speaks the published protocol:
-// streams of events, reports, refusals that say that nothing ran, and copies of a
-// run's memory from which another engine goes on.
+// Package routed is a small fake of the engines and services of the users' platform that requests
+// of routes are sent to. It speaks the published protocol: event streams, load reports, refusals
+// that say that the request did not run, and copies of a run's KV cache with which another engine
+// resumes it.
 package routed
 
 import (
@@ -16,33 +16,34 @@
 	"time"
 )
 
-// Engine is the stand-in. It is an http.Handler.
+// Engine is a fake engine or service. It is an http.Handler.
 type Engine struct {
-	// OnCrash is called with the id of a request that has ended the engine; a seam.
+	// OnCrash is a test hook, called with the ID of the poison request that crashed the engine.
 	OnCrash func(request string)
-	// OnCrashBody is called with the body of a request that has ended the engine; a seam.
+	// OnCrashBody is a test hook, called with the body of the poison request that crashed the
+	// engine.
 	OnCrashBody func(body string)
-	// Peer returns the engine at an address; a seam.
+	// Peer is a test hook that returns the engine at an address, or nil if there is none.
 	Peer func(address string) *Engine
 
 	id       string
 	mutex    sync.Mutex
-	changed  chan struct{} // closed when the engine dies or a run is stopped
+	changed  chan struct{} // closed and replaced when the engine crashes
 	cold     coldStart
 	copies   map[string]*kvState
 	crashed  bool
 	faults   Faults
 	leaving  bool
-	limit    string        // of requests a second, as its answers name it; "" for none
-	link     chan struct{} // holds one while a copy goes over the link; a channel, so that virtual time goes on
+	limit    string        // in requests per second, as answers name it; "" for none
+	link     chan struct{} // semaphore of the link that copies use; a channel, because waiting for a mutex would stop virtual time
 	requests []http.Header
 	runs     map[string]*run
 	settings Settings
-	started  map[string]int // by request: runs from their beginning
+	started  map[string]int // by request ID: runs that were started from the first event
 	arrivals []Arrival
 }
 
-// New returns an engine of that id.
+// New returns an engine with an ID.
 func New(id string, s Settings) *Engine {
 	return &Engine{
 		OnCrash: func(string) {}, OnCrashBody: func(string) {},
@@ -51,11 +52,12 @@
 	}
 }
 
-// PoisonPrefix is how the body of a request begins that ends each engine which it reaches.
+// PoisonPrefix is the beginning of the body of a poison request, which crashes every engine that
+// it reaches.
 const PoisonPrefix = "deadly"
 
-// Event returns the data of event n of a request, which is the same at every
-// engine, as that of one generation is.
+// Event returns the data of event n of a request. It is the same on every engine, so that a
+// resumed stream can be checked.
 func Event(request string, n int) string {
 	h := fnv.New32a()
 	_, _ = fmt.Fprintf(h, "%s/%d", request, n)
@@ -69,7 +71,7 @@
 	return len(e.copies)
 }
 
-// Crash ends the engine: its streams break off, and it answers nothing any more.
+// Crash ends the engine: its streams break off, and it answers no more calls.
 func (e *Engine) Crash() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -77,7 +79,7 @@
 	e.wakeStreams()
 }
 
-// Leave makes the engine's report and all its answers say that it is leaving.
+// Leave makes the engine's load report and all its answers say that it is leaving.
 func (e *Engine) Leave() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -91,14 +93,14 @@
 	return append([]http.Header(nil), e.requests...)
 }
 
-// Running returns how many requests are at work.
+// Running returns how many requests the engine is processing.
 func (e *Engine) Running() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return len(e.runs)
 }
 
-// SetFaults switches faults on and off.
+// SetFaults replaces the injected faults.
 func (e *Engine) SetFaults(f Faults) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -136,28 +138,20 @@
 	}
 }
 
-// refuse answers that nothing ran.
+// refuse answers that the request did not run.
 func (e *Engine) refuse(w http.ResponseWriter, status int) {
 	w.Header().Set("X-Linetiller-Not-Executed", "1")
 	w.WriteHeader(status)
 }
 
-// refuseArrival answers that a request which reached the engine did not run, and for how long
-// the engine wants rest.
+// refuseArrival answers with RefuseStatus that an arrival did not run, and asks for back-off if
+// the faults say so.
 func (e *Engine) refuseArrival(w http.ResponseWriter, arrival int, f *Faults) {
 	e.writeStateHeaders(w.Header(), arrival, f.RetryAfter)
 	e.refuse(w, f.RefuseStatus)
 }
 
-// writeStateHeaders writes what an answer says of the engine itself.
-func (e *Engine) writeStateHeaders(h http.Header, arrival int, retryAfter time.Duration) {
-	e.recordAnswer(h, arrival, retryAfter)
-	if retryAfter > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
-	}
-}
-
-// report answers how loaded the engine is.
+// report answers with the engine's load.
 func (e *Engine) report(w http.ResponseWriter) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -211,7 +205,7 @@
 		e.stream(w, r, arrival, f)
 		return
 	}
-	if r.Header.Get("Kv-From") == "" { // or it is still the run that was begun elsewhere
+	if r.Header.Get("Kv-From") == "" { // otherwise it continues a run that began elsewhere
 		e.mutex.Lock()
 		e.started[id]++
 		e.mutex.Unlock()
@@ -220,5 +214,14 @@
 	if f.Status != 0 {
 		w.WriteHeader(f.Status)
 	}
-	_, _ = fmt.Fprintf(w, "%s of %s: %s %s %s%s", e.id, id, r.Method, r.RequestURI, b, f.Body) //nolint:gosec // No browser reads what a stand-in says.
+	_, _ = fmt.Fprintf(w, "%s of %s: %s %s %s%s", e.id, id, r.Method, r.RequestURI, b, f.Body) //nolint:gosec // No browser renders the answers of this fake.
+}
+
+// writeStateHeaders adds the headers of an answer that describe the engine: whether it is leaving,
+// its rate limit and the back-off it asks for.
+func (e *Engine) writeStateHeaders(h http.Header, arrival int, retryAfter time.Duration) {
+	e.recordAnswer(h, arrival, retryAfter)
+	if retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
+	}
 }
--- a/internal/fake/routed/faults.go
+++ b/internal/fake/routed/faults.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Faults are the switches of the stand-in.
+// Faults selects the faults that the fake injects.
 type Faults struct {
-	Body            string        // of answers that are no streams
-	CutAfter        int           // streams break off in the middle of an event after that many
-	CrashDelay      time.Duration // from the start of a run that ends the engine until it does
-	CopyStatus      int           // status of the next copies, 0 for none
+	Body            string        // appended to answers that are not streams
+	CutAfter        int           // streams are cut in the middle of the event after this many; 0 is never
+	CrashDelay      time.Duration // between a poison request's arrival and the crash
+	CopyStatus      int           // status of the answers to copy orders, which then copy nothing; 0 for none
 	SkipEvent       bool          // streams leave out their third event
-	StopDelay       time.Duration // after which an order to stop a run is looked at
-	LoseCopyAnswers bool          // copies are made and their answers lost
-	StallAfter      int           // streams go silent after that many events, 0 for never
+	StopDelay       time.Duration // before an order for the last copy, which stops the run, is handled
+	LoseCopyAnswers bool          // copies are made, but the answers are lost
+	StallAfter      int           // streams send nothing after this many events; 0 is never
 	WrongRequestID  bool          // answers name another request
-	RefuseStatus    int           // status of answers that say that nothing ran, 0 for none
-	RepeatLastEvent bool          // a run that is taken up sends the last event of its caller again
-	RetryAfter      time.Duration // that is asked for with answers that say that nothing ran, 0 for none
-	Silent          bool          // nothing is answered
-	BadEventID      bool          // streams have a third event whose id is no number
-	Status          int           // of answers in place of 200, 0 for none
-	OmitStamp       bool          // answers lack the engine's mark
+	RefuseStatus    int           // status of answers that say that the request did not run; 0 refuses none
+	RepeatLastEvent bool          // a resumed run repeats the last event that the caller has
+	RetryAfter      time.Duration // back-off that refusals by RefuseStatus ask for; 0 for none
+	Silent          bool          // no call is answered
+	BadEventID      bool          // the ID of a stream's third event is not a number
+	Status          int           // answers have this status and are not streams; 0 is off
+	OmitStamp       bool          // answers lack the engine's stamp
 }
--- a/internal/fake/routed/settings.go
+++ b/internal/fake/routed/settings.go
@@ -4,15 +4,15 @@
 
 // Settings describes an engine.
 type Settings struct {
-	CopyPerToken    time.Duration // to copy one token of memory to another engine
+	CopyPerToken    time.Duration // to copy the KV cache of one token to another engine
 	EventInterval   time.Duration // between two events of a stream
-	KVTokens        int
-	PrefillPerToken time.Duration // to read one token of a prompt
+	KVTokens        int           // size of the KV cache
+	PrefillPerToken time.Duration // to process one prompt token
 	TokensPerEvent  int
 }
 
-// DefaultSettings returns an engine like those of the users: an event each 32 ms,
-// 64 MB a run over 2.7 Gbit/s.
+// DefaultSettings returns an engine like those of the users: an event every 32 ms, and copies of
+// 64 MB per run over a 2.7 Gbit/s link.
 func DefaultSettings() Settings {
 	return Settings{
 		CopyPerToken: 55 * time.Microsecond, EventInterval: 32 * time.Millisecond, KVTokens: 34_500,
--- a/internal/fake/routed/streams.go
+++ b/internal/fake/routed/streams.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// run is a request at work.
+// run is a request that the engine is processing.
 type run struct {
 	kv      kvState
-	stopped chan struct{} // closed when the run was stopped for a move
+	stopped chan struct{} // closed when the run is stopped for a move
 	stop    bool
 }
 
-// admit finds where a request begins: at its first event or at that after the
-// last one which its caller has. It returns nil where the copy is not held. A copy serves once,
-// at either end.
+// admit starts or resumes the run of a request: at the first event, or after the last event that
+// the caller has. It returns nil if the copy to resume from is not here. A copy can be used once,
+// on either engine, so the peer's copy is deleted.
 func (e *Engine) admit(r *http.Request) *run {
 	_, handle, _ := strings.Cut(r.Header.Get("Kv-From"), "/")
 	x := e.begin(r, handle)
@@ -28,7 +28,8 @@
 	return x
 }
 
-// begin does so for a request that goes on from a copy, or from none.
+// begin creates the run of a request, from the copy of that handle, or from scratch if the handle
+// is empty. It returns nil if there is no such copy.
 func (e *Engine) begin(r *http.Request, handle string) *run {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -52,13 +53,7 @@
 	return x
 }
 
-// wakeStreams wakes all streams; the lock is held.
-func (e *Engine) wakeStreams() {
-	close(e.changed)
-	e.changed = make(chan struct{})
-}
-
-// stop ends a run for a move; what it holds stays.
+// stop stops a run for a move. The engine keeps its KV cache.
 func (e *Engine) stop(x *run) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -89,7 +84,7 @@
 	if r.Header.Get("Kv-From") == "" {
 		time.Sleep(time.Duration(x.kv.tokens) * e.settings.PrefillPerToken)
 	} else if x.kv.events >= events {
-		x.kv.events = events - 1 // a run that is taken up makes one event at least
+		x.kv.events = events - 1 // a resumed run emits at least one event
 	}
 	if f.RepeatLastEvent && x.kv.events > 0 {
 		x.kv.events--
@@ -113,7 +108,7 @@
 	}
 }
 
-// wait waits until the next event is due, and reports whether the run goes on.
+// wait waits until the next event is due, and reports whether the run continues.
 func (e *Engine) wait(r *http.Request, x *run) bool {
 	e.mutex.Lock()
 	c, dead := e.changed, e.crashed
@@ -131,7 +126,13 @@
 	return false
 }
 
-// write writes one event, or what the faults make of it.
+// wakeStreams wakes all streams; the lock is held.
+func (e *Engine) wakeStreams() {
+	close(e.changed)
+	e.changed = make(chan struct{})
+}
+
+// write writes event n, altered by the faults.
 func (e *Engine) write(w io.Writer, f *Faults, id string, n int) {
 	const faultAt = 3
 	switch {
--- a/internal/fake/run/run.go
+++ b/internal/fake/run/run.go
@@ -1,5 +1,5 @@
-// Package run runs a stand-in as a process: it listens, says where on its
-// first line of output, and ends with SIGTERM or SIGINT.
+// Package run runs a fake as a process: it listens, prints its address as the first line of
+// output, and ends on SIGTERM or SIGINT.
 package run
 
 import (
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Serve answers by h at address until a signal comes, and returns an exit code.
+// Serve serves h at address until a signal arrives, and returns the exit code.
 func Serve(address string, h http.Handler, output io.Writer) int {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
--- a/internal/fake/service/service.go
+++ b/internal/fake/service/service.go
@@ -1,5 +1,5 @@
-// Package service is a small stand-in of a plain service: it counts what it
-// runs and answers with the count, so that a call that ran twice shows.
+// Package service is a small fake of a plain service: it counts the calls that it runs and answers
+// with the count, so that a call that ran twice is detected.
 package service
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Service is the stand-in. It is an http.Handler.
+// Service is a fake service. It is an http.Handler.
 type Service struct {
 	mutex       sync.Mutex
 	loseAnswers int
@@ -20,17 +20,17 @@
 	refused     int
 }
 
-// Answer is what a call is answered with.
+// Answer is the body of the answer to a call.
 type Answer struct {
 	Body   string `json:"body"`
 	Method string `json:"method"`
 	Path   string `json:"path"`
-	Run    int    `json:"run"` // which run this was, from 1
+	Run    int    `json:"run"` // number of this run, from 1
 }
 
 const maxBodyBytes = 1 << 20
 
-// New returns a service that has run nothing.
+// New returns a service.
 func New() *Service {
 	return new(Service)
 }
@@ -42,11 +42,11 @@
 	s.loseAnswers = n
 }
 
-// SetRetryAfter makes the service turn calls away and ask for rest; 0 ends that.
-func (s *Service) SetRetryAfter(d time.Duration) {
+// Refused returns how many calls were refused.
+func (s *Service) Refused() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.retryAfter = d
+	return s.refused
 }
 
 // Runs returns how many calls ran.
@@ -56,11 +56,11 @@
 	return s.runs
 }
 
-// Refused returns how many calls were turned away.
-func (s *Service) Refused() int {
+// SetRetryAfter makes the service refuse calls with this Retry-After; 0 ends that.
+func (s *Service) SetRetryAfter(d time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.refused
+	s.retryAfter = d
 }
 
 // ServeHTTP runs one call.
--- a/internal/fake/soak/caller.go
+++ b/internal/fake/soak/caller.go
@@ -16,37 +16,37 @@
 
 // callers send requests through the boxes and check every answer.
 type callers struct {
-	violations     []string // promises that were broken
-	statusCounts   map[string]int
+	violations     []string       // of the guarantees
+	statusCounts   map[string]int // answers by status
 	http           *http.Client
-	mutex          sync.Mutex // guards broken, counts, partings, refused and sent
+	mutex          sync.Mutex // guards atMostOnce, dispatches, leavingNotices, refused, statusCounts and violations
 	leavingNotices []leavingNotice
-	refused        []string            // ids that were told that they have not run
-	dispatches     map[string]dispatch // by id
-	atMostOnce     []string            // ids that may run at most once
+	refused        []string            // IDs of requests whose callers were told that they did not run
+	dispatches     map[string]dispatch // by request ID
+	atMostOnce     []string            // IDs of requests that may run at most once
 	cluster        *cluster
 }
 
-// callerRequest is one request as its caller sent it.
+// callerRequest is a request as its caller sent it.
 type callerRequest struct {
 	id, path, method string
 	body             string
-	events           int  // that came
-	lastEvent        int  // the last event that its caller has, of a stream that may be resumed; 0 for none
-	resumable        bool // its route's streams may be resumed
-	status           int  // of its answer, 0 for none
-	tokens           int  // of a stream
-	routeRemoved     bool // its route was removed
+	events           int  // number received
+	lastEvent        int  // the last event that the caller has when it resumes a stream; 0 for none
+	resumable        bool // streams of its route may be resumed
+	status           int  // of its answer; 0 for none
+	tokens           int  // length of the stream; 0 if the answer is not a stream
+	routeRemoved     bool // its route is not in the configuration any more, so 404 is right
 }
 
-// maxAttempts is how often a caller comes back for the rest of a stream.
+// maxAttempts is how often a caller sends a request to get a stream, including the first time.
 const maxAttempts = 5
 
 func newCallers(w *cluster) *callers {
 	return &callers{statusCounts: make(map[string]int), dispatches: make(map[string]dispatch), http: &http.Client{Transport: transport()}, cluster: w}
 }
 
-// call sends one request and checks its answer.
+// call sends one request, checks its answer, and reports whether it was served in full.
 func (c *callers) call(ctx context.Context, box *soakBox, s *callerRequest) (served bool) {
 	q, err := http.NewRequestWithContext(ctx, s.method, "http://"+box.entry.address()+s.path, strings.NewReader(s.body))
 	if err != nil {
@@ -68,7 +68,7 @@
 	c.recordDispatch(s.id, dispatch{box, time.Now()})
 	w, err := c.http.Do(q)
 	if err != nil {
-		return false // a connection that breaks promises nothing
+		return false // nothing is guaranteed for a connection that breaks
 	}
 	defer func() { _ = w.Body.Close() }()
 	s.status = w.StatusCode
@@ -79,7 +79,7 @@
 	return w.StatusCode == http.StatusOK && c.readAnswer(s, w)
 }
 
-// checkStatus checks an answer's status.
+// checkStatus counts and checks the status of an answer.
 func (c *callers) checkStatus(s *callerRequest, w *http.Response) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -95,15 +95,15 @@
 	}
 }
 
-// fail notes a broken promise.
+// fail records a violation of a guarantee.
 func (c *callers) fail(format string, arguments ...any) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.violations = append(c.violations, fmt.Sprintf(format, arguments...))
 }
 
-// checkConfiguration checks, once all is quiet, that every box serves by the newest configuration:
-// a route that it adds is served, the one that it removed is not.
+// checkConfiguration checks, after all faults ended, that every box applies the latest
+// configuration: the route that it adds is served, and the one that it removed is not.
 func (c *callers) checkConfiguration() {
 	c.cluster.mutex.Lock()
 	latest := c.cluster.configVersion
@@ -121,7 +121,7 @@
 	}
 }
 
-// drawRequest draws a request.
+// drawRequest returns a random request.
 func (c *callers) drawRequest(id string, r *rand.Rand) *callerRequest {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -138,7 +138,8 @@
 	return &callerRequest{id: id, path: "/often/x", method: http.MethodGet}
 }
 
-// readAnswer reads a success and checks that it is whole, or that its end shows that it is not.
+// readAnswer reads a successful answer and checks that its contents are right and, unless it
+// visibly breaks off, complete.
 func (c *callers) readAnswer(s *callerRequest, w *http.Response) bool {
 	if w.Header.Get("X-Linetiller-Server-Stamp") == "" {
 		c.fail("%s: a success without an upstream's mark", s.id)
@@ -168,8 +169,8 @@
 	return x.Err() == nil
 }
 
-// resumption returns the request with which a caller comes back for the rest of a stream that
-// broke off, or nil where there is none: what came of it so far must go on without a gap.
+// resumption returns the request with which a caller resumes a stream that broke off, or nil if it
+// cannot be resumed. The events of the resumed stream must continue without a gap.
 func (s *callerRequest) resumption(attempt int) *callerRequest {
 	if !s.resumable || s.status != http.StatusOK || s.lastEvent+s.events >= s.tokens/4 {
 		return nil
@@ -182,7 +183,7 @@
 	for i := 0; ctx.Err() == nil; i++ {
 		s := c.drawRequest(fmt.Sprintf("%d-%d", number, i), r)
 		callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), 15*time.Second)
-		if r.IntN(10) == 0 { // some leave early
+		if r.IntN(10) == 0 { // some callers hang up early
 			time.AfterFunc(time.Duration(r.IntN(600))*time.Millisecond, cancel)
 		}
 		for attempt := 1; s != nil && attempt <= maxAttempts; attempt++ {
@@ -197,7 +198,8 @@
 	}
 }
 
-// checkExecutions checks, once all is quiet, what ran against what callers were told.
+// checkExecutions checks, after all faults ended, how often requests ran: those of unsafe kinds at
+// most once, and refused ones never.
 func (c *callers) checkExecutions() {
 	runs := func(id string) int {
 		n := 0
--- a/internal/fake/soak/judge.go
+++ b/internal/fake/soak/changechecker.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// The users' bounds.
+// Bounds that the users require.
 const (
-	applyBound    = 2 * time.Second        // from the acknowledgement of a configuration until boxes in touch go by it
-	rollbackBound = 250 * time.Millisecond // after which a box that has gone by a configuration may not go by an older one
+	applyBound    = 2 * time.Second        // from the acknowledgement of a configuration until boxes without faults apply it
+	rollbackBound = 250 * time.Millisecond // after this, a box that has applied a configuration must not apply an older one
 )
 
-// change is a version of the configuration as its operator wrote it.
+// change is a version of the configuration that was written.
 type change struct {
 	acknowledgedAt time.Time
 	version        int
 	writtenAt      time.Time
 }
 
-// listedDrain is a word of the platform's list that an upstream leaves.
+// listedDrain is the publication in the store that an upstream is leaving.
 type listedDrain struct {
 	acknowledgedAt time.Time
 	upstream       *soakUpstream
 }
 
-// probe is a question to one box for the route that one version of the configuration has.
+// probe is a request to one box for the route that only one version of the configuration has.
 type probe struct {
 	answeredAt time.Time
 	box        string
@@ -35,16 +35,16 @@
 	version    int
 }
 
-// changeChecker tells from what was written, asked and answered whether boxes went by the newest
-// configuration in time. It knows nothing of what was done to them but by its functions.
+// changeChecker checks from the changes and the probes whether boxes applied the latest
+// configuration in time. It learns about injected faults and restarts only through its functions.
 type changeChecker struct {
-	changes     []change // in the order of their writing
-	faultFree   func(box string, from, to time.Time) bool
-	undisturbed func(box string, from, to time.Time) bool
+	changes     []change                                  // in the order in which they were written
+	faultFree   func(box string, from, to time.Time) bool // the box could reach the store, undisturbed
+	undisturbed func(box string, from, to time.Time) bool // the box ran without a restart or a pause
 	probes      []probe
 }
 
-// violations returns what broke the rules, and how many answers were judged.
+// violations returns a description of each violation, and how many probes could be checked.
 func (j *changeChecker) violations() (l []string, checked int) {
 	for i := range j.probes {
 		x, ok := j.checkProbe(&j.probes[i])
@@ -58,8 +58,9 @@
 	return append(l, j.rollbacks()...), checked
 }
 
-// applyDelays returns, for each version and box in touch, how long after the acknowledgement
-// the first answer by that version had been asked for.
+// applyDelays returns, for each version and each box without faults, the time from the
+// acknowledgement until the first probe was sent for which the box knew the version. The delays
+// are sorted.
 func (j *changeChecker) applyDelays() []time.Duration {
 	type key struct {
 		box     string
@@ -82,7 +83,7 @@
 	return l
 }
 
-// changeOf returns a version's writing, and the next version's; it is zero where there is none.
+// changeOf returns the change that wrote a version and the one after it, or zero values.
 func (j *changeChecker) changeOf(version int) (c, next change) {
 	for i, x := range j.changes {
 		if x.version != version {
@@ -96,8 +97,9 @@
 	return change{}, change{}
 }
 
-// checkProbe tells what is wrong with one answer, and whether it could be judged: whether a box in
-// touch knows a route later than the bound, or still knows one that the next version lacks.
+// checkProbe returns what is wrong with a probe, and whether it could be checked. It is wrong if a
+// box without faults does not know the route of the latest version, or still knows that of a
+// replaced one, later than applyBound after the acknowledgement.
 func (j *changeChecker) checkProbe(p *probe) (wrong string, checked bool) {
 	c, next := j.changeOf(p.version)
 	if !j.faultFree(p.box, p.sentAt.Add(-contactBound), p.answeredAt) {
@@ -119,10 +121,11 @@
 	return "", false
 }
 
-// rollbacks returns which boxes went by an older version after a newer one, within one life.
+// rollbacks describes where a box applied an older version after a newer one without having been
+// disturbed in between.
 func (j *changeChecker) rollbacks() []string {
 	var l []string
-	known := make(map[string]probe) // by box: the answer by the newest version
+	known := make(map[string]probe) // by box: the probe with the highest version that the box knew
 	ordered := slices.SortedStableFunc(slices.Values(j.probes), func(a, b probe) int { return cmp.Compare(a.sentAt.UnixNano(), b.sentAt.UnixNano()) })
 	for _, p := range ordered {
 		k, ok := known[p.box]
--- a/internal/fake/soak/judge_test.go
+++ b/internal/fake/soak/changechecker_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestJudge has the judge look at single answers around two changes, ten seconds apart.
+// TestJudge checks single probes around two configuration changes, ten seconds apart.
 func TestJudge(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
@@ -14,11 +14,11 @@
 		return probe{answeredAt: at(s + 0.01), box: "b", known: known, sentAt: at(s), version: version}
 	}
 	for _, x := range []struct {
-		name    string
-		probes  []probe
-		touched float64 // when the box was disturbed, 0 for never
-		want    int     // broken rules
-		judged  int
+		name        string
+		probes      []probe
+		disturbedAt float64 // when the box was disturbed, 0 for never
+		want        int     // violations
+		checked     int
 	}{
 		{"in time", []probe{ask(1.9, 3, false), ask(2.1, 3, true)}, 0, 0, 1},
 		{"late", []probe{ask(2.1, 3, false)}, 0, 1, 1},
@@ -32,17 +32,18 @@
 		{"started again", []probe{ask(0.1, 3, true), ask(1.5, 3, false)}, 1, 0, 0},
 	} {
 		undisturbed := func(_ string, from, to time.Time) bool {
-			return x.touched == 0 || at(x.touched).Before(from) || at(x.touched).After(to)
+			return x.disturbedAt == 0 || at(x.disturbedAt).Before(from) || at(x.disturbedAt).After(to)
 		}
 		j := &changeChecker{changes: changes, faultFree: undisturbed, undisturbed: undisturbed, probes: x.probes}
 		got, checked := j.violations()
-		if len(got) != x.want || checked != x.judged {
-			t.Errorf("%s: got %q, %d judged; want %d broken, %d judged", x.name, got, checked, x.want, x.judged)
+		if len(got) != x.want || checked != x.checked {
+			t.Errorf("%s: got %q, %d checked; want %d violations, %d checked", x.name, got, checked, x.want, x.checked)
 		}
 	}
 }
 
-// TestJudgeTellsWhenAChangeWasInForce checks the times that a run reports.
+// TestJudgeTellsWhenAChangeWasInForce checks that the reported delay ends at the first probe for
+// which the box knew the version.
 func TestJudgeTellsWhenAChangeWasInForce(t *testing.T) {
 	start := time.Unix(1000, 0)
 	always := func(string, time.Time, time.Time) bool { return true }
--- a/internal/fake/soak/changes.go
+++ b/internal/fake/soak/changes.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	changeInterval   = 3 * time.Second        // at the mean
-	seriesInterval   = 150 * time.Millisecond // between two of a series
-	changesStream    = 1<<20 + 5              // of the random numbers, beside the others
-	drainsStream     = 1<<20 + 7              // of the random numbers, as above
-	drainPeriod      = 6 * time.Second        // that an upstream serves on which only the list says leaves
-	probeInterval    = 50 * time.Millisecond  // between two questions to one box
-	probeTimeout     = 2 * time.Second        // for one answer
-	readerWindow     = 4 * time.Second        // a box that reads the store has had an answer
-	maxSeries        = 8                      // changes in a series
-	slowCycle        = 50 * time.Millisecond  // of which a slow box runs a tenth
-	slowdownInterval = 4 * time.Second        // at the mean, between two slow boxes
-	maxSlowdown      = 3 * time.Second
-	slowdownsStream  = 1<<20 + 8       // of the random numbers, as below
-	stallInterval    = 3 * time.Second // at the mean, between losses of connections
-	stallsStream     = 1<<20 + 6       // of the random numbers, as above
+	changeInterval   = 3 * time.Second        // on average
+	seriesInterval   = 150 * time.Millisecond // between two changes of a series
+	changesStream    = 1<<20 + 5              // of the random generator, distinct from the others
+	drainsStream     = 1<<20 + 7              // of the random generator, as above
+	drainPeriod      = 6 * time.Second        // how long an upstream serves on that only the store lists as leaving
+	probeInterval    = 50 * time.Millisecond  // between two probes of one box
+	probeTimeout     = 2 * time.Second        // of one probe
+	readerWindow     = 4 * time.Second        // a box counts as a reader of the store for this long after an answer of the store
+	maxSeries        = 8                      // maximum number of changes in a series
+	slowCycle        = 50 * time.Millisecond  // a slowed box runs for a tenth of each cycle
+	slowdownInterval = 4 * time.Second        // on average, between two slowdowns
+	maxSlowdown      = 3 * time.Second        // in addition to one second
+	slowdownsStream  = 1<<20 + 8              // of the random generator, as above
+	stallInterval    = 3 * time.Second        // on average, between two stalls of connections
+	stallsStream     = 1<<20 + 6              // of the random generator, as above
 )
 
-// prober asks each box again and again by which configuration it goes.
+// prober probes each box repeatedly for the version of the configuration that it applies.
 type prober struct {
 	callers *callers
 	http    *http.Client
@@ -43,7 +43,7 @@
 	return &prober{callers: c, http: &http.Client{Transport: transport()}}
 }
 
-// runChanges changes the configuration again and again, at times in quick succession, until the
+// runChanges changes the configuration repeatedly, sometimes in quick succession, until the
 // context ends.
 func (w *cluster) runChanges(ctx context.Context, r *rand.Rand) {
 	for ctx.Err() == nil {
@@ -59,9 +59,9 @@
 	}
 }
 
-// runStalls has open connections to the store carry nothing more, while new ones work, at one
-// box, at some one after another, or at all, and mostly at those that read it, until the context ends:
-// at times right before a change.
+// runStalls makes open connections to the store carry no more data, while new ones work, until the
+// context ends. It hits random boxes, all at once or one after another, but mostly the readers of
+// the store, and sometimes changes the configuration right after it.
 func (w *cluster) runStalls(ctx context.Context, r *rand.Rand) {
 	for ctx.Err() == nil {
 		pause(ctx, time.Duration(r.Int64N(int64(2*stallInterval))))
@@ -80,7 +80,7 @@
 	}
 }
 
-// readers returns the numbers of the boxes that called the store a moment ago.
+// readers returns the indexes of the boxes that got an answer from the store recently.
 func (w *cluster) readers() []int {
 	var l []int
 	for i, b := range w.boxes {
@@ -91,7 +91,8 @@
 	return l
 }
 
-// recentChanges returns the newest version of the configuration, and those that boxes may still go by.
+// recentChanges returns the latest version of the configuration, and the earlier ones that boxes
+// may still apply.
 func (w *cluster) recentChanges() []change {
 	l := w.writtenChanges()
 	n := len(l) - 1
@@ -101,8 +102,8 @@
 	return l[max(0, n-1):]
 }
 
-// runSlowdowns has one box after another get a tenth of the processor for some seconds, mostly one that
-// reads the store, until the context ends.
+// runSlowdowns limits one box after another to a tenth of its processor time for some seconds,
+// mostly a reader of the store, until the context ends.
 func (w *cluster) runSlowdowns(ctx context.Context, r *rand.Rand) {
 	for ctx.Err() == nil {
 		pause(ctx, time.Duration(r.Int64N(int64(2*slowdownInterval))))
@@ -117,12 +118,12 @@
 	}
 }
 
-// slowDown keeps a box from running for nine tenths of a short time.
+// slowDown pauses a box for nine tenths of a cycle.
 func (b *soakBox) slowDown() {
 	b.mutex.Lock()
 	p := b.process
 	if p != nil {
-		_ = p.Signal(syscall.SIGSTOP) // it may have ended
+		_ = p.Signal(syscall.SIGSTOP) // an error means that it has ended
 	}
 	b.disturbedAt = append(b.disturbedAt, time.Now())
 	b.mutex.Unlock()
@@ -133,8 +134,8 @@
 	time.Sleep(slowCycle / 10)
 }
 
-// runDrains has one upstream after another be listed as leaving, which it does not say itself, and
-// serve on for some time, until the context ends.
+// runDrains lists one upstream after another as leaving in the store, which the upstream itself
+// does not announce, and replaces it some time later, until the context ends.
 func (p *prober) runDrains(ctx context.Context, r *rand.Rand) {
 	w := p.callers.cluster
 	for ctx.Err() == nil {
@@ -152,7 +153,7 @@
 	}
 }
 
-// checker returns a judge of what was asked.
+// checker returns a checker of the probes so far.
 func (p *prober) checker() *changeChecker {
 	w := p.callers.cluster
 	p.mutex.Lock()
@@ -164,8 +165,8 @@
 	}
 }
 
-// checkDrains checks that no upstream got requests later than the bound after the list said that it
-// leaves, from boxes in touch that could reach it.
+// checkDrains checks that no upstream got requests later than drainBound after the store listed it
+// as leaving, from boxes without faults whose link to it was good.
 func (p *prober) checkDrains() {
 	c := p.callers
 	for _, l := range p.drains {
@@ -181,7 +182,7 @@
 	}
 }
 
-// report checks what was asked, where anything was, and writes how late changes were in force.
+// report checks the probes, if there are any, and prints how long changes took to be applied.
 func (p *prober) report(output io.Writer) {
 	j := p.checker()
 	if len(j.probes) == 0 {
@@ -201,8 +202,8 @@
 		len(j.changes), checked, delays[len(delays)/2].Round(time.Millisecond), delays[len(delays)-1].Round(time.Millisecond))
 }
 
-// runAll changes the configuration, loses connections, slows boxes down, has upstreams listed as leaving, and asks every
-// box, until the context ends.
+// runAll changes the configuration, stalls connections, slows boxes down, lists upstreams as
+// leaving and probes every box, until the context ends.
 func (p *prober) runAll(ctx context.Context, seed uint64) {
 	var g sync.WaitGroup
 	g.Go(func() { p.callers.cluster.runChanges(ctx, rand.New(rand.NewPCG(seed, changesStream))) })
@@ -213,7 +214,7 @@
 	g.Wait()
 }
 
-// runProbes asks every box until the context ends.
+// runProbes probes every box until the context ends.
 func (p *prober) runProbes(ctx context.Context) {
 	var g sync.WaitGroup
 	for _, b := range p.callers.cluster.boxes {
@@ -228,7 +229,7 @@
 	g.Wait()
 }
 
-// probe asks one box for the route of a version.
+// probe requests the route of a version from one box, and records whether the box knew it.
 func (p *prober) probe(b *soakBox, version, number int) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
@@ -250,10 +251,10 @@
 	x.answeredAt = time.Now()
 	switch strings.TrimSpace(string(reason)) {
 	case "route_unknown":
-	case "service_unknown": // the route leads to a service that does not exist
+	case "service_unknown": // the box knew the route, whose service does not exist
 		x.known = true
 	default:
-		return // it does not say
+		return // the answer does not tell whether the box knew the route
 	}
 	if err != nil {
 		return
--- a/internal/fake/soak/world.go
+++ b/internal/fake/soak/cluster.go
@@ -19,49 +19,49 @@
 	"github.com/linetiller/linetiller/internal/process"
 )
 
-// cluster is what a soak runs: boxes as processes, each behind a proxy of its own and
-// with one to the store; engines and services of this process, behind proxies.
+// cluster is the system under test: boxes as processes, each with a proxy in front of it and one
+// to the store, and engines and services in this process, behind proxies.
 type cluster struct {
 	boxes        []*soakBox
-	storeOutages []interval // when the store was bad
+	storeOutages []interval // when the store was faulty
 	changes      []change   // of the configuration
-	cold         bool       // engines start cold
+	cold         bool       // engines are cold when they start
 	evacuations  []evacuation
-	// evacuating are the halls that are evacuated now.
+	// evacuating are the halls that are being evacuated.
 	evacuating    map[byte]bool
-	configVersion int // version of the configuration
+	configVersion int // the latest version of the configuration
 	directory     string
-	halls         string // a letter each
+	halls         string // one letter for each
 	logs          *logFile
-	mutex         sync.Mutex // guards away, changes, crashes, dead, emptied, evacuating, newest, trouble, upstreams and version
+	mutex         sync.Mutex // guards changes, configVersion, crashes, dead, evacuating, evacuations, harnessErrors, sequence, storeOutages and upstreams
 	crashes       []crash
-	dead          []*soakUpstream
+	dead          []*soakUpstream // upstreams that have ended
 	platform      *fakeplatform.Platform
 	programs      string
 	store         *httptest.Server
-	harnessErrors []error // of the soak's own
+	harnessErrors []error // of the soak itself
 	upstreams     map[string]*soakUpstream
-	sequence      int
+	sequence      int // last number given to a version of the configuration or to a replacement upstream
 	workers       sync.WaitGroup
 }
 
-// soakBox is one box.
+// soakBox is a box and what surrounds it.
 type soakBox struct {
-	disturbedAt []time.Time // when it was killed, stopped, started or paused, or went on
+	disturbedAt []time.Time // when it was killed, stopped, started, paused or resumed
 	entry       *proxy      // between callers and the box
-	mutex       sync.Mutex  // guards disturbed and process
+	mutex       sync.Mutex  // guards disturbedAt and process
 	name        string
 	process     *process.Process
-	settings    string
+	settings    string // path of its settings file
 	store       *proxy // between the box and the store
 }
 
-// soakUpstream is one engine or service.
+// soakUpstream is an engine or a service.
 type soakUpstream struct {
 	cold        interval // when it is cold
 	engine      *routed.Engine
-	leaving     bool   // it has said so; the world's lock guards it
-	listedState string // the state of its entry; the world's lock guards it
+	leaving     bool   // it has announced that it is leaving; guarded by the cluster's mutex
+	listedState string // state in its row of the store; guarded by the cluster's mutex
 	name        string
 	proxy       *proxy
 	server      *httptest.Server
@@ -70,17 +70,17 @@
 
 const (
 	boxCount          = 4 // in two halls
-	wideBoxCount      = 9 // in three
+	wideBoxCount      = 9 // in three halls
 	engineCount       = 4
 	serviceDesk       = "desk"
 	serviceLLM        = "llm"
-	undeclaredService = "none" // is not declared: a box that knows a route there says so at once
+	undeclaredService = "none" // not declared, so that a box that knows a route to it refuses with service_unknown at once
 	soakHost          = "soak.example"
 	soakKey           = "soak-key"
 	serviceCount      = 2
 )
 
-// newCluster starts everything, in two data halls or, where it is wide, in three.
+// newCluster starts a cluster in two data halls or, if it is wide, in three.
 func newCluster(programs string, cold, wide bool) (*cluster, error) {
 	d, err := os.MkdirTemp("", "linetiller-soak-")
 	if err != nil {
@@ -115,7 +115,7 @@
 	return w, nil
 }
 
-// addBox makes a box with its proxies and starts it.
+// addBox creates a box with its proxies and starts it.
 func (w *cluster) addBox(i int) error {
 	b := &soakBox{name: fmt.Sprintf("box-%c%d", w.halls[i%len(w.halls)], i)}
 	w.boxes = append(w.boxes, b)
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// liveUpstreams returns the upstreams that stand.
+// liveUpstreams returns the upstreams that have not ended.
 func (w *cluster) liveUpstreams() []*soakUpstream {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -168,7 +168,7 @@
 	return l
 }
 
-// boxNamed returns the box of a name.
+// boxNamed returns the box of a name, or nil.
 func (w *cluster) boxNamed(name string) *soakBox {
 	for _, b := range w.boxes {
 		if b.name == name {
@@ -178,7 +178,7 @@
 	return nil
 }
 
-// faultFree reports whether nothing was done between two moments to a box, its links or the store.
+// faultFree reports whether a box, its proxies and the store had no fault between two times.
 func (w *cluster) faultFree(b *soakBox, from, to time.Time) bool {
 	return b.undisturbed(from, to) && !b.store.faultyWithin(from, to) && !b.entry.faultyWithin(from, to) && w.storeOutageWithin(from, to) == 0
 }
@@ -190,12 +190,12 @@
 	return append([]change(nil), w.changes...)
 }
 
-// close ends everything that was started; the logs stay where keep is set.
+// close ends everything that was started. It keeps the directory with the logs if keep is set.
 func (w *cluster) close(keep bool) {
 	for _, b := range w.boxes {
 		b.mutex.Lock()
 		if b.process != nil {
-			_ = b.process.Signal(syscall.SIGCONT) // it may be paused, or have ended
+			_ = b.process.Signal(syscall.SIGCONT) // it may be paused; an error means that it has ended
 			b.process.Kill()
 		}
 		b.mutex.Unlock()
@@ -220,7 +220,7 @@
 // configure writes a new version of the configuration.
 func (w *cluster) configure() {
 	w.mutex.Lock()
-	defer w.mutex.Unlock() // a later version is written later
+	defer w.mutex.Unlock() // held during the write, so that versions are written in order
 	w.sequence++
 	w.configVersion = w.sequence
 	x := change{version: w.configVersion, writtenAt: time.Now()}
@@ -243,7 +243,7 @@
 "tenants":[{"name":"w","api_keys":[%q]}]}`, v, w.declaredColdRate(), w.declaredColdRate(), soakKey)))
 }
 
-// publishUpstream writes an upstream's entry.
+// publishUpstream changes the state of an upstream's row in the store.
 func (w *cluster) publishUpstream(u *soakUpstream, state string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -251,14 +251,14 @@
 	w.putUpstream(u)
 }
 
-// putUpstream writes an upstream's entry; the lock is held.
+// putUpstream writes an upstream's row to the store; the lock is held.
 func (w *cluster) putUpstream(u *soakUpstream) {
 	left := max(0, time.Until(u.cold.to).Milliseconds())
 	w.platform.Put("servers/"+u.name, json.RawMessage(fmt.Sprintf(
 		`{"service":%q,"address":%q,"zone":"%c","state":%q,"cold_left_ms":%d,"models":[{"name":"m"}]}`, u.service, u.proxy.address(), u.name[2], u.listedState, left)))
 }
 
-// removeUpstream ends an upstream, whose entry goes later.
+// removeUpstream ends an upstream and then removes its row from the store.
 func (w *cluster) removeUpstream(u *soakUpstream) {
 	w.mutex.Lock()
 	lost := w.upstreams[u.name] != u
@@ -268,7 +268,7 @@
 	}
 	w.mutex.Unlock()
 	if lost {
-		return // another fault was first
+		return // another fault has ended it already
 	}
 	u.engine.Crash()
 	u.server.CloseClientConnections()
@@ -276,14 +276,14 @@
 	w.platform.Remove("servers/" + u.name)
 }
 
-// addHarnessError takes in that the soak itself failed to do something.
+// addHarnessError records that the soak itself failed to do something.
 func (w *cluster) addHarnessError(err error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.harnessErrors = append(w.harnessErrors, err)
 }
 
-// engineAt returns the engine at an address.
+// engineAt returns the engine whose proxy has an address, or nil.
 func (w *cluster) engineAt(address string) *routed.Engine {
 	for _, u := range w.liveUpstreams() {
 		if u.proxy.address() == address {
@@ -330,16 +330,15 @@
 	return nil
 }
 
-// freeAddresses returns addresses on loopback that nobody listens at, with ports below
-// those that the system gives to outgoing connections: a box that starts again needs
-// its own.
+// freeAddresses returns free loopback addresses. Their ports are below the ephemeral range,
+// because a box that restarts must get its own port again.
 func freeAddresses(n int) ([]string, error) {
 	const lowest, count, tries = 12_000, 18_000, 200
 	var l []string
 	for range tries {
 		x, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", lowest+rand.IntN(count)))
 		if err != nil {
-			continue // taken
+			continue // in use
 		}
 		defer func() { _ = x.Close() }()
 		if l = append(l, x.Addr().String()); len(l) == n {
@@ -349,7 +348,8 @@
 	return nil, errors.New("no free ports")
 }
 
-// transport makes calls of callers: a connection for each, as many callers do.
+// transport returns a transport that opens a connection for each request, as separate callers
+// would.
 func transport() *http.Transport {
 	return &http.Transport{DisableCompression: true, DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
 }
--- a/internal/fake/soak/faults.go
+++ b/internal/fake/soak/faults.go
@@ -12,7 +12,8 @@
 	"github.com/linetiller/linetiller/internal/process"
 )
 
-// fault is one kind of fault. It strikes and, after a while, ends.
+// fault is a kind of fault. The function inject starts one and returns what ends it, or nil if
+// there is nothing to end.
 type fault struct {
 	name   string
 	inject func(w *cluster, r *rand.Rand) (end func(), err error)
@@ -21,7 +22,7 @@
 // faults are all kinds, in order of name.
 var faults = []fault{
 	{"answers spoilt", corruptAnswers},
-	{"answers spoilt again", corruptAnswers}, // drawn twice as often
+	{"answers spoilt again", corruptAnswers}, // listed twice to be drawn twice as often
 	{"box killed", killBox},
 	{"box paused", pauseBox},
 	{"box stopped", stopBox},
@@ -43,7 +44,7 @@
 	{"store bad", storeFault},
 }
 
-// killBox kills a box and starts it again.
+// killBox kills a box and restarts it.
 func killBox(w *cluster, r *rand.Rand) (func(), error) {
 	b := w.boxes[r.IntN(len(w.boxes))]
 	p := b.takeProcess()
@@ -54,7 +55,7 @@
 	return func() { w.restart(b) }, nil
 }
 
-// pauseBox stops a box's clock for a while.
+// pauseBox suspends a box's process for a while.
 func pauseBox(w *cluster, r *rand.Rand) (func(), error) {
 	b := w.boxes[r.IntN(len(w.boxes))]
 	b.mutex.Lock()
@@ -69,11 +70,11 @@
 	b.disturbedAt = append(b.disturbedAt, time.Now())
 	return func() {
 		b.recordDisturbance()
-		_ = p.Signal(syscall.SIGCONT) // it may have been killed meanwhile
+		_ = p.Signal(syscall.SIGCONT) // an error means that it was killed meanwhile
 	}, nil
 }
 
-// stopBox asks a box to stop, which cuts off nothing, and starts it again.
+// stopBox stops a box gracefully and restarts it.
 func stopBox(w *cluster, r *rand.Rand) (func(), error) {
 	b := w.boxes[r.IntN(len(w.boxes))]
 	p := b.takeProcess()
@@ -91,8 +92,8 @@
 	}
 }
 
-// takeProcess takes a box's process away from other faults, running on where it was paused;
-// it returns nil where another fault has it.
+// takeProcess takes a box's process over, so that no other fault uses it, and resumes it if it was
+// paused. It returns nil if another fault has taken it.
 func (b *soakBox) takeProcess() *process.Process {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -100,12 +101,12 @@
 	b.process = nil
 	b.disturbedAt = append(b.disturbedAt, time.Now())
 	if p != nil {
-		_ = p.Signal(syscall.SIGCONT) // it may have ended by itself
+		_ = p.Signal(syscall.SIGCONT) // an error means that it has ended
 	}
 	return p
 }
 
-// pickUpstream returns an upstream of a service, or of any.
+// pickUpstream returns a random upstream of a service, or of any if the service is "".
 func pickUpstream(w *cluster, r *rand.Rand, service string) *soakUpstream {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -123,8 +124,8 @@
 	return w.upstreams[names[r.IntN(len(names))]]
 }
 
-// startWithoutStore kills every box and starts them again while the store refuses: they
-// know no configuration then, and may refuse nothing for good.
+// startWithoutStore kills every box and restarts them while the store refuses all calls. The boxes
+// have no configuration then, and must not refuse any request for good.
 func startWithoutStore(w *cluster, _ *rand.Rand) (func(), error) {
 	w.setStore(fakeplatform.Faults{Down: true})
 	var g sync.WaitGroup
@@ -138,7 +139,8 @@
 	return func() { w.setStore(fakeplatform.Faults{}) }, nil
 }
 
-// proxyFault delays, silences, halves or resets a proxy's connections.
+// proxyFault delays a proxy's data, withholds it in one or both directions, or resets the
+// connections.
 func proxyFault(p *proxy, r *rand.Rand) (func(), error) {
 	m := []proxyMode{modeDelay, modeOneWay, modeBlackhole, modePass}[r.IntN(4)]
 	if m == modePass {
@@ -148,15 +150,15 @@
 	p.set(m)
 	return func() {
 		p.set(modePass)
-		p.reset() // what a cut has held back does not come later
+		p.reset() // so that data withheld by the fault does not arrive late
 	}, nil
 }
 
-// replaceUpstream ends an engine, after a notice where there is one, and starts
-// another one in its hall.
+// replaceUpstream ends an engine, announced if notice is not 0, and later starts another one in
+// its hall.
 func replaceUpstream(w *cluster, r *rand.Rand, notice time.Duration) (func(), error) {
 	if len(w.liveUpstreams()) <= engineCount+serviceCount-2 {
-		return nil, nil // enough are gone
+		return nil, nil // at most one may be missing
 	}
 	u := pickUpstream(w, r, serviceLLM)
 	if notice > 0 {
@@ -167,7 +169,8 @@
 	return w.replace(u), nil
 }
 
-// replace ends an upstream, and returns what starts another one of its service in its hall.
+// replace ends an upstream and returns a function that starts another one of its service in its
+// hall.
 func (w *cluster) replace(u *soakUpstream) (start func()) {
 	w.removeUpstream(u)
 	w.mutex.Lock()
@@ -181,7 +184,7 @@
 	}
 }
 
-// corruptAnswers makes about half of the upstreams misbehave, each in a way of its own.
+// corruptAnswers makes about half of the upstreams misbehave, each in a random way.
 func corruptAnswers(w *cluster, r *rand.Rand) (func(), error) {
 	variants := []routed.Faults{
 		{CutAfter: 20}, {SkipEvent: true}, {StallAfter: 15}, {BadEventID: true}, {WrongRequestID: true}, {RefuseStatus: 503}, {Status: 500}, {OmitStamp: true}, {RefuseStatus: 429}, {CopyStatus: 503}, {LoseCopyAnswers: true},
@@ -199,7 +202,7 @@
 	}, nil
 }
 
-// storeFault makes the store refuse, answer late, lose answers or forget its history.
+// storeFault makes the store refuse calls, answer late, lose answers or drop its history.
 func storeFault(w *cluster, r *rand.Rand) (func(), error) {
 	switch r.IntN(4) {
 	case 0:
--- a/internal/fake/soak/halls.go
+++ b/internal/fake/soak/halls.go
@@ -8,7 +8,7 @@
 	fakeplatform "github.com/linetiller/linetiller/internal/fake/platform"
 )
 
-// interval is a span of time; its end is zero while it lasts.
+// interval is a span of time; its end is zero as long as it lasts.
 type interval struct{ from, to time.Time }
 
 // evacuation is one evacuation of a data hall.
@@ -18,14 +18,14 @@
 }
 
 const (
-	coldPeriod    = 1500 * time.Millisecond // that an upstream which starts is cold
-	coldPerSecond = 6                       // requests that it bears meanwhile
-	coldSlack     = 2                       // and some beside
-	// evacuationBound is how long after the store's acknowledgement requests may still
-	// reach an evacuated hall, while the store can be read.
+	coldPeriod    = 1500 * time.Millisecond // for which an upstream is cold after its start
+	coldPerSecond = 6                       // requests per second that it can serve meanwhile
+	coldSlack     = 2                       // requests in excess of that in any second
+	// evacuationBound is how long after the store's acknowledgement requests may still reach an
+	// evacuated hall. Times when the store is faulty do not count.
 	evacuationBound   = 5 * time.Second
-	minEvacuation     = 6 * time.Second
-	evacuationsStream = 1 << 20 // of the random numbers, beside those of faults and callers
+	minEvacuation     = 6 * time.Second // minimum duration of an evacuation
+	evacuationsStream = 1 << 20         // of the random generator, distinct from those of faults and callers
 )
 
 // runEvacuations evacuates one hall after another for some seconds until the context ends.
@@ -44,7 +44,8 @@
 	}
 }
 
-// declaredColdRate returns how many requests a second cold upstreams are said to bear; 0 is no bound.
+// declaredColdRate returns the configured limit of requests per second to a cold upstream; 0 is no
+// limit.
 func (w *cluster) declaredColdRate() int {
 	if w.cold {
 		return coldPerSecond
@@ -52,7 +53,7 @@
 	return 0
 }
 
-// setStore switches faults of the store, and notes since when it is bad or how long it was.
+// setStore sets the faults of the store, and records the time as the start or end of an outage.
 func (w *cluster) setStore(f fakeplatform.Faults) {
 	w.platform.SetFaults(f)
 	w.mutex.Lock()
@@ -66,7 +67,7 @@
 	}
 }
 
-// storeOutageWithin returns how long the store was bad between two moments.
+// storeOutageWithin returns for how long the store was faulty between two times.
 func (w *cluster) storeOutageWithin(from, to time.Time) time.Duration {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -84,7 +85,7 @@
 	return d
 }
 
-// allUpstreams returns all upstreams that ever stood.
+// allUpstreams returns all upstreams, including those that have ended.
 func (w *cluster) allUpstreams() []*soakUpstream {
 	l := w.liveUpstreams()
 	w.mutex.Lock()
@@ -92,7 +93,7 @@
 	return append(l, w.dead...)
 }
 
-// checkEvacuations checks that no request reached an evacuated hall beyond the bound.
+// checkEvacuations checks that no request reached an evacuated hall later than evacuationBound.
 func (c *callers) checkEvacuations() {
 	w := c.cluster
 	for _, u := range w.allUpstreams() {
@@ -110,8 +111,8 @@
 	}
 }
 
-// checkColdStarts checks that no upstream got more requests in a second while it was cold than it
-// bears.
+// checkColdStarts checks that no upstream got more requests in a second than it can serve while it
+// was cold.
 func (c *callers) checkColdStarts() {
 	for _, u := range c.cluster.allUpstreams() {
 		var cold []time.Time
--- a/internal/fake/soak/limits.go
+++ b/internal/fake/soak/limits.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	limitExclusion = time.Second            // around which a box that was disturbed is excused
-	minLimit       = 0.2                    // requests a second that an upstream accepts
-	maxLimit       = 2.5                    // at the most
-	limitPeriod    = 5 * time.Second        // that an upstream names a limit, before that changes
-	limitPause     = 500 * time.Millisecond // between two upstreams that name one
-	limitsStream   = 1<<20 + 4              // of the random numbers, beside the others
+	limitExclusion = time.Second            // requests this close to a disturbance of their box are not checked
+	minLimit       = 0.2                    // requests per second that an upstream accepts
+	maxLimit       = 2.5                    // requests per second that an upstream accepts
+	limitPeriod    = 5 * time.Second        // how long an upstream names one limit
+	limitPause     = 500 * time.Millisecond // between two rounds, and how long an invalid limit lasts
+	limitsStream   = 1<<20 + 4              // of the random generator, distinct from the others
 
 	loadCallInterval = 25 * time.Millisecond
 	loadPlanInterval = 100 * time.Millisecond
-	loadTimeout      = 3 * time.Second // for one of these requests
+	loadTimeout      = 3 * time.Second // of each request
 )
 
-// runLimits has an upstream, or all of a service, name a limit, then another one, and then none any
-// more, while callers press for more, again and again until the context ends. Some name what is no
-// limit in between.
+// runLimits repeats until the context ends: one upstream or all of a service name a limit, perhaps
+// another one and perhaps an invalid one, and then none, while callers send more than the limit
+// allows.
 func (c *callers) runLimits(ctx context.Context, r *rand.Rand) {
 	for n := 0; ctx.Err() == nil; n++ {
 		service := []string{serviceDesk, serviceDesk, serviceLLM}[r.IntN(3)]
@@ -52,8 +52,8 @@
 	}
 }
 
-// sendLoad sends requests to a service, through any box, until the context ends, and waits for their
-// ends.
+// sendLoad sends requests to a service through random boxes until the context ends, and waits for
+// their answers.
 func (c *callers) sendLoad(ctx context.Context, service string, number int, r *rand.Rand) {
 	var g sync.WaitGroup
 	defer g.Wait()
@@ -74,7 +74,7 @@
 	}
 }
 
-// checkLimits checks that no upstream got more than the limits that it named allow.
+// checkLimits checks that no upstream got more requests than the limits that it named allow.
 func (c *callers) checkLimits() {
 	for _, u := range c.cluster.allUpstreams() {
 		if broken := u.engine.LimitViolation(func(request string) (string, time.Time) { return c.senderOf(u, request) }); broken != "" {
@@ -83,9 +83,10 @@
 	}
 }
 
-// senderOf names the box that sent a request to an upstream, or returns "" where that was disturbed,
-// or the upstream's link bad, a moment before. A box that was disturbed earlier counts as another one
-// since.
+// senderOf returns the name of the box that sent a request to an upstream, and when the caller had
+// sent it. The name is "" if the box was disturbed or the upstream's proxy faulty around that
+// time. It contains the number of earlier disturbances, so that a disturbed box counts as a new
+// one.
 func (c *callers) senderOf(u *soakUpstream, request string) (box string, sentAt time.Time) {
 	j := c.dispatchOf(request)
 	if j.box == nil || !j.box.undisturbed(j.sentAt.Add(-limitExclusion), j.sentAt.Add(limitExclusion)) || u.proxy.faultyWithin(j.sentAt.Add(-limitExclusion), j.sentAt) {
@@ -107,7 +108,7 @@
 	return n
 }
 
-// pause waits for a time, or until the context ends.
+// pause waits for a duration or until the context ends.
 func pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -115,7 +116,7 @@
 	}
 }
 
-// setLimit has upstreams name a limit, "" for none.
+// setLimit sets the limit that upstreams name; "" for none.
 func setLimit(l []*soakUpstream, text string) {
 	for _, u := range l {
 		u.engine.SetLimit(text)
--- a/internal/fake/soak/log.go
+++ b/internal/fake/soak/log.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// logFile takes the lines of all boxes. It is safe for concurrent use.
+// logFile collects the logs of all boxes. It is safe for concurrent use.
 type logFile struct {
 	file  *os.File
 	mutex sync.Mutex
@@ -15,12 +15,12 @@
 func newLogFile(path string) *logFile {
 	f, err := os.Create(path)
 	if err != nil {
-		return &logFile{path: path} // without logs, a soak still tells what broke
+		return &logFile{path: path} // without logs, a soak still reports violations
 	}
 	return &logFile{file: f, path: path}
 }
 
-// Write takes in a part of a box's log.
+// Write appends a part of a box's log.
 func (l *logFile) Write(b []byte) (int, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/fake/soak/words.go
+++ b/internal/fake/soak/notices.go
@@ -10,39 +10,39 @@
 	"github.com/linetiller/linetiller/internal/fake/routed"
 )
 
-// drainBound is how long after a box has passed on an answer which says that its upstream
-// leaves requests that it takes may still reach that upstream.
+// drainBound is how long after a box has forwarded an answer which says that an upstream is
+// leaving new requests to the box may still reach that upstream.
 const drainBound = 2 * time.Second
 
 const (
-	minRetryAfter    = 1500 * time.Millisecond // that is asked for
-	retryAfterJitter = 1500 * time.Millisecond // beyond it
-	backoffPeriod    = time.Second             // for which requests are turned away
-	unlistedPeriod   = 4 * time.Second         // that an upstream which leaves serves on, while the list says nothing
-	noticesStream    = 1<<20 + 1               // of the random numbers, beside those of faults, callers and halls
+	minRetryAfter    = 1500 * time.Millisecond // back-off that an upstream asks for
+	retryAfterJitter = 1500 * time.Millisecond // range of a random part added to it
+	backoffPeriod    = time.Second             // for which the upstream refuses requests
+	unlistedPeriod   = 4 * time.Second         // how long an upstream serves on that announces its leaving only in its answers
+	noticesStream    = 1<<20 + 1               // of the random generator, distinct from those of faults, callers and halls
 )
 
-// dispatch is the way of one request to a box.
+// dispatch tells which box a caller sent a request to, and when.
 type dispatch struct {
 	box    *soakBox
 	sentAt time.Time
 }
 
-// leavingNotice is an answer of an upstream that leaves, which a box has passed on.
+// leavingNotice is an answer, forwarded by a box, which says that the upstream is leaving.
 type leavingNotice struct {
 	at       time.Time
 	box      *soakBox
 	upstream string
 }
 
-// recordDisturbance notes that a box is killed, stopped, started or paused, or goes on.
+// recordDisturbance records that a box is killed, stopped, started, paused or resumed.
 func (b *soakBox) recordDisturbance() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.disturbedAt = append(b.disturbedAt, time.Now())
 }
 
-// undisturbed reports whether a box was left alone between two moments.
+// undisturbed reports whether a box was not disturbed between two times.
 func (b *soakBox) undisturbed(from, to time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -54,8 +54,9 @@
 	return true
 }
 
-// runNotices has one upstream after another say something of itself with its answers, until
-// the context ends: plain ones, of which nothing else tells, as often as engines.
+// runNotices makes one upstream after another announce in its answers that it is leaving, or ask
+// for back-off, until the context ends. It picks plain services, whose state boxes learn only from
+// answers, as often as engines.
 func (w *cluster) runNotices(ctx context.Context, r *rand.Rand) {
 	for ctx.Err() == nil {
 		u := pickUpstream(w, r, []string{serviceDesk, serviceLLM}[r.IntN(2)])
@@ -67,25 +68,24 @@
 	}
 }
 
-// requestBackoff has an upstream turn requests away for a while, and ask for rest.
+// requestBackoff makes an upstream refuse requests for a while and ask for back-off.
 func (w *cluster) requestBackoff(u *soakUpstream, retryAfter time.Duration) {
 	u.engine.SetFaults(routed.Faults{RefuseStatus: http.StatusServiceUnavailable, RetryAfter: retryAfter})
 	time.Sleep(backoffPeriod)
 	u.engine.SetFaults(routed.Faults{})
 }
 
-// leaveUnlisted has an upstream leave that says so with its answers alone, and starts another
-// in its place.
+// leaveUnlisted makes an upstream leave that announces it only in its answers, and replaces it.
 func (w *cluster) leaveUnlisted(u *soakUpstream) {
 	if len(w.upstreamsOf(u.service)) < 2 {
-		return // it is the last one
+		return // it is the last one of its service
 	}
 	w.leave(u)
 	time.Sleep(unlistedPeriod)
 	w.replace(u)()
 }
 
-// leave has an upstream say in all its answers that it leaves.
+// leave makes an upstream announce in all its answers that it is leaving.
 func (w *cluster) leave(u *soakUpstream) {
 	w.mutex.Lock()
 	u.leaving = true
@@ -93,7 +93,7 @@
 	u.engine.Leave()
 }
 
-// upstreamsOf returns the upstreams of a service that stand.
+// upstreamsOf returns the live upstreams of a service.
 func (w *cluster) upstreamsOf(service string) []*soakUpstream {
 	var l []*soakUpstream
 	for _, u := range w.liveUpstreams() {
@@ -104,29 +104,29 @@
 	return l
 }
 
-// recordDispatch remembers a request's way.
+// recordDispatch records which box a request was sent to.
 func (c *callers) recordDispatch(id string, j dispatch) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.dispatches[id] = j
 }
 
-// dispatchOf returns a request's way; its box is nil where the request is none of the callers'.
+// dispatchOf returns the dispatch of a request; its box is nil if no caller sent the request.
 func (c *callers) dispatchOf(request string) dispatch {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.dispatches[request]
 }
 
-// recordLeavingNotice takes in that a box passed on an answer which says that its upstream leaves.
+// recordLeavingNotice records that a box forwarded an answer which says that the upstream is
+// leaving.
 func (c *callers) recordLeavingNotice(box *soakBox, upstream string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.leavingNotices = append(c.leavingNotices, leavingNotice{time.Now(), box, strings.TrimPrefix(upstream, "stamp.")})
 }
 
-// checkNotices checks that no upstream got what it had told boxes, with its answers, that it does
-// not want.
+// checkNotices checks that boxes obeyed what upstreams had told them in answers.
 func (c *callers) checkNotices() {
 	for _, u := range c.cluster.allUpstreams() {
 		visits := u.engine.Arrivals()
@@ -135,7 +135,8 @@
 	}
 }
 
-// checkLeaving checks an upstream that leaves.
+// checkLeaving checks that boxes did not send new requests to an upstream that they knew is
+// leaving, later than drainBound after they learned it.
 func (c *callers) checkLeaving(u *soakUpstream, visits []routed.Arrival) {
 	for _, p := range c.leavingNotices {
 		if p.upstream != u.name {
@@ -150,8 +151,8 @@
 	}
 }
 
-// checkBackoff checks an upstream that asked boxes for rest, but for times near to those at which
-// its link was bad: a box may not have had the answer then.
+// checkBackoff checks that boxes kept the back-off that an upstream asked for. It skips times
+// around faults of the upstream's proxy, because the answer may not have reached the box.
 func (c *callers) checkBackoff(u *soakUpstream, visits []routed.Arrival) {
 	for _, v := range visits {
 		asker := c.dispatchOf(v.Request)
--- a/internal/fake/soak/deadly.go
+++ b/internal/fake/soak/poison.go
@@ -11,30 +11,30 @@
 	"github.com/linetiller/linetiller/internal/fake/routed"
 )
 
-// crash is the end of an upstream by a request.
+// crash is the end of an upstream because of a poison request.
 type crash struct {
 	at       time.Time
-	leaving  bool   // the upstream had said that it leaves, so that its end may be a planned one
-	request  string // its id
+	leaving  bool   // the upstream had announced that it is leaving, so that its end may have been planned
+	request  string // its ID
 	upstream *soakUpstream
 }
 
 const (
-	contactBound     = 3 * time.Second        // after which a box that is left alone knows what others know
-	maxOwnCrashes    = 2                      // of what one caller asks for, by requests of one box
-	maxKnownCrashes  = 3                      // of what one caller asks for, that any box knows of
-	poisonInterval   = time.Second            // between two callers whose requests end upstreams
-	poisonStream     = 1<<20 + 2              // of the random numbers, beside the others
-	poisonPause      = 150 * time.Millisecond // between two tries, and as much again at most
-	poisonBurstEvery = 6                      // every so many tries, two more are sent at once
-	poisonBurstTries = 24                     // tries of each where several are sent at once
-	poisonTries      = 12                     // of each, every other one through the same box
-	correlatedWithin = 300 * time.Millisecond // within which three crashes may be those of a rack
-	correlatedMin    = 3
-	replacementDelay = 200 * time.Millisecond // after a crash another upstream starts
+	contactBound     = 3 * time.Second        // after which an undisturbed box knows what the other boxes know
+	maxOwnCrashes    = 2                      // that one caller's poison may cause through one box
+	maxKnownCrashes  = 3                      // that one caller's poison may cause through all boxes, as far as a box could know of the crashes
+	poisonInterval   = time.Second            // between two callers that send poison
+	poisonStream     = 1<<20 + 2              // of the random generator, distinct from the others
+	poisonPause      = 150 * time.Millisecond // minimum between two tries; a random part of up to the same length is added
+	poisonBurstEvery = 6                      // every so many tries, two more requests are sent at once
+	poisonBurstTries = 24                     // per caller, with bursts
+	poisonTries      = 12                     // per caller; every other one goes through the same box
+	correlatedWithin = 300 * time.Millisecond // crashes this close together may be the failure of a rack
+	correlatedMin    = 3                      // number of crashes that may be the failure of a rack
+	replacementDelay = 200 * time.Millisecond // between a crash and the start of another upstream
 )
 
-// recordCrash records that a request has crashed an upstream, and starts another in its place.
+// recordCrash records that a request has crashed an upstream, and replaces the upstream.
 func (w *cluster) recordCrash(u *soakUpstream, request string) {
 	w.mutex.Lock()
 	w.crashes = append(w.crashes, crash{time.Now(), u.leaving, request, u})
@@ -46,9 +46,9 @@
 	})
 }
 
-// runPoison has one caller after another ask for something that crashes each upstream which
-// runs it, and come back for it, until the context ends. With many, they come back more often and
-// send several at once now and then.
+// runPoison makes one caller after another send a request that crashes each upstream which runs
+// it, and repeat it, until the context ends. With bursts, callers repeat it more often and
+// sometimes send several at once.
 func (c *callers) runPoison(ctx context.Context, r *rand.Rand, bursts bool) {
 	tries := poisonTries
 	if bursts {
@@ -75,12 +75,12 @@
 	}
 }
 
-// pickBox returns a box.
+// pickBox returns a random box.
 func (c *callers) pickBox(r *rand.Rand) *soakBox {
 	return c.cluster.boxes[r.IntN(len(c.cluster.boxes))]
 }
 
-// sendPoison sends one caller's request through boxes at once.
+// sendPoison sends one caller's poison request through several boxes at once.
 func (c *callers) sendPoison(ctx context.Context, n, try int, boxes []*soakBox) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 	defer cancel()
@@ -97,8 +97,9 @@
 	g.Wait()
 }
 
-// checkPoison checks that no box that was left alone meanwhile let more upstreams crash than it takes
-// to know under what they do. Those that had said that they leave are not held to a request.
+// checkPoison checks that no box let one caller's poison crash more upstreams than the bounds
+// allow: those that it saw itself, and those that it could know of. Earlier crashes of upstreams
+// that had announced that they are leaving do not count, because their end may have been planned.
 func (c *callers) checkPoison() {
 	c.cluster.mutex.Lock()
 	l := append([]crash(nil), c.cluster.crashes...)
@@ -125,7 +126,8 @@
 	}
 }
 
-// correlated reports whether an upstream crashed within a moment of two others.
+// correlated reports whether a crash is so close to two others that it may be the failure of a
+// rack.
 func correlated(l []crash, i int) bool {
 	n := 0
 	for j := range l {
@@ -136,15 +138,16 @@
 	return n >= correlatedMin
 }
 
-// sawItself reports whether the box of a crash had seen an earlier one itself, and was left alone
-// since.
+// sawItself reports whether the box of a crash also forwarded the request of an earlier one, saw
+// that crash, and was undisturbed since.
 func (c *callers) sawItself(x, earlier *crash) bool {
 	a, b := c.dispatchOf(x.request), c.dispatchOf(earlier.request)
 	return a.box == b.box && b.sentAt.Before(earlier.at) && earlier.at.Before(a.sentAt) && a.box.undisturbed(b.sentAt, a.sentAt)
 }
 
-// couldKnow reports whether a box saw an earlier crash, some box has been left alone since, and the
-// box of this one was for long enough to hear of it.
+// couldKnow reports whether the box of a crash must know of an earlier one: the earlier box saw
+// it, some box has been undisturbed since, and the box of this crash was undisturbed for long
+// enough to be told.
 func (c *callers) couldKnow(x, earlier *crash) bool {
 	a, b := c.dispatchOf(x.request), c.dispatchOf(earlier.request)
 	seenBy := earlier.at.Add(time.Second)
@@ -162,7 +165,7 @@
 	return false
 }
 
-// samePoison reports whether two requests are of one caller.
+// samePoison reports whether two requests are poison of the same caller.
 func samePoison(a, b string) bool {
 	var n, m int
 	_, errA := fmt.Sscanf(a, "deadly-%d-", &n)
--- a/internal/fake/soak/proxy.go
+++ b/internal/fake/soak/proxy.go
@@ -6,44 +6,43 @@
 	"time"
 )
 
-// proxyMode tells what a proxy does with the bytes of its connections.
+// proxyMode determines what a proxy does with the data of its connections.
 type proxyMode string
 
 // The modes of a proxy.
 const (
-	modeDelay     proxyMode = "delay"   // bytes come late
-	modeOneWay    proxyMode = "one-way" // nothing comes back
+	modeDelay     proxyMode = "delay"   // data arrives late
+	modeOneWay    proxyMode = "one-way" // data passes to the target only
 	modePass      proxyMode = "pass"
-	modeBlackhole proxyMode = "silent" // nothing passes, and nobody is told
+	modeBlackhole proxyMode = "silent" // no data passes in either direction, and connections stay open
 )
 
-// proxy passes the connections of one address on to another one, on loopback, under
-// faults that are switched on and off.
+// proxy forwards the connections to its loopback address to a target, subject to injected faults.
 type proxy struct {
-	faulty      []interval // when it did not pass all at once; the last one may last
+	faulty      []interval // when it delayed, withheld or lost data; the last interval may be open
 	closed      chan struct{}
 	connections map[net.Conn]bool
 	listener    net.Listener
 	mode        proxyMode
-	lastReplyAt time.Time         // when bytes last came back
-	mutex       sync.Mutex        // guards bad, connections, mode, lastReplyAt, silent and target
-	stalled     map[net.Conn]bool // what arrives over them is lost, and nobody is told
+	lastReplyAt time.Time         // when data last came back from the target
+	mutex       sync.Mutex        // guards connections, faulty, lastReplyAt, mode, stalled and target
+	stalled     map[net.Conn]bool // data that arrives over them is dropped, and they stay open
 	target      string
 	workers     sync.WaitGroup
 }
 
 const (
-	proxyDelay = 150 * time.Millisecond // well beyond any answer's time on loopback
-	proxyPoll  = 20 * time.Millisecond  // between looks whether a silent proxy passes again
+	proxyDelay = 150 * time.Millisecond // much longer than any answer takes on loopback
+	proxyPoll  = 20 * time.Millisecond  // between two checks whether a proxy that withholds data forwards again
 )
 
-// replyRecorder is a connection whose proxy notes when bytes come back over it.
+// replyRecorder is a connection that records when data comes back over it.
 type replyRecorder struct {
 	net.Conn
 	proxy *proxy
 }
 
-// Write writes bytes, and notes when.
+// Write writes data and records the time.
 func (n *replyRecorder) Write(b []byte) (int, error) {
 	n.proxy.mutex.Lock()
 	n.proxy.lastReplyAt = time.Now()
@@ -51,7 +50,7 @@
 	return n.Conn.Write(b)
 }
 
-// newProxy returns a proxy to target.
+// newProxy returns a proxy to a target address.
 func newProxy(target string) (*proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -62,10 +61,10 @@
 	return p, nil
 }
 
-// address returns where the proxy listens.
+// address returns the address that the proxy listens at.
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-// close ends the proxy and all its connections, and waits.
+// close ends the proxy and all its connections, and waits for them.
 func (p *proxy) close() {
 	close(p.closed)
 	_ = p.listener.Close()
@@ -73,8 +72,8 @@
 	p.workers.Wait()
 }
 
-// refuse makes the proxy refuse connections from now on, as a machine does on which nothing
-// listens any more.
+// refuse makes the proxy refuse connections for good, like a machine on which nothing listens any
+// more.
 func (p *proxy) refuse() {
 	_ = p.listener.Close()
 	p.reset()
@@ -95,7 +94,7 @@
 	p.faulty = append(p.faulty, interval{now, now})
 }
 
-// set switches to a mode.
+// set switches the mode.
 func (p *proxy) set(m proxyMode) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -109,7 +108,7 @@
 	}
 }
 
-// stallConnections makes the open connections carry nothing more, while new ones work.
+// stallConnections makes the open connections carry no more data, while new ones work.
 func (p *proxy) stallConnections() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -120,7 +119,8 @@
 	p.faulty = append(p.faulty, interval{now, now})
 }
 
-// faultyWithin reports whether the proxy was bad, or reset its connections, between two moments.
+// faultyWithin reports whether the proxy had a fault, or reset or stalled its connections, between
+// two times.
 func (p *proxy) faultyWithin(from, to time.Time) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -166,8 +166,8 @@
 	}
 }
 
-// forward copies from one connection to the other; it holds bytes back while the proxy
-// is in one of the modes.
+// forward copies data from one connection to the other. It withholds the data while the proxy is
+// in one of the blocking modes.
 func (p *proxy) forward(to, from net.Conn, blocking ...proxyMode) {
 	defer func() {
 		_ = to.Close()
@@ -187,21 +187,22 @@
 	}
 }
 
-// lastReply returns when bytes last came back.
+// lastReply returns when data last came back from the target.
 func (p *proxy) lastReply() time.Time {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.lastReplyAt
 }
 
-// isStalled reports whether what arrives over a connection is lost.
+// isStalled reports whether data that arrives over a connection is dropped.
 func (p *proxy) isStalled(c net.Conn) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.stalled[c]
 }
 
-// awaitForwarding waits until bytes may pass, and reports whether the proxy still stands.
+// awaitForwarding waits until data may be forwarded. It reports false if the proxy is closed
+// first.
 func (p *proxy) awaitForwarding(blocking []proxyMode) bool {
 	for {
 		p.mutex.Lock()
--- a/internal/fake/soak/copies.go
+++ b/internal/fake/soak/restores.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	restoresStream = 1 << 23         // of the random numbers, beside those of faults and callers
-	maxSnapshotAge = 4 * time.Second // of the copy from which the store comes back
-	entryExpiry    = 3600 * time.Millisecond
-	// maxLostWrites bounds the writes of others that the store loses with a copy: by so much
-	// its versions go back.
+	restoresStream = 1 << 23                 // of the random generator, distinct from those of faults and callers
+	maxSnapshotAge = 4 * time.Second         // maximum time from the snapshot until the store fails
+	entryExpiry    = 3600 * time.Millisecond // after which a restored row of an upstream that has ended is removed again
+	// maxLostWrites bounds the unrelated writes that a restore loses, and so how far the store's
+	// revision goes back.
 	maxLostWrites    = 200
-	minRestoreOutage = 300 * time.Millisecond
-	// restoreJitter is by how much the time differs for which the store is away, and then
-	// the time until operators and upstreams write theirs again.
+	minRestoreOutage = 300 * time.Millisecond // minimum time for which the store is down
+	// restoreJitter is the range of the random part of the store's downtime, and of the time from
+	// the restore until operators and upstreams write their rows again.
 	restoreJitter = 1500 * time.Millisecond
 )
 
-// runRestores has the store come back from copies, one after another until the context
-// ends, and once more then, with a change of the configuration after it.
+// runRestores restores the store from snapshots until the context ends, and once more after that,
+// followed by a change of the configuration.
 func (w *cluster) runRestores(ctx context.Context, r *rand.Rand) {
 	for ctx.Err() == nil {
 		w.restoreStore(r)
@@ -32,8 +32,8 @@
 	w.configure()
 }
 
-// restoreStore has the store come back from a copy. Operators and upstreams go on meanwhile,
-// and write theirs again some time later.
+// restoreStore takes a snapshot and restores the store from it after a while. Operators and
+// upstreams go on working meanwhile, and write their rows again some time later.
 func (w *cluster) restoreStore(r *rand.Rand) {
 	w.platform.TakeSnapshot()
 	for range r.IntN(maxLostWrites) {
@@ -53,11 +53,11 @@
 	w.storeOutages = append(w.storeOutages, interval{from, time.Now()})
 }
 
-// rewriteStore writes what operators and upstreams have in the store. The entries of upstreams
-// that are gone lapse.
+// rewriteStore writes the rows of operators and upstreams again. The rows of upstreams that have
+// ended are removed after entryExpiry.
 func (w *cluster) rewriteStore() {
 	w.mutex.Lock()
-	defer w.mutex.Unlock() // what changes later is written later
+	defer w.mutex.Unlock() // held during the writes, so that later changes are written later
 	w.putConfiguration(w.configVersion)
 	for _, h := range []byte(w.halls) {
 		w.putEvacuation(h)
@@ -76,7 +76,7 @@
 	})
 }
 
-// putEvacuation writes whether a hall is evacuated; the lock is held.
+// putEvacuation writes to the store whether a hall is evacuated; the lock is held.
 func (w *cluster) putEvacuation(hall byte) {
 	key := "op/evacuate/" + string(hall)
 	if w.evacuating[hall] {
@@ -86,7 +86,7 @@
 	w.platform.Remove(key)
 }
 
-// setEvacuation evacuates a hall, or takes it back.
+// setEvacuation starts or ends the evacuation of a hall.
 func (w *cluster) setEvacuation(hall byte, evacuated bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/fake/soak/soak.go
+++ b/internal/fake/soak/soak.go
@@ -1,8 +1,8 @@
-// Package soak runs real boxes as processes against stand-ins, injects faults from
-// outside them, and checks the promises from what callers and upstreams see.
+// Package soak runs real boxes as processes against fakes, injects faults from outside of them,
+// and checks the guarantees from what callers and upstreams observe.
 //
-// The order of faults and requests follows from a seed; when a process gets its turn
-// does not, so that a seed is a case to run again and not a recording.
+// A seed determines the order of faults and requests, but not the scheduling of the processes, so
+// that a run with the same seed repeats the scenario but not the exact course of events.
 package soak
 
 import (
@@ -22,13 +22,13 @@
 	callerCount      = 12
 	exitFailure      = 1
 	exitUsage        = 2
-	faultInterval    = 700 * time.Millisecond // at the mean, so that faults overlap
+	faultInterval    = 700 * time.Millisecond // on average; shorter than most faults, so that they overlap
 	maxFaultDuration = 2500 * time.Millisecond
-	settlePeriod     = 3 * time.Second  // for the boxes to find each other again
-	recoveryPeriod   = 20 * time.Second // after which every box must serve again
+	settlePeriod     = 3 * time.Second  // after the last fault, for boxes to reconnect to each other
+	recoveryPeriod   = 20 * time.Second // within which every box must serve again
 )
 
-// discardLog swallows what stand-ins' servers say of connections that faults broke.
+// discardLog discards what the fakes' servers log about connections that faults broke.
 var discardLog = slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug)
 
 // Main runs a soak and returns an exit code.
@@ -55,7 +55,7 @@
 		_, _ = fmt.Fprintln(output, "soak:", err)
 		return exitUsage
 	}
-	log.SetOutput(io.Discard) // of the standard library's servers
+	log.SetOutput(io.Discard) // used by the HTTP servers of the standard library
 	if *seed == 0 {
 		*seed = rand.Uint64N(1 << 32)
 	}
@@ -74,20 +74,20 @@
 	return 0
 }
 
-// activities are what goes on beside the faults that are drawn, each by random numbers of its own.
+// activities selects what runs beside the random faults, each with its own random generator.
 type activities struct {
-	changes      bool           // the configuration changes often, and connections to the store fall silent
-	restores     bool           // the store comes back from copies
-	faults       *regexp.Regexp // names of those that strike
+	changes      bool           // the configuration changes often, and connections to the store stall
+	restores     bool           // the store is restored from snapshots
+	faults       *regexp.Regexp // matches the names of the faults to inject
 	evacuations  bool           // halls are evacuated, and engines start cold
-	limits       bool           // upstreams name limits
-	poisonBursts bool           // poison requests are sent several at once, and for longer
-	invalidRows  bool           // rows that name no upstream are written
+	limits       bool           // upstreams name rate limits
+	poisonBursts bool           // poison requests are also sent several at once, and for longer
+	invalidRows  bool           // invalid rows are written to the table of upstreams
 	wide         bool           // nine boxes in three halls
-	notices      bool           // upstreams say that they leave, or ask for rest, with their answers, and requests end them
+	notices      bool           // answers of upstreams say that they are leaving or ask for back-off, and poison requests are sent
 }
 
-// start starts what goes on beside the faults, until the context ends.
+// start starts the activities, which go on until the context ends.
 func (x *activities) start(ctx context.Context, g *sync.WaitGroup, seed uint64, c *callers, p *prober) {
 	w := c.cluster
 	if x.changes {
@@ -111,7 +111,7 @@
 	}
 }
 
-// run runs one soak and returns the promises that were broken.
+// run runs one soak and returns the violations of the guarantees.
 func run(programs string, seed uint64, span time.Duration, x activities, output io.Writer) (violations []string, err error) {
 	w, err := newCluster(programs, x.evacuations, x.wide)
 	if err != nil {
@@ -154,7 +154,8 @@
 	return c.violations, nil
 }
 
-// awaitServing waits until every box serves a plan and a call.
+// awaitServing waits until every box serves a streaming and a plain request. It reports false if
+// one does not within recoveryPeriod.
 func (c *callers) awaitServing() bool {
 	until := time.Now().Add(recoveryPeriod)
 	for i, b := range c.cluster.boxes {
@@ -176,8 +177,8 @@
 	return true
 }
 
-// injectAll lets faults strike until the context ends, in series and overlapping, and
-// ends them all: those kinds whose names match. It returns how often each struck.
+// injectAll injects random faults whose names match only, overlapping, until the context ends, and
+// waits until all of them have ended. It returns how often each was injected.
 func (w *cluster) injectAll(ctx context.Context, r *rand.Rand, only *regexp.Regexp) map[string]int {
 	counts := make(map[string]int)
 	var g sync.WaitGroup
@@ -198,7 +199,7 @@
 	return counts
 }
 
-// inject lets a fault strike for a time.
+// inject starts a fault and ends it after a duration.
 func inject(w *cluster, x fault, r *rand.Rand, duration time.Duration) {
 	end, err := x.inject(w, r)
 	if err != nil || end == nil {
