--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -24,8 +24,8 @@
 	X, Y   []float64
 }
 
-// Group is a series of bars, one for each place of the axis.
-type Group struct {
+// Series is a series of bars, one for each place of the axis.
+type Series struct {
 	Name   string
 	Values []float64
 }
@@ -36,25 +36,25 @@
 	width  = 7 * vg.Inch
 )
 
-// barWidth is the width, in points, that a third of all bars share, counted in whole bars.
-const barWidth = 60.0
+// barWidthPoints is the width, in points, that a third of all bars share, counted in whole bars.
+const barWidthPoints = 60.0
 
 // Bars draws groups of bars side by side over named places.
-func Bars(path string, l Labels, places []string, groups []Group) error {
+func Bars(path string, l Labels, categories []string, series []Series) error {
 	p := newPlot(l)
-	w := vg.Points(barWidth / float64(max(1, len(places)*len(groups)/3)))
-	for i, g := range groups {
+	w := vg.Points(barWidthPoints / float64(max(1, len(categories)*len(series)/3)))
+	for i, g := range series {
 		b, err := plotter.NewBarChart(plotter.Values(g.Values), w)
 		if err != nil {
 			return fmt.Errorf("draw %q: %w", g.Name, err)
 		}
 		b.Color = plotutil.Color(i)
 		b.LineStyle.Width = 0
-		b.Offset = w * vg.Length(float64(i)-float64(len(groups)-1)/2)
+		b.Offset = w * vg.Length(float64(i)-float64(len(series)-1)/2)
 		p.Add(b)
 		p.Legend.Add(g.Name, b)
 	}
-	p.NominalX(places...)
+	p.NominalX(categories...)
 	return save(p, path)
 }
 
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -22,19 +22,19 @@
 
 // demo is one demonstration.
 type demo struct {
-	boxes     []*process.BoxAddresses
-	directory string // for settings and keys
-	engines   map[string]string
-	output    io.Writer
-	platform  string
-	processes []*process.Process
-	programs  string // the folder of the built programs
-	service   string
+	boxes         []*process.BoxAddresses
+	directory     string // for settings and keys
+	engineURLs    map[string]string
+	output        io.Writer
+	platformURL   string
+	processes     []*process.Process
+	programFolder string // the folder of the built programs
+	serviceURL    string
 }
 
 const (
-	allPeriod    = 55 * time.Second
-	inForceTime  = 15 * time.Second
+	timeout      = 55 * time.Second
+	applyTimeout = 15 * time.Second
 	model        = "tiller-llm"
 	operatorKey  = "demo-operators"
 	workspaceKey = "demo-quotes"
@@ -49,9 +49,9 @@
 		_, _ = fmt.Fprintln(output, "usage: demo FOLDER-OF-PROGRAMS")
 		return cmd.ExitBadInput
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), allPeriod)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	d := &demo{engines: make(map[string]string), output: output, programs: arguments[1]}
+	d := &demo{engineURLs: make(map[string]string), output: output, programFolder: arguments[1]}
 	err := d.run(ctx)
 	d.stopAll()
 	if err != nil {
@@ -62,7 +62,7 @@
 	return cmd.ExitOK
 }
 
-func (d *demo) callService(ctx context.Context) error {
+func (d *demo) callServiceTwice(ctx context.Context) error {
 	var answers []string
 	for range 2 {
 		r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.boxes[1].Clients+"/services/quote-desk/quotes", strings.NewReader("bracket"))
@@ -80,7 +80,7 @@
 		if err != nil {
 			return err
 		}
-		d.say("   %s %s", w.Status, bytes.TrimSpace(b))
+		d.printf("   %s %s", w.Status, bytes.TrimSpace(b))
 		answers = append(answers, string(b))
 	}
 	if answers[0] != answers[1] || !strings.Contains(answers[0], `"run":1`) {
@@ -92,20 +92,20 @@
 // freezeBox stops the clock of a box with SIGSTOP, asks the other box of its
 // hall, thaws it, and asks the thawed one.
 func (d *demo) freezeBox(ctx context.Context) error {
-	p := d.processNamed("b-1")
+	p := d.processByName("b-1")
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	err := d.whole(ctx, 3, 50, nil)
+	err := d.streamAndCheck(ctx, 3, 50, nil)
 	if e := p.Signal(syscall.SIGCONT); e != nil || err != nil {
 		return errors.Join(err, e)
 	}
-	d.say("\n   whole while b-1 was frozen; b-1 goes on")
-	return d.whole(ctx, 2, 50, nil)
+	d.printf("\n   whole while b-1 was frozen; b-1 goes on")
+	return d.streamAndCheck(ctx, 2, 50, nil)
 }
 
-// generator returns a client that tries the boxes with the given numbers.
-func (d *demo) generator(numbers ...int) *client.Generator {
+// newGenerator returns a client that tries the boxes with the given numbers.
+func (d *demo) newGenerator(numbers ...int) *client.Generator {
 	g := &client.Generator{HTTP: &http.Client{}, Key: workspaceKey}
 	for _, n := range numbers {
 		g.Boxes = append(g.Boxes, "http://"+d.boxes[n].Clients)
@@ -117,37 +117,37 @@
 // has the same tokens as the engine made, each once.
 func (d *demo) killBox(ctx context.Context) error {
 	var ids []string
-	g := d.generator(0, 1)
+	g := d.newGenerator(0, 1)
 	g.OnToken = func(id, text string) error {
 		ids = append(ids, id)
 		_, _ = fmt.Fprint(d.output, text)
 		if len(ids) == 40 {
-			d.say("\n   ** box %s is killed **", "a-1")
-			d.processNamed("a-1").Kill()
+			d.printf("\n   ** box %s is killed **", "a-1")
+			d.processByName("a-1").Kill()
 		}
 		return nil
 	}
 	finish, boxes, err := g.Run(ctx, &client.GenerationRequest{Model: model, Prompt: "a wave plan, length=120"})
-	d.say("\n   ended by %q after %d tokens, asked at %d boxes", finish, len(ids), boxes)
+	d.printf("\n   ended by %q after %d tokens, asked at %d boxes", finish, len(ids), boxes)
 	if err != nil {
 		return err
 	}
 	if boxes != 2 || finish != "stop" {
 		return fmt.Errorf("boxes %d, finish %q", boxes, finish)
 	}
-	return wholeOnce(ids, 120)
+	return checkTokenIDs(ids, 120)
 }
 
-// linetiller runs a command as the program would.
-func (d *demo) linetiller(arguments ...string) error {
-	d.say("$ linetiller %s", strings.Join(arguments, " "))
+// runCommand runs a command as the program would.
+func (d *demo) runCommand(arguments ...string) error {
+	d.printf("$ linetiller %s", strings.Join(arguments, " "))
 	if c := cmd.Main(append([]string{"linetiller"}, arguments...), strings.NewReader(""), d.output, d.output); c != cmd.ExitOK {
 		return fmt.Errorf("linetiller %s: exit code %d", arguments[0], c)
 	}
 	return nil
 }
 
-func (d *demo) processNamed(name string) *process.Process {
+func (d *demo) processByName(name string) *process.Process {
 	for _, p := range d.processes {
 		if p.Name == name {
 			return p
@@ -156,15 +156,15 @@
 	return nil
 }
 
-func (d *demo) repeatKey(ctx context.Context) error {
-	before, err := d.started(ctx)
+func (d *demo) repeatRequest(ctx context.Context) error {
+	before, err := d.startedGenerations(ctx)
 	if err != nil {
 		return err
 	}
 	var texts []string
 	for n := range 3 {
 		text := ""
-		g := d.generator(n, n+1)
+		g := d.newGenerator(n, n+1)
 		g.OnToken = func(_, t string) error {
 			text += t
 			return nil
@@ -172,14 +172,14 @@
 		if _, _, err := g.Run(ctx, &client.GenerationRequest{Key: "quote-17", Model: model, Prompt: "a charged quote, length=30"}); err != nil {
 			return err
 		}
-		d.say("   answer %d at box %d: %d characters", n+1, n+1, len(text))
+		d.printf("   answer %d at box %d: %d characters", n+1, n+1, len(text))
 		texts = append(texts, text)
 	}
-	after, err := d.started(ctx)
+	after, err := d.startedGenerations(ctx)
 	if err != nil {
 		return err
 	}
-	d.say("   generations that the engines started for it: %d", after-before)
+	d.printf("   generations that the engines started for it: %d", after-before)
 	if after-before != 1 || texts[0] == "" || texts[0] != texts[1] || texts[1] != texts[2] {
 		return errors.New("the request did not run exactly once")
 	}
@@ -200,14 +200,14 @@
 		{"start the stand-ins: a platform, four engines, a plain service", d.startFakes},
 		{"start four boxes in two data halls", d.startBoxes},
 		{"apply resources and watch them come in force", d.applyResources},
-		{"stream a generation", d.streamOne},
-		{"repeat a request key", d.repeatKey},
-		{"call a plain service twice with one key", d.callService},
+		{"stream a generation", d.streamGeneration},
+		{"repeat a request key", d.repeatRequest},
+		{"call a plain service twice with one key", d.callServiceTwice},
 		{"kill a box mid-stream", d.killBox},
 		{"freeze a box, and ask its neighbour", d.freezeBox},
 		{"stop a box while it streams", d.stopBox},
 	} {
-		d.say("\n== %s", step.name)
+		d.printf("\n== %s", step.name)
 		if err := step.do(ctx); err != nil {
 			return fmt.Errorf("%s: %w", step.name, err)
 		}
@@ -215,16 +215,16 @@
 	return nil
 }
 
-func (d *demo) say(format string, arguments ...any) {
+func (d *demo) printf(format string, arguments ...any) {
 	_, _ = fmt.Fprintf(d.output, format+"\n", arguments...)
 }
 
 // stopBox asks a box to stop while it streams: the stream ends whole.
 func (d *demo) stopBox(ctx context.Context) error {
-	p := d.processNamed("b-2")
-	err := d.whole(ctx, 3, 150, func(taken int) {
-		if taken == 20 {
-			d.say("\n   ** box b-2 is asked to stop **")
+	p := d.processByName("b-2")
+	err := d.streamAndCheck(ctx, 3, 150, func(received int) {
+		if received == 20 {
+			d.printf("\n   ** box b-2 is asked to stop **")
 			_ = p.Signal(syscall.SIGTERM)
 		}
 	})
@@ -236,26 +236,26 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	d.say("\n   b-2 ended with exit code %d", p.ExitCode())
+	d.printf("\n   b-2 ended with exit code %d", p.ExitCode())
 	if p.ExitCode() != cmd.ExitOK {
 		return errors.New("the box did not end well")
 	}
 	return nil
 }
 
-func (d *demo) streamOne(_ context.Context) error {
-	return d.linetiller("generate", "--box", "http://"+d.boxes[2].Clients, "--workspace-key", workspaceKey,
+func (d *demo) streamGeneration(_ context.Context) error {
+	return d.runCommand("generate", "--box", "http://"+d.boxes[2].Clients, "--workspace-key", workspaceKey,
 		"--model", model, "a", "quote", "for", "a", "bracket,", "length=40")
 }
 
-// watch shows changes at a box other than the one they were made at.
-func (d *demo) watch(ctx context.Context, o *operator.Client, count int) error {
+// watchChanges shows changes at a box other than the one they were made at.
+func (d *demo) watchChanges(ctx context.Context, o *operator.Client, count int) error {
 	errDone := errors.New("seen all")
 	err := o.Watch(ctx, "", "0", func(e *operator.WatchEvent) error {
 		if e.Type == operator.WatchBookmark {
 			return nil
 		}
-		d.say("   watch at the other hall: %s %s", e.Resource.Kind, e.Resource.Metadata.Name)
+		d.printf("   watch at the other hall: %s %s", e.Resource.Kind, e.Resource.Metadata.Name)
 		count--
 		if count == 0 {
 			return errDone
@@ -268,28 +268,28 @@
 	return err
 }
 
-// whole streams a generation of count tokens through one box and checks that it
+// streamAndCheck streams a generation of count tokens through one box and checks that it
 // comes whole; each is called with the number of tokens taken, where it is given.
-func (d *demo) whole(ctx context.Context, box, count int, each func(taken int)) error {
+func (d *demo) streamAndCheck(ctx context.Context, box, count int, onToken func(received int)) error {
 	var ids []string
-	g := d.generator(box)
+	g := d.newGenerator(box)
 	g.OnToken = func(id, text string) error {
 		ids = append(ids, id)
 		_, _ = fmt.Fprint(d.output, text)
-		if each != nil {
-			each(len(ids))
+		if onToken != nil {
+			onToken(len(ids))
 		}
 		return nil
 	}
 	if _, _, err := g.Run(ctx, &client.GenerationRequest{Model: model, Prompt: fmt.Sprintf("a plan, length=%d", count)}); err != nil {
 		return err
 	}
-	return wholeOnce(ids, count)
+	return checkTokenIDs(ids, count)
 }
 
-// wholeOnce checks that the event ids name the tokens of one generation, each
+// checkTokenIDs checks that the event ids name the tokens of one generation, each
 // once and in order.
-func wholeOnce(ids []string, count int) error {
+func checkTokenIDs(ids []string, count int) error {
 	if len(ids) != count {
 		return fmt.Errorf("%d tokens came, %d were made", len(ids), count)
 	}
--- a/internal/demo/start.go
+++ b/internal/demo/start.go
@@ -22,8 +22,8 @@
 	defer cancel()
 	watched := make(chan error, 1)
 	o := operator.NewClient("http://"+d.boxes[3].Operators, operatorKey, &http.Client{})
-	go func() { watched <- d.watch(watch, o, 8) }()
-	if err := d.linetiller("apply", "-f", path, "--wait", inForceTime.String(),
+	go func() { watched <- d.watchChanges(watch, o, 8) }()
+	if err := d.runCommand("apply", "-f", path, "--wait", applyTimeout.String(),
 		"--operator", "http://"+d.boxes[0].Operators, "--operator-key", operatorKey); err != nil {
 		return err
 	}
@@ -36,10 +36,10 @@
 }
 
 func (d *demo) makeAuthority() error {
-	return d.linetiller("certificate", "authority", "--certificate", d.path("authority.pem"), "--key", d.path("authority-key.pem"))
+	return d.runCommand("certificate", "authority", "--certificate", d.filePath("authority.pem"), "--key", d.filePath("authority-key.pem"))
 }
 
-func (d *demo) path(name string) string {
+func (d *demo) filePath(name string) string {
 	return filepath.Join(d.directory, name)
 }
 
@@ -53,13 +53,13 @@
 	add(resource.KindModel, model, resource.ModelSpec{MaxTokens: 2000})
 	add(resource.KindPriority, "counter", resource.PrioritySpec{Value: 10})
 	add(resource.KindWorkspace, "quotes", resource.WorkspaceSpec{KeyHashes: []string{resource.HashKey(workspaceKey)}, Priority: "counter", Weight: 1})
-	for n, u := range d.engines {
+	for n, u := range d.engineURLs {
 		add(resource.KindUpstream, n, resource.UpstreamSpec{
 			Address: u, Hall: n[:len(n)-2], KVTokens: 60_000, MaxBatch: 100, Models: []string{model}, Type: resource.UpstreamEngine,
 		})
 	}
 	add(resource.KindUpstream, "quote-desk-1", resource.UpstreamSpec{
-		Address: d.service, Hall: halls[0], Service: "quote-desk", Type: resource.UpstreamService,
+		Address: d.serviceURL, Hall: halls[0], Service: "quote-desk", Type: resource.UpstreamService,
 	})
 	b, _ := json.MarshalIndent(l, "", "  ")
 	return b
@@ -76,46 +76,46 @@
 			if err != nil {
 				return err
 			}
-			p, a, err := process.StartBox(filepath.Join(d.programs, "linetiller"), path, name, nil)
+			p, a, err := process.StartBox(filepath.Join(d.programFolder, "linetiller"), path, name, nil)
 			if err != nil {
 				return err
 			}
 			d.processes = append(d.processes, p)
 			d.boxes = append(d.boxes, a)
-			d.say("box %s in %s: clients %s, operators %s", name, h, a.Clients, a.Operators)
+			d.printf("box %s in %s: clients %s, operators %s", name, h, a.Clients, a.Operators)
 		}
 	}
 	return nil
 }
 
 func (d *demo) startFakes(context.Context) error {
-	p, u, err := process.StartFake(filepath.Join(d.programs, "fakeplatform"), "platform")
+	p, u, err := process.StartFake(filepath.Join(d.programFolder, "fakeplatform"), "platform")
 	if err != nil {
 		return err
 	}
-	d.processes, d.platform = append(d.processes, p), u
+	d.processes, d.platformURL = append(d.processes, p), u
 	for _, h := range halls {
 		for n := 1; n <= 2; n++ {
 			name := fmt.Sprintf("%s-%d", h, n)
-			p, u, err := process.StartFake(filepath.Join(d.programs, "fakeengine"), name, "-step", "20ms")
+			p, u, err := process.StartFake(filepath.Join(d.programFolder, "fakeengine"), name, "-step", "20ms")
 			if err != nil {
 				return err
 			}
-			d.processes, d.engines[name] = append(d.processes, p), u
+			d.processes, d.engineURLs[name] = append(d.processes, p), u
 		}
 	}
-	p, u, err = process.StartFake(filepath.Join(d.programs, "fakeservice"), "service")
+	p, u, err = process.StartFake(filepath.Join(d.programFolder, "fakeservice"), "service")
 	if err != nil {
 		return err
 	}
-	d.processes, d.service = append(d.processes, p), u
+	d.processes, d.serviceURL = append(d.processes, p), u
 	return nil
 }
 
-// started returns how many generations the engines have started.
-func (d *demo) started(ctx context.Context) (int, error) {
+// startedGenerations returns how many generations the engines have started.
+func (d *demo) startedGenerations(ctx context.Context) (int, error) {
 	sum := 0
-	for _, u := range d.engines {
+	for _, u := range d.engineURLs {
 		r, err := http.NewRequestWithContext(ctx, http.MethodGet, u+"/fake/started", nil)
 		if err != nil {
 			return 0, err
@@ -143,8 +143,8 @@
 }
 
 func (d *demo) writeSettings(name, hall string) (string, error) {
-	err := d.linetiller("certificate", "box", "--certificate", d.path(name+".pem"), "--key", d.path(name+"-key.pem"),
-		"--authority", d.path("authority.pem"), "--authority-key", d.path("authority-key.pem"), name, "127.0.0.1")
+	err := d.runCommand("certificate", "box", "--certificate", d.filePath(name+".pem"), "--key", d.filePath(name+"-key.pem"),
+		"--authority", d.filePath("authority.pem"), "--authority-key", d.filePath("authority-key.pem"), name, "127.0.0.1")
 	if err != nil {
 		return "", err
 	}
@@ -160,7 +160,7 @@
 authority = %q
 certificate = %q
 key = %q
-`, name, hall, resource.HashKey(operatorKey), d.platform, d.path("authority.pem"), d.path(name+".pem"), d.path(name+"-key.pem"))
-	p := d.path(name + ".toml")
+`, name, hall, resource.HashKey(operatorKey), d.platformURL, d.filePath("authority.pem"), d.filePath(name+".pem"), d.filePath(name+"-key.pem"))
+	p := d.filePath(name + ".toml")
 	return p, os.WriteFile(p, []byte(s), 0o600)
 }
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -10,8 +10,8 @@
 
 // Spread is the values of one measure over several runs.
 type Spread struct {
-	Count             int
-	Least, Mean, Most float64
+	Count          int
+	Min, Mean, Max float64
 }
 
 // Difference is one measure of one day, of two versions.
@@ -22,10 +22,10 @@
 	Site          string
 }
 
-// Apart reports whether every value of one version is beyond all of the other: what
+// Disjoint reports whether every value of one version is beyond all of the other: what
 // is not may be chance.
-func (d *Difference) Apart() bool {
-	return d.After.Least > d.Before.Most || d.After.Most < d.Before.Least
+func (d *Difference) Disjoint() bool {
+	return d.After.Min > d.Before.Max || d.After.Max < d.Before.Min
 }
 
 // Compare pairs the measures that both versions have, in order of site, day and
@@ -44,7 +44,7 @@
 	var l []Difference
 	for k, v := range b {
 		if w := a[k]; w != nil {
-			l = append(l, Difference{After: spreadOf(w), Before: spreadOf(v), Day: k.day, Measure: k.measure, Site: k.site})
+			l = append(l, Difference{After: newSpread(w), Before: newSpread(v), Day: k.day, Measure: k.measure, Site: k.site})
 		}
 	}
 	slices.SortFunc(l, func(x, y Difference) int {
@@ -61,7 +61,7 @@
 	for i := range l {
 		d := &l[i]
 		mark := ""
-		if d.Apart() {
+		if d.Disjoint() {
 			mark = "*"
 		}
 		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%v\t%+.4f\t%s\n", d.Site, d.Day, d.Measure, d.Before, d.After, d.After.Mean-d.Before.Mean, mark)
@@ -71,12 +71,12 @@
 
 // String returns the mean with the least and the most.
 func (s Spread) String() string {
-	return fmt.Sprintf("%.4f (%.4f-%.4f, %d)", s.Mean, s.Least, s.Most, s.Count)
+	return fmt.Sprintf("%.4f (%.4f-%.4f, %d)", s.Mean, s.Min, s.Max, s.Count)
 }
 
-// spreadOf returns the spread of one value or more.
-func spreadOf(v []float64) Spread {
-	s := Spread{Count: len(v), Least: slices.Min(v), Most: slices.Max(v)}
+// newSpread returns the spread of one value or more.
+func newSpread(v []float64) Spread {
+	s := Spread{Count: len(v), Min: slices.Min(v), Max: slices.Max(v)}
 	for _, x := range v {
 		s.Mean += x / float64(len(v))
 	}
--- a/internal/experiment/draw.go
+++ b/internal/experiment/draw.go
@@ -15,39 +15,39 @@
 	ByPrice = "price"
 )
 
-// leastPrice is the share of the worth below which a price is not drawn.
-const leastPrice = 0.001
+// minPrice is the share of the worth below which a price is not drawn.
+const minPrice = 0.001
 
-// drawing holds the values that are drawn, by version and place.
-type drawing struct {
-	places   []string
-	values   map[string]map[string][]float64
-	versions []string
+// chartData holds the values that are drawn, by version and place.
+type chartData struct {
+	categories []string
+	values     map[string]map[string][]float64
+	versions   []string
 }
 
 // Draw draws the rows of each version by day, class or price into a file.
 func Draw(rows []Row, by, path string) error {
-	place := placeOf(by)
-	if place == nil {
+	category := categoryOf(by)
+	if category == nil {
 		return fmt.Errorf("%q is neither %s nor %s nor %s", by, ByDay, ByClass, ByPrice)
 	}
-	d := newDrawing(rows, place)
-	if len(d.places) == 0 {
+	d := newChartData(rows, category)
+	if len(d.categories) == 0 {
 		return fmt.Errorf("no row holds a figure by %s", by)
 	}
 	if by == ByPrice {
-		d.dropCheap()
+		d.dropMinorPrices()
 	}
-	return chart.Bars(path, chart.Labels{Title: "Worth by " + by, Y: "share of what is owed"}, d.places, d.groups())
+	return chart.Bars(path, chart.Labels{Title: "Worth by " + by, Y: "share of what is owed"}, d.categories, d.series())
 }
 
-// newDrawing sorts the values of rows by their version and place; rows without a
+// newChartData sorts the values of rows by their version and place; rows without a
 // place are left out.
-func newDrawing(rows []Row, place func(*Row) string) *drawing {
-	d := &drawing{values: make(map[string]map[string][]float64)}
+func newChartData(rows []Row, category func(*Row) string) *chartData {
+	d := &chartData{values: make(map[string]map[string][]float64)}
 	for i := range rows {
 		r := &rows[i]
-		p := place(r)
+		p := category(r)
 		if p == "" {
 			continue
 		}
@@ -55,19 +55,19 @@
 			d.values[r.Version] = make(map[string][]float64)
 			d.versions = append(d.versions, r.Version)
 		}
-		if !slices.Contains(d.places, p) {
-			d.places = append(d.places, p)
+		if !slices.Contains(d.categories, p) {
+			d.categories = append(d.categories, p)
 		}
 		d.values[r.Version][p] = append(d.values[r.Version][p], r.Value)
 	}
 	return d
 }
 
-// dropCheap leaves out the prices that hardly cost anything in any version.
-func (d *drawing) dropCheap() {
-	d.places = slices.DeleteFunc(d.places, func(p string) bool {
+// dropMinorPrices leaves out the prices that hardly cost anything in any version.
+func (d *chartData) dropMinorPrices() {
+	d.categories = slices.DeleteFunc(d.categories, func(p string) bool {
 		for _, m := range d.values {
-			if meanOf(m[p]) >= leastPrice {
+			if meanOf(m[p]) >= minPrice {
 				return false
 			}
 		}
@@ -75,12 +75,12 @@
 	})
 }
 
-// groups returns a group of bars for each version.
-func (d *drawing) groups() []chart.Group {
-	var l []chart.Group
+// series returns a group of bars for each version.
+func (d *chartData) series() []chart.Series {
+	var l []chart.Series
 	for _, v := range d.versions {
-		g := chart.Group{Name: v}
-		for _, p := range d.places {
+		g := chart.Series{Name: v}
+		for _, p := range d.categories {
 			g.Values = append(g.Values, meanOf(d.values[v][p]))
 		}
 		l = append(l, g)
@@ -88,10 +88,10 @@
 	return l
 }
 
-// placeOf returns what a row is drawn at, "" for rows that are not drawn; nil for an
+// categoryOf returns what a row is drawn at, "" for rows that are not drawn; nil for an
 // unknown way to draw.
-func placeOf(by string) func(*Row) string {
-	cut := func(prefix string) func(*Row) string {
+func categoryOf(by string) func(*Row) string {
+	trimPrefix := func(prefix string) func(*Row) string {
 		return func(r *Row) string {
 			n, ok := strings.CutPrefix(r.Measure, prefix)
 			if !ok {
@@ -102,9 +102,9 @@
 	}
 	switch by {
 	case ByClass:
-		return cut(prefixClass)
+		return trimPrefix(prefixClass)
 	case ByPrice:
-		return cut(prefixPrice)
+		return trimPrefix(prefixPrice)
 	case ByDay:
 		return func(r *Row) string {
 			if r.Measure != measureWorth {
@@ -121,5 +121,5 @@
 	if len(v) == 0 {
 		return 0
 	}
-	return spreadOf(v).Mean
+	return newSpread(v).Mean
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -25,7 +25,7 @@
 }
 
 func TestReportBecomesRows(t *testing.T) {
-	got, err := read([]byte(testReport))
+	got, err := parse([]byte(testReport))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 }
 
 func TestUnfinishedReportIsAnError(t *testing.T) {
-	if _, err := read([]byte(`{"head":"0123","error":"the run did not finish"}`)); err == nil {
+	if _, err := parse([]byte(`{"head":"0123","error":"the run did not finish"}`)); err == nil {
 		t.Error("got no error, want one")
 	}
 }
@@ -72,7 +72,7 @@
 		if len(l) != 1 {
 			t.Fatalf("got %d differences, want 1", len(l))
 		}
-		if got, want := l[0].Apart(), x.apart; got != want {
+		if got, want := l[0].Disjoint(), x.apart; got != want {
 			t.Errorf("after %v: apart: got %v, want %v", x.after, got, want)
 		}
 	}
@@ -91,7 +91,7 @@
 }
 
 func TestDrawWritesAChart(t *testing.T) {
-	rows, err := read([]byte(testReport))
+	rows, err := parse([]byte(testReport))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,8 +125,8 @@
 	if err := os.WriteFile(program, []byte(script), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	b := &Bench{Journal: d, Program: program, Why: "to see"}
-	rows, err := b.Play(t.Context(), "site.toml", "quiet-1", 9, io.Discard)
+	b := &Benchmark{ReportFolder: d, Program: program, Reason: "to see"}
+	rows, err := b.Run(t.Context(), "site.toml", "quiet-1", 9, io.Discard)
 	if err != nil || len(rows) != 7 {
 		t.Fatalf("got %d rows and error %v, want 7", len(rows), err)
 	}
@@ -134,8 +134,8 @@
 	if got, want := strings.TrimSpace(string(a)), "run site.toml quiet-1 --why to see --seed 9"; got != want || err != nil {
 		t.Errorf("arguments: got %q and error %v, want %q", got, err, want)
 	}
-	b.Journal = t.TempDir()
-	if _, err := b.Play(t.Context(), "site.toml", "quiet-1", 0, io.Discard); err == nil {
+	b.ReportFolder = t.TempDir()
+	if _, err := b.Run(t.Context(), "site.toml", "quiet-1", 0, io.Discard); err == nil {
 		t.Error("no report: got no error, want one")
 	}
 }
@@ -143,7 +143,7 @@
 // TestStandInsRepeat checks that the same seed gives the same rows.
 func TestStandInsRepeat(t *testing.T) {
 	const period = 10 * time.Second
-	got, want := PlayStandIns("v", 3, period), PlayStandIns("v", 3, period)
+	got, want := Simulate("v", 3, period), Simulate("v", 3, period)
 	if !reflect.DeepEqual(got, want) || len(got) == 0 {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
--- a/internal/experiment/journalcmd.go
+++ b/internal/experiment/journalcmd.go
@@ -19,31 +19,31 @@
 	At      []string     `json:"at"` // when it began and ended
 	Command string       `json:"cmd"`
 	Days    []journalDay `json:"days"`
-	Head    string       `json:"head"` // the commit that was played
+	Commit  string       `json:"head"` // the commit that was played
 	ID      string       `json:"id"`
 	Site    string       `json:"site"`
-	Why     string       `json:"why"`
+	Reason  string       `json:"why"`
 }
 
 // journalDay is one day of a run.
 type journalDay struct {
-	Fault *string        `json:"fault"` // what ended it, nil for nothing
-	Name  string         `json:"name"`
-	Rules map[string]any `json:"rules"` // that were broken
-	Worth float64        `json:"G"`     // after prices
+	Fault       *string        `json:"fault"` // what ended it, nil for nothing
+	Name        string         `json:"name"`
+	BrokenRules map[string]any `json:"rules"` // that were broken
+	Worth       float64        `json:"G"`     // after prices
 }
 
 // journalFilter says which runs are listed; what is empty lets all through.
 type journalFilter struct {
-	broken bool   // only runs in which a rule was broken, or that a fault ended
+	failed bool   // only runs in which a rule was broken, or that a fault ended
 	day    string // the beginning of the name of a day that was played
-	head   string // the beginning of the commit
+	commit string // the beginning of the commit
 	site   string // the beginning of the site's name
-	why    string // words of the reason
+	reason string // words of the reason
 }
 
-// headDigits is how much of a commit's name is printed.
-const headDigits = 7
+// commitDigits is how much of a commit's name is printed.
+const commitDigits = 7
 
 func newJournalCommand() *cli.Command {
 	return &cli.Command{
@@ -59,7 +59,7 @@
 			&cli.StringFlag{Name: "why", Usage: "only runs whose reason holds `WORDS`"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			f := journalFilter{broken: c.Bool("broken"), day: c.String("day"), head: c.String("head"), site: c.String("site"), why: c.String("why")}
+			f := journalFilter{failed: c.Bool("broken"), day: c.String("day"), commit: c.String("head"), site: c.String("site"), reason: c.String("why")}
 			l, err := readJournal(c.String("folder"), &f)
 			if err != nil {
 				return err
@@ -74,7 +74,7 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, e := range l {
 		_, _ = fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%.*s\t%d days\t%.3f\t%s\t%s\n",
-			e.At[0], e.ID, e.Site, e.Command, headDigits, e.Head, len(e.Days), e.mean(), strings.Join(e.broken(), ","), e.Why)
+			e.At[0], e.ID, e.Site, e.Command, commitDigits, e.Commit, len(e.Days), e.meanWorth(), strings.Join(e.violations(), ","), e.Reason)
 	}
 	return t.Flush()
 }
@@ -92,7 +92,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if f.allows(e) {
+		if f.matches(e) {
 			l = append(l, e)
 		}
 	}
@@ -115,19 +115,19 @@
 	return e, nil
 }
 
-// allows reports whether a run is listed.
-func (f *journalFilter) allows(e *journalEntry) bool {
+// matches reports whether a run is listed.
+func (f *journalFilter) matches(e *journalEntry) bool {
 	played := func(d journalDay) bool { return strings.HasPrefix(d.Name, f.day) }
-	return strings.HasPrefix(e.Site, f.site) && strings.HasPrefix(e.Head, f.head) && strings.Contains(e.Why, f.why) &&
-		(f.day == "" || slices.ContainsFunc(e.Days, played)) && (!f.broken || len(e.broken()) > 0)
+	return strings.HasPrefix(e.Site, f.site) && strings.HasPrefix(e.Commit, f.commit) && strings.Contains(e.Reason, f.reason) &&
+		(f.day == "" || slices.ContainsFunc(e.Days, played)) && (!f.failed || len(e.violations()) > 0)
 }
 
-// broken returns the rules that were broken on any day of the run, and "fault" where one
+// violations returns the rules that were broken on any day of the run, and "fault" where one
 // ended a day.
-func (e *journalEntry) broken() []string {
+func (e *journalEntry) violations() []string {
 	var l []string
 	for _, d := range e.Days {
-		for r := range d.Rules {
+		for r := range d.BrokenRules {
 			l = append(l, r)
 		}
 		if d.Fault != nil {
@@ -138,8 +138,8 @@
 	return slices.Compact(l)
 }
 
-// mean returns the mean worth of the run's days, 0 where it has none.
-func (e *journalEntry) mean() float64 {
+// meanWorth returns the mean worth of the run's days, 0 where it has none.
+func (e *journalEntry) meanWorth() float64 {
 	if len(e.Days) == 0 {
 		return 0
 	}
--- a/internal/experiment/main.go
+++ b/internal/experiment/main.go
@@ -116,9 +116,9 @@
 	var err error
 	if c.String("bench") == "" {
 		for _, s := range c.Int64Slice("seed") {
-			rows = append(rows, PlayStandIns(c.String("version"), uint64(s), c.Duration("period"))...)
+			rows = append(rows, Simulate(c.String("version"), uint64(s), c.Duration("period"))...)
 		}
-	} else if rows, err = playBench(ctx, c); err != nil {
+	} else if rows, err = runBenchmark(ctx, c); err != nil {
 		return err
 	}
 	f, err := os.Create(c.String("output"))
@@ -128,16 +128,16 @@
 	return errors.Join(WriteRows(f, rows), f.Close())
 }
 
-// playBench plays the days that the flags name on the users' bench.
-func playBench(ctx context.Context, c *cli.Command) ([]Row, error) {
+// runBenchmark plays the days that the flags name on the users' bench.
+func runBenchmark(ctx context.Context, c *cli.Command) ([]Row, error) {
 	if c.String("site") == "" || len(c.StringSlice("day")) == 0 || c.String("why") == "" {
 		return nil, errors.New("the bench takes --site, --day and --why")
 	}
-	b := &Bench{Journal: c.String("journal"), Program: c.String("bench"), Why: c.String("why")}
+	b := &Benchmark{ReportFolder: c.String("journal"), Program: c.String("bench"), Reason: c.String("why")}
 	var rows []Row
 	for _, d := range c.StringSlice("day") {
 		for _, s := range c.Int64Slice("seed") {
-			l, err := b.Play(ctx, c.String("site"), d, s, c.Root().ErrWriter)
+			l, err := b.Run(ctx, c.String("site"), d, s, c.Root().ErrWriter)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -9,23 +9,23 @@
 
 // report is what is read of a report of the users' bench.
 type report struct {
-	Days  []reportDay `json:"days"`
-	Error *string     `json:"error"`
-	Head  string      `json:"head"` // the commit that was measured
-	Site  string      `json:"site"`
-	Why   string      `json:"why"`
+	Days   []reportDay `json:"days"`
+	Error  *string     `json:"error"`
+	Commit string      `json:"head"` // the commit that was measured
+	Site   string      `json:"site"`
+	Reason string      `json:"why"`
 }
 
 // reportDay is one day of a report.
 type reportDay struct {
-	Classes []*float64     `json:"by_class"` // share of its worth that each kind of request earned; null for none
-	Name    string         `json:"name"`
-	Parts   []reportPart   `json:"parts"`
-	Prices  []reportPrice  `json:"prices"`
-	Rules   map[string]int `json:"rules"` // broken ones, by name
-	Seed    int64          `json:"seed"`
-	Served  float64        `json:"served"` // share of the worth owed
-	Worth   float64        `json:"G"`      // after prices
+	ClassShares []*float64     `json:"by_class"` // share of its worth that each kind of request earned; null for none
+	Name        string         `json:"name"`
+	Parts       []reportPart   `json:"parts"`
+	Prices      []reportPrice  `json:"prices"`
+	BrokenRules map[string]int `json:"rules"` // broken ones, by name
+	Seed        int64          `json:"seed"`
+	Served      float64        `json:"served"` // share of the worth owed
+	Worth       float64        `json:"G"`      // after prices
 }
 
 // reportPart is a share by which worth is counted: [name, weight, share].
@@ -58,19 +58,19 @@
 // UnmarshalJSON takes a part apart.
 func (p *reportPart) UnmarshalJSON(b []byte) error {
 	var weight float64
-	return triple(b, &p.Name, &weight, &p.Share)
+	return unmarshalTriple(b, &p.Name, &weight, &p.Share)
 }
 
 // UnmarshalJSON takes a price apart.
 func (p *reportPrice) UnmarshalJSON(b []byte) error {
 	var amount float64
-	return triple(b, &p.Name, &amount, &p.Share)
+	return unmarshalTriple(b, &p.Name, &amount, &p.Share)
 }
 
-// read reads rows, or the rows of a report.
-func read(b []byte) ([]Row, error) {
+// parse reads rows, or the rows of a report.
+func parse(b []byte) ([]Row, error) {
 	var r report
-	if err := json.Unmarshal(b, &r); err != nil || r.Head == "" {
+	if err := json.Unmarshal(b, &r); err != nil || r.Commit == "" {
 		return ReadRows(bytes.NewReader(b))
 	}
 	return r.rows()
@@ -84,28 +84,28 @@
 	var l []Row
 	for i := range r.Days {
 		d := &r.Days[i]
-		d.each(func(measure string, value float64) {
-			l = append(l, Row{Day: d.Name, Measure: measure, Seed: d.Seed, Site: r.Site, Value: value, Version: r.Head[:min(versionLength, len(r.Head))]})
+		d.eachMeasure(func(measure string, value float64) {
+			l = append(l, Row{Day: d.Name, Measure: measure, Seed: d.Seed, Site: r.Site, Value: value, Version: r.Commit[:min(versionLength, len(r.Commit))]})
 		})
 	}
 	return l, nil
 }
 
-// broken returns how many rules were broken.
-func (d *reportDay) broken() int {
+// brokenRules returns how many rules were broken.
+func (d *reportDay) brokenRules() int {
 	n := 0
-	for _, x := range d.Rules {
+	for _, x := range d.BrokenRules {
 		n += x
 	}
 	return n
 }
 
-// each calls add with every figure of the day.
-func (d *reportDay) each(add func(measure string, value float64)) {
+// eachMeasure calls add with every figure of the day.
+func (d *reportDay) eachMeasure(add func(measure string, value float64)) {
 	add(measureWorth, d.Worth)
 	add(measureServed, d.Served)
-	add(measureRules, float64(d.broken()))
-	for i, c := range d.Classes {
+	add(measureRules, float64(d.brokenRules()))
+	for i, c := range d.ClassShares {
 		if c != nil {
 			add(fmt.Sprint(prefixClass, i+1), *c)
 		}
@@ -118,7 +118,7 @@
 	}
 }
 
-// triple decodes a JSON list of a name and two numbers.
-func triple(b []byte, name *string, first, second *float64) error {
+// unmarshalTriple decodes a JSON list of a name and two numbers.
+func unmarshalTriple(b []byte, name *string, first, second *float64) error {
 	return json.Unmarshal(b, &[]any{name, first, second})
 }
--- a/internal/experiment/row.go
+++ b/internal/experiment/row.go
@@ -44,7 +44,7 @@
 		if err != nil {
 			return nil, err
 		}
-		l, err := read(b)
+		l, err := parse(b)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", p, err)
 		}
--- a/internal/experiment/standin.go
+++ b/internal/experiment/standin.go
@@ -9,34 +9,34 @@
 	"github.com/linetiller/linetiller/internal/policy"
 )
 
-// siteStandIns is the site of rows from the project's own stand-ins.
-const siteStandIns = "stand-ins"
+// siteSimulation is the site of rows from the project's own stand-ins.
+const siteSimulation = "stand-ins"
 
-// crowdedLoad is the load, of saturation, at which the policy is measured.
-const crowdedLoad = 1.2
+// overload is the load, of saturation, at which the policy is measured.
+const overload = 1.2
 
-// PlayStandIns runs the policy and the moves against stand-ins in virtual time, from
+// Simulate runs the policy and the moves against stand-ins in virtual time, from
 // one seed, and returns the rows of a version of the code.
-func PlayStandIns(version string, seed uint64, period time.Duration) []Row {
+func Simulate(version string, seed uint64, period time.Duration) []Row {
 	var l []Row
 	add := func(day, name string, value float64) {
-		l = append(l, Row{Day: day, Measure: name, Seed: int64(seed), Site: siteStandIns, Value: value, Version: version})
+		l = append(l, Row{Day: day, Measure: name, Seed: int64(seed), Site: siteSimulation, Value: value, Version: version})
 	}
 	for _, m := range []*measure.Mix{&measure.KMQA, &measure.VSK} {
 		day := m.Name + " crowded"
-		r := measure.Run(&measure.Scenario{Load: crowdedLoad, Mix: m, Period: period, Rate: measure.Saturation(m), Seed: seed, Tuning: policy.DefaultTuning()})
+		r := measure.Run(&measure.Scenario{Load: overload, Mix: m, Period: period, SaturationRate: measure.SaturationRate(m), Seed: seed, Tuning: policy.DefaultTuning()})
 		add(day, "stall seconds", r.StallMean)
 		add(day, "preemptions in 1,000", r.Preemptions)
-		add(day, "first token p95 seconds", r.FirstP95)
+		add(day, "first token p95 seconds", r.FirstTokenP95)
 		add(day, "refused", r.Refused)
 		add(day, "deadlines met", r.DeadlinesMet)
 		add(day, "tokens a second", r.TokensPerSecond)
 	}
 	for _, n := range []time.Duration{time.Second, 2 * time.Second} {
 		day := fmt.Sprintf("a fifth reclaimed after %v", n)
-		r := evacuation.Run(&evacuation.Scenario{Notice: n, Period: period, Seed: seed, Share: 0.2})
-		add(day, "lost", float64(r.Lost)/float64(max(1, r.Lost+r.Ended)))
-		add(day, "late", float64(r.Late)/float64(max(1, r.Ended)))
+		r := evacuation.Run(&evacuation.Scenario{Notice: n, Period: period, Seed: seed, ReclaimedShare: 0.2})
+		add(day, "lost", float64(r.Lost)/float64(max(1, r.Lost+r.Completed)))
+		add(day, "late", float64(r.Late)/float64(max(1, r.Completed)))
 	}
 	return l
 }
--- a/internal/measure/boxes.go
+++ b/internal/measure/boxes.go
@@ -14,66 +14,66 @@
 	router  *policy.Router
 }
 
-// answer takes an owner's answer to the box that asked.
-func (w *world) answer(r *request, e *modelEngine, a policy.Answer) {
-	if r.state != stateQueued || r.place != e {
+// handleAnswer takes an owner's answer to the box that asked.
+func (s *simulation) handleAnswer(r *request, e *modelEngine, a policy.Answer) {
+	if r.state != stateQueued || r.engine != e {
 		return
 	}
 	switch a.Verdict {
 	case policy.VerdictStart:
-		w.submit(r, e)
+		s.submit(r, e)
 	case policy.VerdictRefuse:
 		r.tried[e.name] = true
-		if len(r.tried) >= asksMost {
+		if len(r.tried) >= maxAsks {
 			r.state = stateRefused
 			return
 		}
-		w.place(r)
+		s.route(r)
 	case policy.VerdictQueue:
 	}
 }
 
-// answerAll hands out the places that an owner has now.
-func (w *world) answerAll(e *modelEngine) {
+// dispatch hands out the places that an owner has now.
+func (s *simulation) dispatch(e *modelEngine) {
 	if e.dead {
 		return
 	}
-	for _, a := range e.owner.Dispatch(w.now) {
-		r := w.byID(a.ID)
-		w.after(messageDelay, func() { w.answer(r, e, a) })
+	for _, a := range e.owner.Dispatch(s.now) {
+		r := s.requestByID(a.ID)
+		s.after(messageDelay, func() { s.handleAnswer(r, e, a) })
 	}
 }
 
 // ask asks an engine's owner for a place.
-func (w *world) ask(r *request, e *modelEngine) {
+func (s *simulation) ask(r *request, e *modelEngine) {
 	if e == nil {
 		r.state = stateRefused
 		return
 	}
-	r.place = e
-	w.asks++
-	w.after(messageDelay, func() {
+	r.engine = e
+	s.asks++
+	s.after(messageDelay, func() {
 		if e.dead {
-			w.place(r)
+			s.route(r)
 			return
 		}
-		a, l := e.owner.Ask(&r.work, w.now), e.owner.Load(w.now)
-		w.after(messageDelay, func() {
+		a, l := e.owner.Ask(&r.work, s.now), e.owner.Load(s.now)
+		s.after(messageDelay, func() {
 			r.box.router.UpdateLoad(l)
-			w.answer(r, e, a)
+			s.handleAnswer(r, e, a)
 		})
 	})
 }
 
-func (w *world) byID(id string) *request {
+func (s *simulation) requestByID(id string) *request {
 	n := 0
 	_, _ = fmt.Sscanf(id, "r%d", &n)
-	return w.requests[n]
+	return s.requests[n]
 }
 
-func (w *world) candidates() []policy.Candidate {
-	l := make([]policy.Candidate, 0, len(w.engines))
-	for _, e := range w.engines {
+func (s *simulation) candidates() []policy.Candidate {
+	l := make([]policy.Candidate, 0, len(s.engines))
+	for _, e := range s.engines {
 		if !e.dead {
 			l = append(l, policy.Candidate{Capacity: capacity, Name: e.name})
 		}
@@ -81,8 +81,8 @@
 	return l
 }
 
-func (w *world) engineNamed(n string) *modelEngine {
-	for _, e := range w.engines {
+func (s *simulation) engineByName(n string) *modelEngine {
+	for _, e := range s.engines {
 		if e.name == n {
 			return e
 		}
@@ -90,60 +90,60 @@
 	return nil
 }
 
-// place finds a place for a request that has none.
-func (w *world) place(r *request) {
-	if w.scenario.Naive {
-		w.submit(r, w.engineNamed(r.box.naive.Choose(w.candidates(), func(string) bool { return true })))
+// route finds a place for a request that has none.
+func (s *simulation) route(r *request) {
+	if s.scenario.Naive {
+		s.submit(r, s.engineByName(r.box.naive.Choose(s.candidates(), func(string) bool { return true })))
 		return
 	}
-	n := r.box.router.Choose(&r.work, w.candidates(), w.now, func(n string) bool { return !r.tried[n] })
-	w.ask(r, w.engineNamed(n))
+	n := r.box.router.Choose(&r.work, s.candidates(), s.now, func(n string) bool { return !r.tried[n] })
+	s.ask(r, s.engineByName(n))
 }
 
-// progress tells an owner how far its generations are, and the boxes its load.
-func (w *world) progress(e *modelEngine) {
+// reportProgress tells an owner how far its generations are, and the boxes its load.
+func (s *simulation) reportProgress(e *modelEngine) {
 	if e.dead {
 		return
 	}
-	told := make(map[*entryBox]bool)
+	notified := make(map[*entryBox]bool)
 	e.scheduler.Each(func(g *engine.Generation) {
 		r := g.UserData.(*request)
-		told[r.box] = true
-		e.owner.Progress(r.work.ID, g.Produced, w.now)
+		notified[r.box] = true
+		e.owner.Progress(r.work.ID, g.Produced, s.now)
 	})
-	l := e.owner.Load(w.now)
-	for b := range told {
+	l := e.owner.Load(s.now)
+	for b := range notified {
 		b.router.UpdateLoad(l)
 	}
 }
 
 // reroute moves waiting requests to upstreams at which they would wait less.
-func (w *world) reroute() {
-	for _, r := range w.requests {
-		if r.state != stateQueued || r.place == nil {
+func (s *simulation) reroute() {
+	for _, r := range s.requests {
+		if r.state != stateQueued || r.engine == nil {
 			continue
 		}
-		n := r.box.router.BetterUpstream(&r.work, r.place.name, w.candidates(), w.now)
+		n := r.box.router.BetterUpstream(&r.work, r.engine.name, s.candidates(), s.now)
 		if n == "" || r.tried[n] {
 			continue
 		}
-		r.place.owner.Cancel(r.work.ID, w.now)
-		w.ask(r, w.engineNamed(n))
+		r.engine.owner.Cancel(r.work.ID, s.now)
+		s.ask(r, s.engineByName(n))
 	}
 }
 
-func (w *world) submit(r *request, e *modelEngine) {
+func (s *simulation) submit(r *request, e *modelEngine) {
 	if e == nil || e.dead {
-		w.retries++
-		w.place(r)
+		s.retries++
+		s.route(r)
 		return
 	}
-	r.state, r.place = stateRunning, e
+	r.state, r.engine = stateRunning, e
 	r.generation = &engine.Generation{
-		UserData: r, ID: r.work.ID, MaxOutput: r.work.MaxTokens, OutputLength: r.output, Prefix: r.work.Prefix, Priority: r.work.Priority, Prompt: r.work.Prompt,
+		UserData: r, ID: r.work.ID, MaxOutput: r.work.MaxTokens, OutputLength: r.outputTokens, Prefix: r.work.Prefix, Priority: r.work.Priority, Prompt: r.work.Prompt,
 	}
 	e.scheduler.Submit(r.generation)
 	if !e.busy {
-		w.run(e)
+		s.startStep(e)
 	}
 }
--- a/internal/measure/engines.go
+++ b/internal/measure/engines.go
@@ -9,97 +9,97 @@
 
 // modelEngine is one engine, with the owner that decides what starts there.
 type modelEngine struct {
-	box       *entryBox // that owns it
-	busy      bool
-	dead      bool
-	epoch     int // rises when it dies, so that steps under way count for nothing
-	index     int
-	lost      int64 // preemptions of schedulers that died
-	name      string
-	owner     *policy.Owner
-	scheduler *engine.Scheduler
-	step      time.Duration
+	box             *entryBox // that owns it
+	busy            bool
+	dead            bool
+	epoch           int // rises when it dies, so that steps under way count for nothing
+	index           int
+	lostPreemptions int64 // preemptions of schedulers that died
+	name            string
+	owner           *policy.Owner
+	scheduler       *engine.Scheduler
+	step            time.Duration
 }
 
-// die ends an engine and all that it ran. What had not delivered a token is
+// crash ends an engine and all that it ran. What had not delivered a token is
 // tried elsewhere; the rest is interrupted.
-func (w *world) die(e *modelEngine) {
+func (s *simulation) crash(e *modelEngine) {
 	e.dead = true
 	e.busy = false
 	e.epoch++
-	e.lost += e.scheduler.Preemptions
+	e.lostPreemptions += e.scheduler.Preemptions
 	e.scheduler = engine.NewScheduler(engine.DefaultSettings())
-	for _, r := range w.requests {
-		if r.place != e || (r.state != stateRunning && r.state != stateQueued) {
+	for _, r := range s.requests {
+		if r.engine != e || (r.state != stateRunning && r.state != stateQueued) {
 			continue
 		}
-		if !w.scenario.Naive {
-			e.owner.Cancel(r.work.ID, w.now)
-			e.owner.Finish(r.work.ID, 0, false, w.now)
+		if !s.scenario.Naive {
+			e.owner.Cancel(r.work.ID, s.now)
+			e.owner.Finish(r.work.ID, 0, false, s.now)
 		}
-		if !r.first.IsZero() {
+		if !r.firstTokenAt.IsZero() {
 			r.state = stateInterrupted
 			continue
 		}
-		w.retries++
+		s.retries++
 		r.state, r.generation = stateQueued, nil
-		w.place(r)
+		s.route(r)
 	}
 }
 
 // emit takes one token from an engine to its client.
-func (w *world) emit(e *modelEngine, g *engine.Generation, finished bool, at time.Time) {
+func (s *simulation) emit(e *modelEngine, g *engine.Generation, finished bool, at time.Time) {
 	r := g.UserData.(*request)
-	w.tokens++
-	if r.first.IsZero() {
-		r.first = at
+	s.tokens++
+	if r.firstTokenAt.IsZero() {
+		r.firstTokenAt = at
 	} else {
-		d := at.Sub(r.last)
-		w.gaps.add(d)
-		r.stall += max(0, d-stallTarget)
+		d := at.Sub(r.lastTokenAt)
+		s.tokenGaps.add(d)
+		r.stallTime += max(0, d-stallThreshold)
 	}
-	r.last = at
+	r.lastTokenAt = at
 	if !finished {
 		return
 	}
 	r.state = stateFinished
-	if !w.scenario.Naive {
-		w.after(messageDelay, func() {
-			e.owner.Finish(r.work.ID, g.Produced, true, w.now)
-			w.answerAll(e)
+	if !s.scenario.Naive {
+		s.after(messageDelay, func() {
+			e.owner.Finish(r.work.ID, g.Produced, true, s.now)
+			s.dispatch(e)
 		})
 	}
 }
 
-// report sends the engine's report, which comes late or not at all.
-func (w *world) report(e *modelEngine) {
-	at := w.now
-	if e.dead || (w.scenario.LoseReports && at.Sub(w.start) >= faultBegins && at.Sub(w.start) < reportsBack) {
+// reportLoad sends the engine's report, which comes late or not at all.
+func (s *simulation) reportLoad(e *modelEngine) {
+	at := s.now
+	if e.dead || (s.scenario.DropReports && at.Sub(s.start) >= faultStart && at.Sub(s.start) < reportsResume) {
 		return
 	}
 	r := policy.Report{
 		AsOf: at, Preemptions: e.scheduler.Preemptions, Running: e.scheduler.Running(),
 		StepSeconds: e.step.Seconds(), UsedTokens: e.scheduler.UsedTokens, Waiting: e.scheduler.Waiting(),
 	}
-	w.after(reportLag, func() {
-		if !w.scenario.Naive {
-			e.owner.SetReport(r, w.now)
+	s.after(reportDelay, func() {
+		if !s.scenario.Naive {
+			e.owner.SetReport(r, s.now)
 			return
 		}
-		for _, b := range w.boxes {
+		for _, b := range s.boxes {
 			b.naive.SetReport(e.name, r)
 		}
 	})
 }
 
-func (w *world) revive(e *modelEngine) {
+func (s *simulation) restart(e *modelEngine) {
 	e.dead = false
-	e.owner = policy.NewOwner(e.name, capacity, e.box.lengths, w.now, policy.WithTuning(w.scenario.Tuning))
+	e.owner = policy.NewOwner(e.name, capacity, e.box.lengths, s.now, policy.WithTuning(s.scenario.Tuning))
 }
 
-// run computes an engine's next step and emits its tokens when that has taken
+// startStep computes an engine's next step and emits its tokens when that has taken
 // its time.
-func (w *world) run(e *modelEngine) {
+func (s *simulation) startStep(e *modelEngine) {
 	if e.dead || e.scheduler.Idle() {
 		e.busy = false
 		return
@@ -113,13 +113,13 @@
 	d := e.scheduler.Step(func(g *engine.Generation, finished bool) { out = append(out, token{finished, g}) })
 	e.step = d
 	epoch := e.epoch
-	w.after(d, func() {
+	s.after(d, func() {
 		if e.epoch != epoch {
 			return
 		}
 		for _, t := range out {
-			w.emit(e, t.generation, t.finished, w.now)
+			s.emit(e, t.generation, t.finished, s.now)
 		}
-		w.run(e)
+		s.startStep(e)
 	})
 }
--- a/internal/measure/evacuation/chart.go
+++ b/internal/measure/evacuation/chart.go
@@ -11,14 +11,14 @@
 func Draw(rows []*Row, path string) error {
 	var lines []chart.Line
 	for _, n := range notices {
-		for _, alone := range []bool{true, false} {
-			l := chart.Line{Dashed: alone, Name: fmt.Sprintf("%v, in turns", n)}
-			if alone {
+		for _, uncoordinated := range []bool{true, false} {
+			l := chart.Line{Dashed: uncoordinated, Name: fmt.Sprintf("%v, in turns", n)}
+			if uncoordinated {
 				l.Name = fmt.Sprintf("%v, each box alone", n)
 			}
 			for _, r := range rows {
-				if r.Notice == n && r.Alone == alone {
-					l.X, l.Y = append(l.X, r.Share), append(l.Y, r.Lost)
+				if r.Notice == n && r.Uncoordinated == uncoordinated {
+					l.X, l.Y = append(l.X, r.ReclaimedShare), append(l.Y, r.LostPercent)
 				}
 			}
 			lines = append(lines, l)
--- a/internal/measure/evacuation/evacuation_test.go
+++ b/internal/measure/evacuation/evacuation_test.go
@@ -7,17 +7,17 @@
 
 const testPeriod = 2 * time.Minute
 
-func lostShare(r *Result) float64 { return float64(r.Lost) / float64(r.Lost+r.Ended) }
+func lostShare(r *Result) float64 { return float64(r.Lost) / float64(r.Lost+r.Completed) }
 
 // TestTurnsSaveMoreThanEachBoxAlone compares both ways at the notice of the users'
 // sites, over seeds.
 func TestTurnsSaveMoreThanEachBoxAlone(t *testing.T) {
 	for seed := range uint64(5) {
-		s := Scenario{Notice: 2 * time.Second, Period: testPeriod, Seed: seed, Share: 0.2}
-		turns := Run(&s)
-		s.Alone = true
-		alone := Run(&s)
-		if got, want := lostShare(turns), lostShare(alone); got >= want {
+		s := Scenario{Notice: 2 * time.Second, Period: testPeriod, Seed: seed, ReclaimedShare: 0.2}
+		coordinated := Run(&s)
+		s.Uncoordinated = true
+		uncoordinated := Run(&s)
+		if got, want := lostShare(coordinated), lostShare(uncoordinated); got >= want {
 			t.Errorf("seed %d: lost in turns: got %.3f, want less than %.3f, that of each box alone", seed, got, want)
 		}
 	}
@@ -27,7 +27,7 @@
 // generations end by themselves, none is late, and memory is given back.
 func TestNothingIsLostWithoutNotices(t *testing.T) {
 	r := Run(&Scenario{Notice: time.Second, Period: testPeriod, Seed: 1})
-	if r.Lost != 0 || r.Late != 0 || r.Moves != 0 || r.Ended < 300 {
+	if r.Lost != 0 || r.Late != 0 || r.Moves != 0 || r.Completed < 300 {
 		t.Errorf("got %+v, want 300 and more ended, none lost, late or moved", *r)
 	}
 }
@@ -35,36 +35,36 @@
 // TestLongerNoticesSaveMore checks that more time loses less, down to nothing to save
 // where there is no notice at all.
 func TestLongerNoticesSaveMore(t *testing.T) {
-	last := 1.0
+	previous := 1.0
 	for _, n := range []time.Duration{0, time.Second, 2 * time.Second, 4 * time.Second} {
-		r := Run(&Scenario{Notice: n, Period: testPeriod, Seed: 3, Share: 0.2})
-		if got := lostShare(r); got > last {
-			t.Errorf("notice of %v: got %.3f lost, want at most %.3f", n, got, last)
+		r := Run(&Scenario{Notice: n, Period: testPeriod, Seed: 3, ReclaimedShare: 0.2})
+		if got := lostShare(r); got > previous {
+			t.Errorf("notice of %v: got %.3f lost, want at most %.3f", n, got, previous)
 		}
 		if n == 0 && r.Moves != 0 {
 			t.Errorf("no notice: got %d moves, want none", r.Moves)
 		}
-		last = lostShare(r)
+		previous = lostShare(r)
 	}
 }
 
 // TestMemoryIsAccountedFor checks, while the model runs, that what engines hold is what
 // their generations and the copies on their way there make.
 func TestMemoryIsAccountedFor(t *testing.T) {
-	for _, alone := range []bool{true, false} {
-		w := newWorld(&Scenario{Alone: alone, Notice: time.Second, Period: testPeriod, Seed: 2, Share: 0.3})
-		for w.now < w.scenario.Period {
-			w.step()
+	for _, uncoordinated := range []bool{true, false} {
+		s := newSimulation(&Scenario{Uncoordinated: uncoordinated, Notice: time.Second, Period: testPeriod, Seed: 2, ReclaimedShare: 0.3})
+		for s.now < s.scenario.Period {
+			s.step()
 			used, reserved := make(map[*engine]int), make(map[*engine]int)
-			for _, g := range w.runs {
-				used[g.at] += g.work.Tokens
+			for _, g := range s.generations {
+				used[g.engine] += g.run.Tokens
 				if g.move != nil {
-					reserved[g.move.to] += g.move.reserved
+					reserved[g.move.to] += g.move.reservedTokens
 				}
 			}
-			for _, e := range w.engines {
-				if e.goneAt == 0 && (e.used != used[e] || e.reserved != reserved[e]) {
-					t.Fatalf("alone %v, at %v: got %d used and %d reserved, want %d and %d", alone, w.now, e.used, e.reserved, used[e], reserved[e])
+			for _, e := range s.engines {
+				if e.endsAt == 0 && (e.usedTokens != used[e] || e.reservedTokens != reserved[e]) {
+					t.Fatalf("alone %v, at %v: got %d used and %d reserved, want %d and %d", uncoordinated, s.now, e.usedTokens, e.reservedTokens, used[e], reserved[e])
 				}
 			}
 		}
--- a/internal/measure/evacuation/table.go
+++ b/internal/measure/evacuation/table.go
@@ -11,33 +11,33 @@
 
 // Row is what became of generations in one scenario, over all seeds.
 type Row struct {
-	Alone  bool
-	Late   float64 // in 100 of those that ended by themselves
-	Lost   float64 // in 100 of all
-	Moves  float64 // for each generation
-	Notice time.Duration
-	Share  float64
+	Uncoordinated      bool
+	LatePercent        float64 // in 100 of those that ended by themselves
+	LostPercent        float64 // in 100 of all
+	MovesPerGeneration float64 // for each generation
+	Notice             time.Duration
+	ReclaimedShare     float64
 }
 
 // The scenarios of the table.
 var (
-	notices = []time.Duration{0, time.Second, 2 * time.Second, 4 * time.Second}
-	shares  = []float64{0.05, 0.1, 0.2, 0.3}
+	notices         = []time.Duration{0, time.Second, 2 * time.Second, 4 * time.Second}
+	reclaimedShares = []float64{0.05, 0.1, 0.2, 0.3}
 )
 
 // Rows runs every scenario from several seeds.
 func Rows(seeds int, period time.Duration) []*Row {
 	var rows []*Row
 	for _, n := range notices {
-		for _, x := range shares {
-			rows = append(rows, &Row{Alone: true, Notice: n, Share: x}, &Row{Notice: n, Share: x})
+		for _, x := range reclaimedShares {
+			rows = append(rows, &Row{Uncoordinated: true, Notice: n, ReclaimedShare: x}, &Row{Notice: n, ReclaimedShare: x})
 		}
 	}
 	var g errgroup.Group
 	g.SetLimit(runtime.GOMAXPROCS(0))
 	for _, r := range rows {
 		g.Go(func() error {
-			r.fill(seeds, period)
+			r.run(seeds, period)
 			return nil
 		})
 	}
@@ -50,22 +50,22 @@
 	_, _ = fmt.Fprintf(output, "%-8s %-6s %28s %28s\n", "notice", "share", "each box alone: lost/late/moves", "in turns: lost/late/moves")
 	for i := 0; i+1 < len(rows); i += 2 {
 		a, b := rows[i], rows[i+1]
-		_, _ = fmt.Fprintf(output, "%-8s %-6.2f %10.2f %10.2f %7.2f  %9.2f %9.2f %7.2f\n", a.Notice, a.Share, a.Lost, a.Late, a.Moves, b.Lost, b.Late, b.Moves)
+		_, _ = fmt.Fprintf(output, "%-8s %-6.2f %10.2f %10.2f %7.2f  %9.2f %9.2f %7.2f\n", a.Notice, a.ReclaimedShare, a.LostPercent, a.LatePercent, a.MovesPerGeneration, b.LostPercent, b.LatePercent, b.MovesPerGeneration)
 	}
 }
 
-// fill runs the row's scenario from each seed.
-func (r *Row) fill(seeds int, period time.Duration) {
+// run runs the row's scenario from each seed.
+func (r *Row) run(seeds int, period time.Duration) {
 	var sum Result
 	for i := range seeds {
-		v := Run(&Scenario{Alone: r.Alone, Notice: r.Notice, Period: period, Seed: uint64(i + 1), Share: r.Share})
-		sum.Ended += v.Ended
+		v := Run(&Scenario{Uncoordinated: r.Uncoordinated, Notice: r.Notice, Period: period, Seed: uint64(i + 1), ReclaimedShare: r.ReclaimedShare})
+		sum.Completed += v.Completed
 		sum.Late += v.Late
 		sum.Lost += v.Lost
 		sum.Moves += v.Moves
 	}
-	all := float64(max(1, sum.Ended+sum.Lost))
-	r.Late = 100 * float64(sum.Late) / float64(max(1, sum.Ended))
-	r.Lost = 100 * float64(sum.Lost) / all
-	r.Moves = float64(sum.Moves) / all
+	total := float64(max(1, sum.Completed+sum.Lost))
+	r.LatePercent = 100 * float64(sum.Late) / float64(max(1, sum.Completed))
+	r.LostPercent = 100 * float64(sum.Lost) / total
+	r.MovesPerGeneration = float64(sum.Moves) / total
 }
--- a/internal/measure/evacuation/world.go
+++ b/internal/measure/evacuation/world.go
@@ -18,200 +18,200 @@
 
 // Scenario describes one run of the model.
 type Scenario struct {
-	Alone  bool          // each box moves its own generations at once
-	Notice time.Duration // between an engine's notice and its end
-	Period time.Duration // virtual time of the run
-	Seed   uint64
-	Share  float64 // of the engines that are reclaimed each time
+	Uncoordinated  bool          // each box moves its own generations at once
+	Notice         time.Duration // between an engine's notice and its end
+	Period         time.Duration // virtual time of the run
+	Seed           uint64
+	ReclaimedShare float64 // of the engines that are reclaimed each time
 }
 
 // Result is what became of the generations.
 type Result struct {
-	Ended int // that ended by themselves
-	Late  int // of these, that stood still for longer than is allowed
-	Lost  int // that ended with their engine
-	Moves int // that were completed
+	Completed int // that ended by themselves
+	Late      int // of these, that stood still for longer than is allowed
+	Lost      int // that ended with their engine
+	Moves     int // that were completed
 }
 
 // The figures of the users' site kmqa-quote, from its page and from runs there.
 const (
 	arrivalsPerSecond = 3.43
-	copyToken         = 54 * time.Microsecond // 3,500 tokens in 0.19 s within a hall
-	engineTokens      = 34545
+	copyTimePerToken  = 54 * time.Microsecond // 3,500 tokens in 0.19 s within a hall
+	engineCapacity    = 34545
 	enginesPerHall    = 3
 	halls             = 3
-	otherHallFactor   = 2 // by which a copy to another hall takes longer
+	crossHallFactor   = 2 // by which a copy to another hall takes longer
 	outputMean        = 944
-	outputSpread      = 0.5 // standard deviation of the logarithm of an output's length
-	pauseMost         = 180 * time.Millisecond
+	outputSigma       = 0.5 // standard deviation of the logarithm of an output's length
+	maxPause          = 180 * time.Millisecond
 	promptTokens      = 3079
-	reclaimEvery      = 3300 * time.Millisecond
-	replacedAfter     = 4 * time.Second
-	stepPeriod        = 10 * time.Millisecond // between tokens
+	reclaimInterval   = 3300 * time.Millisecond
+	replacementDelay  = 4 * time.Second
+	stepDuration      = 10 * time.Millisecond // between tokens
 	tick              = time.Millisecond
 )
 
-// world is one run of the model.
-type world struct {
-	arriveAt  time.Duration // of the next generation
-	copies    []*transfer   // queued or under way, in the order in which they were asked for
-	engines   []*engine
-	now       time.Duration // since the start
-	number    int
-	random    *rand.Rand
-	reclaimAt time.Duration // of the next engines
-	result    Result
-	runs      []*generation
-	scenario  *Scenario
+// simulation is one run of the model.
+type simulation struct {
+	nextArrivalAt time.Duration // of the next generation
+	transfers     []*transfer   // queued or under way, in the order in which they were asked for
+	engines       []*engine
+	now           time.Duration // since the start
+	lastID        int
+	random        *rand.Rand
+	nextReclaimAt time.Duration // of the next engines
+	result        Result
+	generations   []*generation
+	scenario      *Scenario
 }
 
 // engine is a model engine with its link.
 type engine struct {
-	goneAt    time.Duration // 0 while it is not leaving
-	hall      int
-	reserved  int  // tokens of generations that are being copied here
-	sending   bool // a transfer takes its link's way out
-	receiving bool // or in
-	used      int  // tokens
+	endsAt         time.Duration // 0 while it is not leaving
+	hall           int
+	reservedTokens int  // tokens of generations that are being copied here
+	sending        bool // a transfer takes its link's way out
+	receiving      bool // or in
+	usedTokens     int  // tokens
 }
 
 // generation is a running generation.
 type generation struct {
-	at      *engine
-	credit  time.Duration // time since its last token
-	move    *transfer
-	pause   time.Duration // its longest
-	stopped bool
-	stands  time.Duration // for how long it has stood still
-	work    policy.Run
+	engine       *engine
+	sinceToken   time.Duration // time since its last token
+	move         *transfer
+	longestPause time.Duration // its longest
+	paused       bool
+	currentPause time.Duration // for how long it has stood still
+	run          policy.Run
 }
 
 // transfer is a copy of a generation's memory: first of what there is while it runs,
 // then, once it was stopped, of the rest.
 type transfer struct {
-	copied   int // tokens that the other engine has
-	from     *engine
-	left     time.Duration // until the part under way is there; 0 while it waits
-	part     int           // tokens of the part under way
-	reserved int           // tokens kept free at the other engine
-	run      *generation
-	to       *engine
+	copiedTokens   int // tokens that the other engine has
+	from           *engine
+	remaining      time.Duration // until the part under way is there; 0 while it waits
+	partTokens     int           // tokens of the part under way
+	reservedTokens int           // tokens kept free at the other engine
+	generation     *generation
+	to             *engine
 }
 
 // Run runs the model and returns what became of the generations.
-func Run(s *Scenario) *Result {
-	w := newWorld(s)
-	for w.now < s.Period {
-		w.step()
+func Run(c *Scenario) *Result {
+	s := newSimulation(c)
+	for s.now < c.Period {
+		s.step()
 	}
-	return &w.result
+	return &s.result
 }
 
-func newWorld(s *Scenario) *world {
-	w := &world{random: rand.New(rand.NewPCG(s.Seed, 1)), reclaimAt: reclaimEvery, scenario: s}
+func newSimulation(c *Scenario) *simulation {
+	s := &simulation{random: rand.New(rand.NewPCG(c.Seed, 1)), nextReclaimAt: reclaimInterval, scenario: c}
 	for i := range halls * enginesPerHall {
-		w.engines = append(w.engines, &engine{hall: i % halls})
+		s.engines = append(s.engines, &engine{hall: i % halls})
 	}
-	w.arriveAt = w.arrival()
-	return w
+	s.nextArrivalAt = s.interarrivalTime()
+	return s
 }
 
-// arrival returns the time until the next generation arrives.
-func (w *world) arrival() time.Duration {
-	return time.Duration(w.random.ExpFloat64() / arrivalsPerSecond * float64(time.Second))
+// interarrivalTime returns the time until the next generation arrives.
+func (s *simulation) interarrivalTime() time.Duration {
+	return time.Duration(s.random.ExpFloat64() / arrivalsPerSecond * float64(time.Second))
 }
 
 // arrive starts a generation at the engine with most room that is not leaving.
-func (w *world) arrive() {
-	w.number++
-	e := w.roomiest(0, anyEngine)
+func (s *simulation) arrive() {
+	s.lastID++
+	e := s.mostFree(0, anyEngine)
 	if e == nil {
 		return
 	}
-	length := outputMean * math.Exp(outputSpread*w.random.NormFloat64()-outputSpread*outputSpread/2)
-	g := &generation{at: e, work: policy.Run{ID: strconv.Itoa(w.number), Left: max(1, int(length)), Tokens: promptTokens}}
-	e.used += g.work.Tokens
-	w.runs = append(w.runs, g)
+	length := outputMean * math.Exp(outputSigma*s.random.NormFloat64()-outputSigma*outputSigma/2)
+	g := &generation{engine: e, run: policy.Run{ID: strconv.Itoa(s.lastID), Left: max(1, int(length)), Tokens: promptTokens}}
+	e.usedTokens += g.run.Tokens
+	s.generations = append(s.generations, g)
 }
 
-// end counts a generation that has ended by itself.
-func (w *world) end(g *generation) {
-	w.result.Ended++
-	if g.pause > pauseMost {
-		w.result.Late++
+// complete counts a generation that has ended by itself.
+func (s *simulation) complete(g *generation) {
+	s.result.Completed++
+	if g.longestPause > maxPause {
+		s.result.Late++
 	}
-	g.at.used -= g.work.Tokens
-	w.drop(g)
+	g.engine.usedTokens -= g.run.Tokens
+	s.releaseMove(g)
 }
 
-// generate lets every generation that is not stopped produce its tokens.
-func (w *world) generate() {
-	for _, g := range w.runs {
-		if g.stopped {
-			g.stands += tick
-			g.pause = max(g.pause, g.stands)
+// decode lets every generation that is not stopped produce its tokens.
+func (s *simulation) decode() {
+	for _, g := range s.generations {
+		if g.paused {
+			g.currentPause += tick
+			g.longestPause = max(g.longestPause, g.currentPause)
 			continue
 		}
-		if g.credit += tick; g.credit < stepPeriod {
+		if g.sinceToken += tick; g.sinceToken < stepDuration {
 			continue
 		}
-		g.credit = 0
-		g.work.Left--
-		g.work.Tokens++
-		g.at.used++
+		g.sinceToken = 0
+		g.run.Left--
+		g.run.Tokens++
+		g.engine.usedTokens++
 	}
-	w.runs = slices.DeleteFunc(w.runs, func(g *generation) bool {
-		if g.work.Left > 0 || g.stopped {
+	s.generations = slices.DeleteFunc(s.generations, func(g *generation) bool {
+		if g.run.Left > 0 || g.paused {
 			return false
 		}
-		w.end(g)
+		s.complete(g)
 		return true
 	})
 }
 
 // reclaim gives notice to a share of the engines.
-func (w *world) reclaim() {
-	wanted := w.scenario.Share * float64(len(w.engines))
-	n := int(wanted)
-	if w.random.Float64() < wanted-float64(n) {
+func (s *simulation) reclaim() {
+	mean := s.scenario.ReclaimedShare * float64(len(s.engines))
+	n := int(mean)
+	if s.random.Float64() < mean-float64(n) {
 		n++
 	}
-	for _, i := range w.random.Perm(len(w.engines))[:n] {
-		if e := w.engines[i]; e.goneAt == 0 {
-			e.goneAt = w.now + w.scenario.Notice
-			w.leave(e)
+	for _, i := range s.random.Perm(len(s.engines))[:n] {
+		if e := s.engines[i]; e.endsAt == 0 {
+			e.endsAt = s.now + s.scenario.Notice
+			s.evacuate(e)
 		}
 	}
 }
 
-// remove ends engines whose notice is over, with all that still runs there, and
+// removeEngines ends engines whose notice is over, with all that still runs there, and
 // replaces them some time later.
-func (w *world) remove() {
-	for i, e := range w.engines {
-		if e.goneAt == 0 || w.now < e.goneAt {
+func (s *simulation) removeEngines() {
+	for i, e := range s.engines {
+		if e.endsAt == 0 || s.now < e.endsAt {
 			continue
 		}
-		if w.now >= e.goneAt+replacedAfter {
-			w.engines[i] = &engine{hall: e.hall}
+		if s.now >= e.endsAt+replacementDelay {
+			s.engines[i] = &engine{hall: e.hall}
 			continue
 		}
-		w.runs = slices.DeleteFunc(w.runs, func(g *generation) bool {
-			if g.at != e {
+		s.generations = slices.DeleteFunc(s.generations, func(g *generation) bool {
+			if g.engine != e {
 				return false
 			}
-			w.result.Lost++
-			w.drop(g)
+			s.result.Lost++
+			s.releaseMove(g)
 			return true
 		})
 	}
 }
 
-// roomiest returns the engine with most room among those that are not leaving and that
+// mostFree returns the engine with most room among those that are not leaving and that
 // allow lets through, with room for more tokens, or nil.
-func (w *world) roomiest(tokens int, allow func(*engine) bool) *engine {
+func (s *simulation) mostFree(tokens int, allow func(*engine) bool) *engine {
 	var best *engine
-	for _, e := range w.engines {
-		if e.goneAt == 0 && allow(e) && e.room() >= tokens && (best == nil || e.room() > best.room()) {
+	for _, e := range s.engines {
+		if e.endsAt == 0 && allow(e) && e.free() >= tokens && (best == nil || e.free() > best.free()) {
 			best = e
 		}
 	}
@@ -219,22 +219,22 @@
 }
 
 // step lets one tick pass.
-func (w *world) step() {
-	for w.now >= w.arriveAt {
-		w.arrive()
-		w.arriveAt += w.arrival()
+func (s *simulation) step() {
+	for s.now >= s.nextArrivalAt {
+		s.arrive()
+		s.nextArrivalAt += s.interarrivalTime()
 	}
-	if w.now >= w.reclaimAt {
-		w.reclaim()
-		w.reclaimAt += reclaimEvery
+	if s.now >= s.nextReclaimAt {
+		s.reclaim()
+		s.nextReclaimAt += reclaimInterval
 	}
-	w.transfer()
-	w.generate()
-	w.remove()
-	w.now += tick
+	s.advanceTransfers()
+	s.decode()
+	s.removeEngines()
+	s.now += tick
 }
 
-// room returns how many tokens an engine can still take.
-func (e *engine) room() int {
-	return engineTokens - e.used - e.reserved
+// free returns how many tokens an engine can still take.
+func (e *engine) free() int {
+	return engineCapacity - e.usedTokens - e.reservedTokens
 }
--- a/internal/measure/event.go
+++ b/internal/measure/event.go
@@ -4,24 +4,24 @@
 
 // event is something that happens at a virtual time.
 type event struct {
-	at     time.Time
-	do     func()
-	number int // of events at the same time, the lower goes first
+	at       time.Time
+	do       func()
+	sequence int // of events at the same time, the lower goes first
 }
 
-// events is a heap of events.
-type events []*event
+// eventHeap is a heap of events.
+type eventHeap []*event
 
-func (e events) Len() int { return len(e) }
+func (e eventHeap) Len() int { return len(e) }
 
-func (e events) Less(i, j int) bool {
+func (e eventHeap) Less(i, j int) bool {
 	if !e[i].at.Equal(e[j].at) {
 		return e[i].at.Before(e[j].at)
 	}
-	return e[i].number < e[j].number
+	return e[i].sequence < e[j].sequence
 }
 
-func (e *events) Pop() any {
+func (e *eventHeap) Pop() any {
 	o := *e
 	x := o[len(o)-1]
 	o[len(o)-1] = nil
@@ -29,6 +29,6 @@
 	return x
 }
 
-func (e *events) Push(x any) { *e = append(*e, x.(*event)) }
+func (e *eventHeap) Push(x any) { *e = append(*e, x.(*event)) }
 
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e eventHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
--- a/internal/measure/world.go
+++ b/internal/measure/world.go
@@ -17,51 +17,51 @@
 
 // Scenario is what one run is made of.
 type Scenario struct {
-	Bursty      bool // the rate swings between half and one and a half
-	Doubling    bool // outputs double half way
-	Hidden      bool // callers do not name the kind
-	Load        float64
-	LoseEngine  bool // one engine dies for a while
-	LoseReports bool // no report comes for a while
-	Mix         *Mix
-	Naive       bool
-	Period      time.Duration
-	Rate        float64 // requests a second at saturation
-	Seed        uint64
-	Tuning      policy.Tuning
+	Bursty         bool // the rate swings between half and one and a half
+	DoubleOutputs  bool // outputs double half way
+	HideKind       bool // callers do not name the kind
+	Load           float64
+	CrashEngine    bool // one engine dies for a while
+	DropReports    bool // no report comes for a while
+	Mix            *Mix
+	Naive          bool
+	Period         time.Duration
+	SaturationRate float64 // requests a second at saturation
+	Seed           uint64
+	Tuning         policy.Tuning
 }
 
-// world is one run.
-type world struct {
-	boxes    []*entryBox
-	engines  []*modelEngine
-	events   events
-	now      time.Time
-	number   int
-	random   *rand.Rand
-	requests []*request
-	scenario *Scenario
-	start    time.Time
-	gaps     gaps
-	tokens   int64
-	asks     int64
-	retries  int64
+// simulation is one run.
+type simulation struct {
+	boxes     []*entryBox
+	engines   []*modelEngine
+	events    eventHeap
+	now       time.Time
+	sequence  int
+	random    *rand.Rand
+	requests  []*request
+	scenario  *Scenario
+	start     time.Time
+	tokenGaps gapHistogram
+	tokens    int64
+	asks      int64
+	retries   int64
 }
 
 // request is one request on its way.
 type request struct {
-	box        *entryBox
-	deadline   time.Time
-	first      time.Time // token
-	generation *engine.Generation
-	kind       int
-	last       time.Time // token
-	output     int
-	place      *modelEngine // where it runs or waits
-	state      state
-	stall      time.Duration
-	tried      map[string]bool
-	work       policy.Work
+	box          *entryBox
+	deadline     time.Time
+	firstTokenAt time.Time // token
+	generation   *engine.Generation
+	kindIndex    int
+	lastTokenAt  time.Time // token
+	outputTokens int
+	engine       *modelEngine // where it runs or waits
+	state        state
+	stallTime    time.Duration
+	tried        map[string]bool
+	work         policy.Work
 }
 
 type state string
@@ -75,118 +75,118 @@
 )
 
 const (
-	asksMost      = 3
-	boxCount      = 8
-	burstPeriod   = 60 * time.Second
-	engineCount   = 9
-	faultBegins   = 300 * time.Second
-	faultEnds     = 420 * time.Second
-	messageDelay  = 1500 * time.Microsecond
-	modelName     = "tiller-llm"
-	progressEvery = 500 * time.Millisecond
-	reportEvery   = time.Second
-	reportLag     = time.Second
-	reportsBack   = 330 * time.Second
-	rerouteEvery  = time.Second
-	stallTarget   = 40 * time.Millisecond
-	tickEvery     = 20 * time.Millisecond
+	maxAsks          = 3
+	boxCount         = 8
+	burstPeriod      = 60 * time.Second
+	engineCount      = 9
+	faultStart       = 300 * time.Second
+	faultEnd         = 420 * time.Second
+	messageDelay     = 1500 * time.Microsecond
+	modelName        = "tiller-llm"
+	progressInterval = 500 * time.Millisecond
+	reportInterval   = time.Second
+	reportDelay      = time.Second
+	reportsResume    = 330 * time.Second
+	rerouteInterval  = time.Second
+	stallThreshold   = 40 * time.Millisecond
+	dispatchInterval = 20 * time.Millisecond
 )
 
 var capacity = policy.Capacity{KVTokens: engine.DefaultSettings().KVTokens, MaxBatch: 128}
 
 // Run runs a scenario and returns what it measured.
-func Run(s *Scenario) *Result {
-	w := newWorld(s)
-	end := w.start.Add(s.Period)
-	for len(w.events) > 0 && w.events[0].at.Before(end) {
-		e := heap.Pop(&w.events).(*event)
-		w.now = e.at
+func Run(c *Scenario) *Result {
+	s := newSimulation(c)
+	end := s.start.Add(c.Period)
+	for len(s.events) > 0 && s.events[0].at.Before(end) {
+		e := heap.Pop(&s.events).(*event)
+		s.now = e.at
 		e.do()
 	}
-	w.now = end
-	return w.result()
+	s.now = end
+	return s.result()
 }
 
-func newWorld(s *Scenario) *world {
-	w := &world{now: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(s.Seed, 1)), scenario: s}
-	w.start = w.now
+func newSimulation(c *Scenario) *simulation {
+	s := &simulation{now: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(c.Seed, 1)), scenario: c}
+	s.start = s.now
 	for i := range boxCount {
 		l := policy.NewLengths()
-		w.boxes = append(w.boxes, &entryBox{
-			lengths: l, naive: policy.NewNaive(s.Seed*100 + uint64(i)), router: policy.NewRouter(l, s.Seed*100+uint64(i)),
+		s.boxes = append(s.boxes, &entryBox{
+			lengths: l, naive: policy.NewNaive(c.Seed*100 + uint64(i)), router: policy.NewRouter(l, c.Seed*100+uint64(i)),
 		})
 	}
 	for i := range engineCount {
-		b := w.boxes[i%boxCount]
+		b := s.boxes[i%boxCount]
 		n := fmt.Sprintf("engine-%d", i+1)
 		e := &modelEngine{box: b, index: i, name: n, scheduler: engine.NewScheduler(engine.DefaultSettings())}
-		e.owner = policy.NewOwner(n, capacity, b.lengths, w.now, policy.WithTuning(s.Tuning))
-		w.engines = append(w.engines, e)
-		w.every(reportEvery, func() { w.report(e) })
-		if !s.Naive {
-			w.every(tickEvery, func() { w.answerAll(e) })
-			w.every(progressEvery, func() { w.progress(e) })
+		e.owner = policy.NewOwner(n, capacity, b.lengths, s.now, policy.WithTuning(c.Tuning))
+		s.engines = append(s.engines, e)
+		s.every(reportInterval, func() { s.reportLoad(e) })
+		if !c.Naive {
+			s.every(dispatchInterval, func() { s.dispatch(e) })
+			s.every(progressInterval, func() { s.reportProgress(e) })
 		}
 	}
-	if !s.Naive {
-		w.every(rerouteEvery, w.reroute)
+	if !c.Naive {
+		s.every(rerouteInterval, s.reroute)
 	}
-	if s.LoseEngine {
-		w.after(faultBegins, func() { w.die(w.engines[2]) })
-		w.after(faultEnds, func() { w.revive(w.engines[2]) })
+	if c.CrashEngine {
+		s.after(faultStart, func() { s.crash(s.engines[2]) })
+		s.after(faultEnd, func() { s.restart(s.engines[2]) })
 	}
-	w.after(w.nextArrival(), w.arrive)
-	return w
+	s.after(s.nextArrival(), s.arrive)
+	return s
 }
 
 // after does f once d has passed.
-func (w *world) after(d time.Duration, f func()) {
-	w.number++
-	heap.Push(&w.events, &event{at: w.now.Add(d), do: f, number: w.number})
+func (s *simulation) after(d time.Duration, f func()) {
+	s.sequence++
+	heap.Push(&s.events, &event{at: s.now.Add(d), do: f, sequence: s.sequence})
 }
 
 // arrive brings one request to one box.
-func (w *world) arrive() {
-	w.after(w.nextArrival(), w.arrive)
-	m := w.scenario.Mix
-	k, x := m.draw(w.random)
+func (s *simulation) arrive() {
+	s.after(s.nextArrival(), s.arrive)
+	m := s.scenario.Mix
+	k, x := m.sample(s.random)
 	kind := &m.Kinds[k]
-	r := &request{box: w.boxes[w.random.IntN(len(w.boxes))], kind: k, state: stateQueued, tried: make(map[string]bool)}
-	r.output = logNormal(w.random, kind.Output, kind.OutputSpread, 1, kind.Bound)
-	if w.scenario.Doubling && w.now.Sub(w.start) > w.scenario.Period/2 {
-		r.output = min(kind.Bound, 2*r.output)
+	r := &request{box: s.boxes[s.random.IntN(len(s.boxes))], kindIndex: k, state: stateQueued, tried: make(map[string]bool)}
+	r.outputTokens = logNormal(s.random, kind.MedianOutput, kind.OutputSigma, 1, kind.MaxTokens)
+	if s.scenario.DoubleOutputs && s.now.Sub(s.start) > s.scenario.Period/2 {
+		r.outputTokens = min(kind.MaxTokens, 2*r.outputTokens)
 	}
-	r.deadline = w.now.Add(kind.Deadline)
+	r.deadline = s.now.Add(kind.Deadline)
 	r.work = policy.Work{
-		Arrived: w.now, Deadline: r.deadline, ID: fmt.Sprintf("r%d", len(w.requests)), Kind: kind.Name,
-		MaxTokens: kind.Bound, Model: modelName, Prefix: uint64(1 + 1000*k + x*100 + w.random.IntN(kind.Prefixes)),
-		Priority: kind.Priority, Prompt: logNormal(w.random, kind.Prompt, kind.PromptSpread, 8, 8000), Workspace: fmt.Sprintf("w%d", x),
+		Arrived: s.now, Deadline: r.deadline, ID: fmt.Sprintf("r%d", len(s.requests)), Kind: kind.Name,
+		MaxTokens: kind.MaxTokens, Model: modelName, Prefix: uint64(1 + 1000*k + x*100 + s.random.IntN(kind.Prefixes)),
+		Priority: kind.Priority, Prompt: logNormal(s.random, kind.MedianPrompt, kind.PromptSigma, 8, 8000), Workspace: fmt.Sprintf("w%d", x),
 	}
-	if w.scenario.Hidden {
+	if s.scenario.HideKind {
 		r.work.Kind = ""
 	}
-	w.requests = append(w.requests, r)
-	w.place(r)
+	s.requests = append(s.requests, r)
+	s.route(r)
 }
 
 // every does f again and again, first after a part of d that differs from call
 // to call.
-func (w *world) every(d time.Duration, f func()) {
-	var again func()
-	again = func() {
+func (s *simulation) every(d time.Duration, f func()) {
+	var tick func()
+	tick = func() {
 		f()
-		w.after(d, again)
+		s.after(d, tick)
 	}
-	w.after(time.Duration(w.random.Float64()*float64(d)), again)
+	s.after(time.Duration(s.random.Float64()*float64(d)), tick)
 }
 
 // nextArrival draws the time to the next arrival.
-func (w *world) nextArrival() time.Duration {
-	s := w.scenario
-	rate := s.Load * s.Rate
-	if s.Bursty {
-		p := float64(w.now.Sub(w.start)%burstPeriod) / float64(burstPeriod)
+func (s *simulation) nextArrival() time.Duration {
+	c := s.scenario
+	rate := c.Load * c.SaturationRate
+	if c.Bursty {
+		p := float64(s.now.Sub(s.start)%burstPeriod) / float64(burstPeriod)
 		rate *= 1 + 0.5*math.Copysign(1, 0.5-p)
 	}
-	return time.Duration(w.random.ExpFloat64() / rate * float64(time.Second))
+	return time.Duration(s.random.ExpFloat64() / rate * float64(time.Second))
 }
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -31,8 +31,8 @@
 
 const (
 	eventStarted = 101
-	startPeriod  = 10 * time.Second
-	stopPeriod   = 10 * time.Second
+	startTimeout = 10 * time.Second
+	stopTimeout  = 10 * time.Second
 )
 
 // Start starts a command and reads its output until a line says it is ready.
@@ -41,32 +41,32 @@
 		return nil, fmt.Errorf("start %s: %w", name, err)
 	}
 	p := &Process{Exited: make(chan struct{}), Name: name, command: c}
-	up := make(chan bool, 1)
-	go p.read(output, up, ready)
+	started := make(chan bool, 1)
+	go p.scanOutput(output, started, ready)
 	select {
-	case ok := <-up:
+	case ok := <-started:
 		if !ok {
 			return nil, fmt.Errorf("%s did not start", name)
 		}
 		return p, nil
-	case <-time.After(startPeriod):
+	case <-time.After(startTimeout):
 		p.Kill()
-		return nil, fmt.Errorf("%s did not start in %s", name, startPeriod)
+		return nil, fmt.Errorf("%s did not start in %s", name, startTimeout)
 	}
 }
 
 // StartBox starts a box and returns its addresses; each line that it logs goes to
 // lines, too, where that is not nil.
-func StartBox(program, settings, name string, lines io.Writer) (*Process, *BoxAddresses, error) {
+func StartBox(program, settings, name string, logs io.Writer) (*Process, *BoxAddresses, error) {
 	c := exec.Command(program, "serve", "--settings", settings)
 	r, err := c.StdoutPipe()
 	if err != nil {
 		return nil, nil, err
 	}
 	var output io.Reader = r
-	if lines != nil {
-		output = io.TeeReader(r, lines)
-		c.Stderr = lines // why it does not start
+	if logs != nil {
+		output = io.TeeReader(r, logs)
+		c.Stderr = logs // why it does not start
 	}
 	a := new(BoxAddresses)
 	p, err := Start(c, name, output, func(line string) bool {
@@ -113,26 +113,26 @@
 	_ = p.Signal(syscall.SIGTERM) // it may have ended before
 	select {
 	case <-p.Exited:
-	case <-time.After(stopPeriod):
+	case <-time.After(stopTimeout):
 		p.Kill()
 	}
 }
 
-// read passes over the output until the process ends, and tells when it is ready.
-func (p *Process) read(output io.Reader, up chan<- bool, ready func(line string) bool) {
+// scanOutput passes over the output until the process ends, and tells when it is ready.
+func (p *Process) scanOutput(output io.Reader, started chan<- bool, ready func(line string) bool) {
 	s := bufio.NewScanner(output)
 	s.Buffer(nil, 1<<20)
-	seen, last := false, ""
+	isReady, last := false, ""
 	for s.Scan() {
 		last = s.Text()
-		if !seen && ready(last) {
-			seen = true
-			up <- true
+		if !isReady && ready(last) {
+			isReady = true
+			started <- true
 		}
 	}
-	if !seen {
+	if !isReady {
 		fmt.Println(p.Name, "said:", last)
-		up <- false
+		started <- false
 	}
 	_ = p.command.Wait() // ExitCode tells how it ended
 	close(p.Exited)
