--- a/assemble.go
+++ b/assemble.go
@@ -139,7 +139,7 @@
 	b.relay = relay.New(b.view, b.tracker, l, b.settings.Hall, b.metrics, b.log,
 		relay.WithRetryBudget(g.Ratio, g.Extra, g.Window.Duration, b.members.Count), relay.WithCold(b.coldCapacity, b.coldShare), relay.WithLimiter(b.limits.limiter), relay.WithBackoffs(b.backoffs))
 	b.relay.AnnounceCleared = func(p policy.Fingerprint) {
-		b.broadcast("", box.Request{Kind: box.KindCleared, Fingerprints: []policy.Fingerprint{p}})
+		b.broadcast("", box.Request{Kind: box.KindReportCleared, ClearedFingerprints: []policy.Fingerprint{p}})
 	}
 	b.relay.AnnounceCrashes = b.announceCrashes
 	b.relay.RefreshViews = b.refreshAfterPause
--- a/broadcast.go
+++ b/broadcast.go
@@ -27,5 +27,5 @@
 // unreadable for this box. Boxes that do not read the list themselves need to know, because they
 // own upstreams, too.
 func (b *Box) announceListUnreadable(unreadable bool) {
-	b.broadcast(b.settings.Hall, box.Request{ListUnreadable: unreadable, Kind: box.KindListUnreadable})
+	b.broadcast(b.settings.Hall, box.Request{ListUnavailable: unreadable, Kind: box.KindListUnavailable})
 }
--- a/crashes.go
+++ b/crashes.go
@@ -90,8 +90,8 @@
 // asks for the crashes that the sender does not know.
 func (b *Box) handleCrashes(q *box.Request) *box.Reply {
 	switch q.Kind { //nolint:exhaustive // handleRequest handles the other kinds.
-	case box.KindCleared:
-		b.relay.RecordCleared(q.Fingerprints, q.From.Name)
+	case box.KindReportCleared:
+		b.relay.RecordCleared(q.ClearedFingerprints, q.From.Name)
 	case box.KindReportCrashes:
 		b.relay.RecordCrashes(q.Crashes, q.From.Name)
 	case box.KindListCrashes:
--- a/handle.go
+++ b/handle.go
@@ -47,18 +47,18 @@
 	switch q.Kind {
 	case box.KindPlacement:
 		b.owners.Ask(ctx, q.Placement, send)
-	case box.KindListUnreadable, box.KindLeaving, box.KindServed:
+	case box.KindListUnavailable, box.KindLeaving, box.KindReportCompleted:
 		b.recordAnnouncement(q)
 		_ = send(&box.Reply{})
 	case box.KindChanges:
 		_ = send(&box.Reply{Changes: b.view.Missing(q.Revisions)})
-	case box.KindCleared, box.KindReportCrashes, box.KindListCrashes:
+	case box.KindReportCleared, box.KindReportCrashes, box.KindListCrashes:
 		_ = send(b.handleCrashes(q))
 	case box.KindHeartbeat:
 		now := time.Now()
 		_ = send(&box.Reply{ViewAge: b.follower.ViewAge(), LimitsDigest: b.relay.Limits().Digest(now), Loads: b.owners.Loads(), CrashesDigest: b.relay.Quarantine().Digest(now)})
 	case box.KindInForce:
-		_ = send(&box.Reply{Halls: b.inForceLocal(ctx, q.Forward)})
+		_ = send(&box.Reply{Halls: b.inForceLocal(ctx, q.WholeHall)})
 	case box.KindLimits, box.KindPermit:
 		_ = send(b.handleLimits(ctx, q))
 	case box.KindMembers:
@@ -86,11 +86,11 @@
 // upstreams, that an upstream is leaving, or the requests that it completed.
 func (b *Box) recordAnnouncement(q *box.Request) {
 	switch q.Kind { //nolint:exhaustive // handleRequest handles the other kinds.
-	case box.KindListUnreadable:
-		b.follower.RecordPeerListUnavailable(q.From.Name, q.ListUnreadable)
+	case box.KindListUnavailable:
+		b.follower.RecordPeerListUnavailable(q.From.Name, q.ListUnavailable)
 	case box.KindLeaving:
-		b.recordLeaving(q.LeavingUpstream, q.Born, q.From.Name)
-	case box.KindServed:
-		b.addRuns(q.Served)
+		b.recordLeaving(q.LeavingUpstream, q.StartedAtMS, q.From.Name)
+	case box.KindReportCompleted:
+		b.addRuns(q.CompletedRuns)
 	}
 }
--- a/inforce.go
+++ b/inforce.go
@@ -73,7 +73,7 @@
 func (b *Box) inForceRemote(ctx context.Context, hall string) []box.HallRevisions {
 	boxes := b.members.Alive(hall)
 	for _, n := range policy.Rank(b.settings.Box, boxes) {
-		r, err := b.links.CallOnce(ctx, b.members.Address(n), b.newRequest(box.Request{Forward: true, Kind: box.KindInForce}))
+		r, err := b.links.CallOnce(ctx, b.members.Address(n), b.newRequest(box.Request{WholeHall: true, Kind: box.KindInForce}))
 		if err == nil {
 			return r.Halls
 		}
--- a/internal/box/clock.go
+++ b/internal/box/clock.go
@@ -29,8 +29,8 @@
 	}
 	shiftCrashes(q.Crashes, by)
 	shiftLimits(q.Limits, by)
-	for i := range q.Served {
-		shift(&q.Served[i].At, by)
+	for i := range q.CompletedRuns {
+		shift(&q.CompletedRuns[i].At, by)
 	}
 	if q.Permit != nil {
 		shift(&q.Permit.Limit.ReportedAt, by)
--- a/internal/box/clock_test.go
+++ b/internal/box/clock_test.go
@@ -25,9 +25,9 @@
 	if got, want := here.Sub(q.Crashes[0].At), time.Minute; got != want || !q.Crashes[0].LastReturnAt.IsZero() {
 		t.Errorf("age of a crash: got %s, want %s", got, want)
 	}
-	q = &Request{SentAt: there, Served: []policy.CompletedRun{{At: there.Add(-time.Minute)}}}
+	q = &Request{SentAt: there, CompletedRuns: []policy.CompletedRun{{At: there.Add(-time.Minute)}}}
 	q.Shift(here)
-	if got, want := here.Sub(q.Served[0].At), time.Minute; got != want {
+	if got, want := here.Sub(q.CompletedRuns[0].At), time.Minute; got != want {
 		t.Errorf("age of a run: got %s, want %s", got, want)
 	}
 	r := &Reply{SentAt: there, Answer: &policy.Answer{}, Crashes: []policy.Crash{{At: there, LastReturnAt: there}}, Load: &policy.Load{AsOf: there}}
--- a/internal/box/http.go
+++ b/internal/box/http.go
@@ -61,14 +61,14 @@
 
 // Call sends q to the box at address. The caller must close the call.
 func (p *HTTPTransport) Call(ctx context.Context, address string, q *Request) (*Call, error) {
-	place := fail.Origin{Peer: "box " + address, Step: "call " + string(q.Kind)}
+	origin := fail.Origin{Peer: "box " + address, Step: "call " + string(q.Kind)}
 	ctx, cancel := context.WithCancel(ctx)
 	c := &httpCall{cancel: cancel, onTimeout: func() { p.dropIdleConnections(address) }, ready: make(chan struct{})}
 	go func() {
 		defer close(c.ready)
 		c.response, c.err = p.send(ctx, address, q) //nolint:bodyclose // abort closes it.
 	}()
-	return &Call{Drain: c.drain, Abort: c.abort, Peer: place.Peer, Read: c.read, SetReadDeadline: c.setReadDeadline}, nil
+	return &Call{Drain: c.drain, Abort: c.abort, Peer: origin.Peer, Read: c.read, SetReadDeadline: c.setReadDeadline}, nil
 }
 
 // Close closes all connections and waits for the calls in progress.
--- a/internal/box/httpsend.go
+++ b/internal/box/httpsend.go
@@ -75,8 +75,8 @@
 			answers <- httpResult{err: err, response: w, attempt: n}
 		}()
 	}
-	late := time.NewTimer(q.Wait + resendAfter)
-	defer late.Stop()
+	lateTimer := time.NewTimer(q.Wait + resendAfter)
+	defer lateTimer.Stop()
 	post(q)
 	for failures := 0; ; {
 		select {
@@ -96,12 +96,12 @@
 				p.dropIdleConnections(address)
 			}
 			return a.response, a.err
-		case <-late.C:
+		case <-lateTimer.C:
 			if repeatable(q.Kind) {
 				p.dropIdleConnections(address)
-				again := *q
-				again.SentAt, again.Wait = time.Now(), 0
-				post(&again)
+				second := *q
+				second.SentAt, second.Wait = time.Now(), 0
+				post(&second)
 			}
 		}
 	}
--- a/internal/box/message.go
+++ b/internal/box/message.go
@@ -18,22 +18,22 @@
 
 // Kinds of requests.
 const (
-	KindPlacement      Kind = "ask"       // asks for a slot at an upstream; replied to repeatedly until the work starts or is refused
-	KindListUnreadable Kind = "away"      // announces whether the sender cannot read the platform's list of upstreams
-	KindChanges        Kind = "changes"   // asks for the configuration changes after a revision
-	KindCleared        Kind = "cleared"   // announces requests that are no longer suspected of having crashed upstreams
-	KindReportCrashes  Kind = "crashed"   // announces crashes of upstreams
-	KindListCrashes    Kind = "crashes"   // asks for the crashes that the receiver knows of
-	KindHeartbeat      Kind = "heartbeat" // announces that the sender is alive
-	KindInForce        Kind = "in-force"  // asks for the current revision at the boxes of a hall
-	KindLeaving        Kind = "leaving"   // announces that an upstream is leaving
-	KindLimits         Kind = "limits"    // exchanges the known rate limits of upstreams
-	KindMembers        Kind = "members"   // asks for the boxes that the receiver knows
-	KindWatchChanges   Kind = "news"      // long poll: asks for changes unknown to the sender, and waits if there are none
-	KindPermit         Kind = "permit"    // asks for permits to send to a rate-limited upstream
-	KindServed         Kind = "served"    // announces the requests that the sender completed
-	KindMoveSlot       Kind = "turn"      // asks for the slot to move a generation to or from an upstream
-	KindProgress       Kind = "update"    // reports the progress of running generations
+	KindPlacement       Kind = "ask"       // asks for a slot at an upstream; replied to repeatedly until the work starts or is refused
+	KindListUnavailable Kind = "away"      // announces whether the sender cannot read the platform's list of upstreams
+	KindChanges         Kind = "changes"   // asks for the configuration changes after a revision
+	KindReportCleared   Kind = "cleared"   // announces requests that are no longer suspected of having crashed upstreams
+	KindReportCrashes   Kind = "crashed"   // announces crashes of upstreams
+	KindListCrashes     Kind = "crashes"   // asks for the crashes that the receiver knows of
+	KindHeartbeat       Kind = "heartbeat" // announces that the sender is alive
+	KindInForce         Kind = "in-force"  // asks for the current revision at the boxes of a hall
+	KindLeaving         Kind = "leaving"   // announces that an upstream is leaving
+	KindLimits          Kind = "limits"    // exchanges the known rate limits of upstreams
+	KindMembers         Kind = "members"   // asks for the boxes that the receiver knows
+	KindWatchChanges    Kind = "news"      // long poll: asks for changes unknown to the sender, and waits if there are none
+	KindPermit          Kind = "permit"    // asks for permits to send to a rate-limited upstream
+	KindReportCompleted Kind = "served"    // announces the requests that the sender completed
+	KindMoveSlot        Kind = "turn"      // asks for the slot to move a generation to or from an upstream
+	KindProgress        Kind = "update"    // reports the progress of running generations
 )
 
 // State is the lifecycle state that a box reports.
@@ -56,28 +56,28 @@
 // Request is the first message of a call. Comments on fields start with the wire names of the
 // kinds that use them.
 type Request struct {
-	ViewAge         time.Duration            `cbor:"22,keyasint,omitempty"` // heartbeat: age of the sender's view, 0 if unknown
-	Placement       *PlacementRequest        `cbor:"2,keyasint,omitempty"`
-	ListUnreadable  bool                     `cbor:"11,keyasint,omitempty"` // away: the list of upstreams cannot be read
-	Born            int64                    `cbor:"13,keyasint,omitempty"` // leaving: start time of the upstream in Unix milliseconds, 0 if unknown
-	Crashes         []policy.Crash           `cbor:"16,keyasint,omitempty"` // crashed
-	From            Member                   `cbor:"3,keyasint"`
-	Forward         bool                     `cbor:"4,keyasint,omitempty"` // in-force: collect the answers of the whole hall
-	Kind            Kind                     `cbor:"5,keyasint"`
-	KnownCrashes    []uint64                 `cbor:"17,keyasint,omitempty"` // crashes: hashes of the crashes that the sender knows
-	LeavingUpstream string                   `cbor:"9,keyasint,omitempty"`  // leaving: name of the upstream
-	LimitsDigest    uint64                   `cbor:"19,keyasint,omitempty"` // heartbeat: digest of the rate limits that the sender knows
-	Limits          []ratelimit.Limit        `cbor:"20,keyasint,omitempty"` // limits
-	Loads           []policy.Load            `cbor:"10,keyasint,omitempty"` // heartbeat: loads of the upstreams that the sender owns
-	Permit          *ratelimit.PermitRequest `cbor:"21,keyasint,omitempty"` // permit
-	Fingerprints    []policy.Fingerprint     `cbor:"15,keyasint,omitempty"` // cleared: fingerprints of the requests
-	CrashesDigest   uint64                   `cbor:"18,keyasint,omitempty"` // heartbeat: digest of the crashes that the sender knows
-	Revisions       resource.Revisions       `cbor:"6,keyasint"`            // known to the sender
-	SentAt          time.Time                `cbor:"1,keyasint"`            // by the sender's clock, like all times in the message
-	Served          []policy.CompletedRun    `cbor:"23,keyasint,omitempty"` // served: requests completed since the sender's last report
-	MoveSlot        *MoveSlotRequest         `cbor:"8,keyasint,omitempty"`
-	Progress        *ProgressReport          `cbor:"7,keyasint,omitempty"`
-	Wait            time.Duration            `cbor:"12,keyasint,omitempty"` // news: how long to wait for changes after the arrival of the request
+	ViewAge             time.Duration            `cbor:"22,keyasint,omitempty"` // heartbeat: age of the sender's view, 0 if unknown
+	Placement           *PlacementRequest        `cbor:"2,keyasint,omitempty"`
+	ListUnavailable     bool                     `cbor:"11,keyasint,omitempty"` // away: the list of upstreams cannot be read
+	StartedAtMS         int64                    `cbor:"13,keyasint,omitempty"` // leaving: start time of the upstream in Unix milliseconds, 0 if unknown
+	Crashes             []policy.Crash           `cbor:"16,keyasint,omitempty"` // crashed
+	From                Member                   `cbor:"3,keyasint"`
+	WholeHall           bool                     `cbor:"4,keyasint,omitempty"` // in-force: collect the answers of the whole hall
+	Kind                Kind                     `cbor:"5,keyasint"`
+	KnownCrashes        []uint64                 `cbor:"17,keyasint,omitempty"` // crashes: hashes of the crashes that the sender knows
+	LeavingUpstream     string                   `cbor:"9,keyasint,omitempty"`  // leaving: name of the upstream
+	LimitsDigest        uint64                   `cbor:"19,keyasint,omitempty"` // heartbeat: digest of the rate limits that the sender knows
+	Limits              []ratelimit.Limit        `cbor:"20,keyasint,omitempty"` // limits
+	Loads               []policy.Load            `cbor:"10,keyasint,omitempty"` // heartbeat: loads of the upstreams that the sender owns
+	Permit              *ratelimit.PermitRequest `cbor:"21,keyasint,omitempty"` // permit
+	ClearedFingerprints []policy.Fingerprint     `cbor:"15,keyasint,omitempty"` // cleared: fingerprints of the requests
+	CrashesDigest       uint64                   `cbor:"18,keyasint,omitempty"` // heartbeat: digest of the crashes that the sender knows
+	Revisions           resource.Revisions       `cbor:"6,keyasint"`            // known to the sender
+	SentAt              time.Time                `cbor:"1,keyasint"`            // by the sender's clock, like all times in the message
+	CompletedRuns       []policy.CompletedRun    `cbor:"23,keyasint,omitempty"` // served: requests completed since the sender's last report
+	MoveSlot            *MoveSlotRequest         `cbor:"8,keyasint,omitempty"`
+	Progress            *ProgressReport          `cbor:"7,keyasint,omitempty"`
+	Wait                time.Duration            `cbor:"12,keyasint,omitempty"` // news: how long to wait for changes after the arrival of the request
 }
 
 // PlacementRequest asks the owner of an upstream for a slot.
@@ -136,7 +136,7 @@
 	SentAt        time.Time          `cbor:"10,keyasint"`           // by the sender's clock, like all times in the message
 	State         State              `cbor:"8,keyasint,omitempty"`  // heartbeat
 	MoveSlot      *MoveSlotReply     `cbor:"11,keyasint,omitempty"` // turn
-	Unknown       []string           `cbor:"9,keyasint,omitempty"`  // update: IDs of generations that the owner does not know
+	UnknownIDs    []string           `cbor:"9,keyasint,omitempty"`  // update: IDs of generations that the owner does not know
 }
 
 // HallRevisions lists the current revisions of the boxes of a hall.
--- a/internal/box/silent_test.go
+++ b/internal/box/silent_test.go
@@ -12,12 +12,12 @@
 
 // blackholeProxy forwards connections to a box until it blackholes those that are open.
 type blackholeProxy struct {
-	listener   net.Listener
-	mutex      sync.Mutex // guards the fields below
-	open       []net.Conn
-	blackholed map[net.Conn]bool
-	target     string
-	workers    sync.WaitGroup
+	listener    net.Listener
+	mutex       sync.Mutex // guards the fields below
+	connections []net.Conn
+	blackholed  map[net.Conn]bool
+	target      string
+	workers     sync.WaitGroup
 }
 
 func newBlackholeProxy(t *testing.T, target string) *blackholeProxy {
@@ -31,7 +31,7 @@
 	t.Cleanup(func() {
 		_ = l.Close()
 		s.mutex.Lock()
-		for _, c := range s.open {
+		for _, c := range s.connections {
 			_ = c.Close()
 		}
 		s.mutex.Unlock()
@@ -52,7 +52,7 @@
 			continue
 		}
 		s.mutex.Lock()
-		s.open = append(s.open, c, d)
+		s.connections = append(s.connections, c, d)
 		s.mutex.Unlock()
 		s.workers.Go(func() { s.forward(c, d) })
 		s.workers.Go(func() { s.forward(d, c) })
@@ -64,10 +64,10 @@
 func (s *blackholeProxy) blackhole() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, c := range s.open {
+	for _, c := range s.connections {
 		s.blackholed[c] = true
 	}
-	return len(s.open)
+	return len(s.connections)
 }
 
 // forward copies from one connection to another. Data from a blackholed connection is dropped.
@@ -93,8 +93,8 @@
 // of them were used up.
 func TestCallsOverLostConnections(t *testing.T) {
 	const (
-		kept        = 4
-		longTimeout = time.Minute // never reached if a reply arrives
+		idleConnections = 4
+		longTimeout     = time.Minute // never reached if a reply arrives
 	)
 	concurrentPermit := &Request{Kind: KindPermit, Permit: &ratelimit.PermitRequest{Want: 1}} // not repeatable, so never sent twice
 	for _, x := range []struct {
@@ -108,7 +108,7 @@
 	} {
 		t.Run(string(x.q.Kind), func(t *testing.T) {
 			var all sync.WaitGroup
-			all.Add(kept)
+			all.Add(idleConnections)
 			a := newHTTPTransport(t, func(_ context.Context, q *Request, answer func(*Reply) error) {
 				if q.Permit != nil && q.Permit.Want > 0 { // let the calls overlap, so that each opens its own connection
 					all.Done()
@@ -125,7 +125,7 @@
 				return err
 			}
 			var g sync.WaitGroup
-			for range kept {
+			for range idleConnections {
 				g.Go(func() {
 					if err := call(concurrentPermit, longTimeout); err != nil {
 						t.Error(err)
@@ -133,7 +133,7 @@
 				})
 			}
 			g.Wait()
-			if got, want := s.blackhole(), 2*kept; got != want {
+			if got, want := s.blackhole(), 2*idleConnections; got != want {
 				t.Fatalf("ends of open connections: got %d, want %d", got, want)
 			}
 			if err := call(x.q, x.first); (err == nil) != x.want {
--- a/internal/box/transport.go
+++ b/internal/box/transport.go
@@ -41,10 +41,10 @@
 const MaxMessageBytes = 64 << 20
 
 const (
-	codeClosed      = 1
-	idleTimeout     = 10 * time.Second
-	keepAlivePeriod = 3 * time.Second
-	maxStreams      = 1 << 16
+	quicCodeClosed      = 1
+	quicIdleTimeout     = 10 * time.Second
+	quicKeepAlivePeriod = 3 * time.Second
+	quicMaxStreams      = 1 << 16
 )
 
 // ListenQUIC returns a transport that listens at address (IP:port) and serves calls with h.
@@ -93,14 +93,14 @@
 		_ = s.SetDeadline(d)
 	}
 	if err := Encoding.NewEncoder(s).Encode(q); err != nil {
-		s.CancelRead(codeClosed)
-		s.CancelWrite(codeClosed)
+		s.CancelRead(quicCodeClosed)
+		s.CancelWrite(quicCodeClosed)
 		return nil, fail.Wrap(fail.Unavailable, p, ReasonUnreachable, err)
 	}
 	_ = s.Close()
 	d := decodeMode.NewDecoder(io.LimitReader(s, MaxMessageBytes))
 	return &Call{
-		Abort: func() { s.CancelRead(codeClosed) },
+		Abort: func() { s.CancelRead(quicCodeClosed) },
 		Peer:  p.Peer,
 		Read: func(r *Reply) error {
 			if err := d.Decode(r); err != nil {
@@ -119,7 +119,7 @@
 	err := t.listener.Close()
 	t.mutex.Lock()
 	for _, c := range t.connections {
-		_ = c.CloseWithError(codeClosed, "closing")
+		_ = c.CloseWithError(quicCodeClosed, "closing")
 	}
 	t.mutex.Unlock()
 	t.workers.Wait()
@@ -183,11 +183,11 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if o := t.connections[address]; o != nil && o.Context().Err() == nil {
-		_ = c.CloseWithError(codeClosed, "double")
+		_ = c.CloseWithError(quicCodeClosed, "double")
 		return o, nil
 	}
 	if t.ctx.Err() != nil {
-		_ = c.CloseWithError(codeClosed, "closing")
+		_ = c.CloseWithError(quicCodeClosed, "closing")
 		return nil, t.ctx.Err()
 	}
 	t.connections[address] = c
@@ -203,7 +203,7 @@
 }
 
 func (t *QUICTransport) serveConnection(c *quic.Conn) {
-	defer func() { _ = c.CloseWithError(codeClosed, "closing") }()
+	defer func() { _ = c.CloseWithError(quicCodeClosed, "closing") }()
 	for {
 		s, err := c.AcceptStream(t.ctx)
 		if err != nil {
@@ -215,7 +215,7 @@
 
 func (t *QUICTransport) serveStream(s *quic.Stream) {
 	defer func() { _ = s.Close() }()
-	_ = s.SetReadDeadline(time.Now().Add(idleTimeout))
+	_ = s.SetReadDeadline(time.Now().Add(quicIdleTimeout))
 	e := Encoding.NewEncoder(s)
 	q, err := DecodeRequest(s)
 	if err != nil {
@@ -231,9 +231,9 @@
 func quicConfig() *quic.Config {
 	return &quic.Config{
 		HandshakeIdleTimeout: 2 * time.Second,
-		KeepAlivePeriod:      keepAlivePeriod,
-		MaxIdleTimeout:       idleTimeout,
-		MaxIncomingStreams:   maxStreams,
+		KeepAlivePeriod:      quicKeepAlivePeriod,
+		MaxIdleTimeout:       quicIdleTimeout,
+		MaxIncomingStreams:   quicMaxStreams,
 	}
 }
 
--- a/internal/configuration/assignment.go
+++ b/internal/configuration/assignment.go
@@ -54,7 +54,7 @@
 	if position < 0 {
 		return assignment{role: roleNone}
 	}
-	a := f.hallPrimaryAssignment(s.Hall)
+	a := f.firstReaderAssignment(s.Hall)
 	if position == 0 || f.unresponsive(own[0]) {
 		return a
 	}
@@ -66,8 +66,8 @@
 	return a
 }
 
-// hallPrimaryAssignment returns the assignment of the box that acts as first reader of a hall.
-func (f *Follower) hallPrimaryAssignment(hall string) assignment {
+// firstReaderAssignment returns the assignment of the box that acts as first reader of a hall.
+func (f *Follower) firstReaderAssignment(hall string) assignment {
 	var l []string
 	for _, h := range policy.Rank("hall", f.members.Halls()) {
 		if h == hall {
--- a/internal/configuration/hedge_test.go
+++ b/internal/configuration/hedge_test.go
@@ -37,7 +37,7 @@
 				pause(ctx, wait)
 				return nil, after, ctx.Err()
 			})
-			f.sources[len(f.sources)-1].after.Store(1)
+			f.sources[len(f.sources)-1].readRevision.Store(1)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), confirmPeriod+minLateReadThreshold+10*time.Millisecond)
 		defer cancel()
@@ -79,7 +79,7 @@
 					pause(ctx, time.Second)
 					return nil, after, ctx.Err()
 				})
-				f.sources[0].after.Store(x.after)
+				f.sources[0].readRevision.Store(x.after)
 				if err := f.readOnce(t.Context(), f.sources[0], time.Second); err != nil {
 					t.Fatal(err)
 				}
--- a/internal/configuration/reading.go
+++ b/internal/configuration/reading.go
@@ -51,10 +51,10 @@
 			f.pauseWhileIdle(ctx, stateChange)
 			continue
 		}
-		if !f.awaitSubstituteTurn(ctx, s, n) {
+		if !f.staggerSubstituteRead(ctx, s, n) {
 			continue
 		}
-		recovered := f.recovery()
+		recovered := f.recoverySignal()
 		err := f.readInRole(ctx, s, n, recovered)
 		switch {
 		case err == nil:
@@ -69,9 +69,9 @@
 	}
 }
 
-// awaitSubstituteTurn delays the first read of a substitute until the readers closer to the store
+// staggerSubstituteRead delays the first read of a substitute until the readers closer to the store
 // would have found out whether it serves them. It reports whether the read is still needed.
-func (f *Follower) awaitSubstituteTurn(ctx context.Context, s *source, r readerRole) bool {
+func (f *Follower) staggerSubstituteRead(ctx context.Context, s *source, r readerRole) bool {
 	if r != roleSubstitute || f.probedSincePeerLost(s) {
 		return true
 	}
@@ -84,9 +84,9 @@
 // from other boxes.
 func (f *Follower) position(s *source) int64 {
 	if !s.name.UsesStoreRevisions() {
-		return s.after.Load()
+		return s.readRevision.Load()
 	}
-	return max(s.after.Load(), f.view.Revisions()[s.name])
+	return max(s.readRevision.Load(), f.view.Revisions()[s.name])
 }
 
 // probe returns the source whose reads detect that the store has stopped or resumed responding: the
@@ -212,7 +212,7 @@
 		return a.err
 	}
 	f.recordReadSuccess(s)
-	s.after.Store(a.next)
+	s.readRevision.Store(a.next)
 	for i := range a.batches {
 		f.markTentative(&a.batches[i], after)
 		f.markLapsed(s, &a.batches[i])
@@ -258,8 +258,8 @@
 	event.PlatformReachable.Log(f.log, "source", string(s.name), "failures", n)
 }
 
-// recovery returns a channel that is closed when a source can be read again after failures.
-func (f *Follower) recovery() <-chan struct{} {
+// recoverySignal returns a channel that is closed when a source can be read again after failures.
+func (f *Follower) recoverySignal() <-chan struct{} {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.recovered
--- a/internal/configuration/source.go
+++ b/internal/configuration/source.go
@@ -9,14 +9,14 @@
 
 // source is a source that the follower reads.
 type source struct {
-	after       atomic.Int64 // the store's revision up to which this box has read
-	recoveredAt atomicTime   // when the source could be read again after an outage of the store
-	unconfirmed atomic.Bool  // neither the current read nor its hedge has had a response yet
-	waitEndsAt  atomicTime   // when the wait of the read in progress ends; zero if there is none
-	failures    atomic.Int64 // consecutive failed reads; one that timed out counts as several
-	name        resource.Source
-	read        Reader
-	readAt      atomicTime // time of the last successful read
+	readRevision atomic.Int64 // the store's revision up to which this box has read
+	recoveredAt  atomicTime   // when the source could be read again after an outage of the store
+	unconfirmed  atomic.Bool  // neither the current read nor its hedge has had a response yet
+	waitEndsAt   atomicTime   // when the wait of the read in progress ends; zero if there is none
+	failures     atomic.Int64 // consecutive failed reads; one that timed out counts as several
+	name         resource.Source
+	read         Reader
+	readAt       atomicTime // time of the last successful read
 }
 
 const (
--- a/internal/health/backoffs.go
+++ b/internal/health/backoffs.go
@@ -118,10 +118,10 @@
 func (r *Backoffs) RecordBackoff(u *resource.Upstream, until time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if old, ok := r.backoffs[u.Name]; ok && old.startedAt == u.Spec.Born && old.until.After(until) {
+	if old, ok := r.backoffs[u.Name]; ok && old.startedAt == u.Spec.StartedAtMS && old.until.After(until) {
 		return
 	}
-	r.backoffs[u.Name] = backoff{startedAt: u.Spec.Born, until: until}
+	r.backoffs[u.Name] = backoff{startedAt: u.Spec.StartedAtMS, until: until}
 }
 
 // RecordRefusal records that an upstream rejected a request without requesting back-off.
@@ -188,7 +188,7 @@
 	if !ok || !now.Before(x.until) {
 		return time.Time{}
 	}
-	if u := r.view.Upstream(name); u != nil && u.Spec.Born != x.startedAt {
+	if u := r.view.Upstream(name); u != nil && u.Spec.StartedAtMS != x.startedAt {
 		return time.Time{} // the instance that requested the back-off is gone
 	}
 	return x.until
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -87,7 +87,7 @@
 	if row != nil {
 		var old Record
 		if err := json.Unmarshal(row.Value, &old); err != nil {
-			return nil, fail.Wrap(fail.Unknown, place("take lease"), "platform_garbled", err)
+			return nil, fail.Wrap(fail.Unknown, origin("take lease"), "platform_garbled", err)
 		}
 		if time.Now().Before(old.Deadline) {
 			return nil, nil
@@ -100,7 +100,7 @@
 // Renew extends the lease l. If l is nil, has expired or was acquired in an earlier era of the store,
 // Renew acquires the lease with the given name instead. It returns nil if another box holds it.
 func (k *Manager) Renew(ctx context.Context, name string, l *Lease) (*Lease, error) {
-	if l == nil || !l.held(time.Now()) {
+	if l == nil || !l.heldAt(time.Now()) {
 		return k.Acquire(ctx, name)
 	}
 	return k.write(ctx, l.key, l.revision, l.era, Record{Epoch: l.Epoch})
@@ -109,12 +109,12 @@
 // Valid reports whether an order may still be given under the lease. Pass a freshly read time, so
 // that a holder whose process was paused notices that the lease has expired.
 func (l *Lease) Valid(now time.Time) bool {
-	return l.held(now.Add(SafetyMargin))
+	return l.heldAt(now.Add(SafetyMargin))
 }
 
-// held reports whether the lease has not expired and the store's era, as known to this box, is still
+// heldAt reports whether the lease has not expired and the store's era, as known to this box, is still
 // the same.
-func (l *Lease) held(now time.Time) bool {
+func (l *Lease) heldAt(now time.Time) bool {
 	era, _ := l.currentEra()
 	return now.Before(l.deadline) && era == l.era
 }
@@ -162,6 +162,6 @@
 	return l, nil
 }
 
-func place(step string) fail.Origin {
+func origin(step string) fail.Origin {
 	return fail.Origin{Peer: "platform", Step: step}
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -27,7 +27,7 @@
 // entry is what is known of another box.
 type entry struct {
 	failedAt         time.Time // last failed call; zero after a contact, and once it expired or was cleared
-	heardAt          time.Time // last contact
+	lastContactAt    time.Time // last contact
 	unreachableSince time.Time // first failed call since the last contact; zero if there is none
 	listed           bool      // whether the platform lists the box
 	member           box.Member
@@ -40,8 +40,8 @@
 	// failureTTL is how long a failed call counts against a box. Each further failure starts it
 	// anew.
 	failureTTL = 30 * time.Second
-	// goneAfter is how long a listed box must be unreachable before Gone returns it.
-	goneAfter = 2 * time.Minute
+	// longUnreachableAfter is how long a listed box must be unreachable before Gone returns it.
+	longUnreachableAfter = 2 * time.Minute
 	// crossHallSenders is how many boxes of each hall send heartbeats to the other halls.
 	crossHallSenders = 2
 	// heartbeatNeighbours is how many boxes of its hall each box sends heartbeats to.
@@ -136,7 +136,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for n, e := range t.boxes {
-		if !e.listed && now.Sub(e.heardAt) > unlistedTTL {
+		if !e.listed && now.Sub(e.lastContactAt) > unlistedTTL {
 			delete(t.boxes, n)
 			t.notifyChange()
 			continue
@@ -148,13 +148,13 @@
 	}
 }
 
-// Gone returns the names of listed boxes that have been unreachable for more than goneAfter.
-func (t *Table) Gone(now time.Time) []string {
+// LongUnreachable returns the names of listed boxes that have been unreachable for more than longUnreachableAfter.
+func (t *Table) LongUnreachable(now time.Time) []string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var l []string
 	for n, e := range t.boxes {
-		if e.listed && !e.unreachableSince.IsZero() && now.Sub(e.unreachableSince) > goneAfter {
+		if e.listed && !e.unreachableSince.IsZero() && now.Sub(e.unreachableSince) > longUnreachableAfter {
 			l = append(l, n)
 		}
 	}
@@ -239,7 +239,7 @@
 		t.notifyChange()
 	}
 	e.failedAt, e.unreachableSince = time.Time{}, time.Time{}
-	e.heardAt = now
+	e.lastContactAt = now
 	e.member = m
 	return recovered
 }
@@ -251,7 +251,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	e := t.boxes[name]
-	if e == nil || e.heardAt.After(startedAt) || t.failuresClearedAt.After(startedAt) {
+	if e == nil || e.lastContactAt.After(startedAt) || t.failuresClearedAt.After(startedAt) {
 		return false
 	}
 	wasServing := e.failedAt.IsZero()
@@ -302,7 +302,7 @@
 		t.notifyChange()
 		return
 	}
-	recent := now.Sub(e.heardAt) < unlistedTTL
+	recent := now.Sub(e.lastContactAt) < unlistedTTL
 	if m.State == box.StateLeaving && e.member.State != box.StateLeaving {
 		e.member.State = m.State
 		t.notifyChange()
--- a/internal/order/reconciler.go
+++ b/internal/order/reconciler.go
@@ -167,7 +167,7 @@
 
 // reconcileAll does one step for each engine that this box owns.
 func (r *Reconciler) reconcileAll(ctx context.Context) {
-	mine := r.view.Upstreams(func(u *resource.Upstream) bool { return u.Spec.Type == resource.UpstreamEngine && r.Owns(u) })
+	owned := r.view.Upstreams(func(u *resource.Upstream) bool { return u.Spec.Type == resource.UpstreamEngine && r.Owns(u) })
 	work := make(chan *resource.Upstream)
 	var g sync.WaitGroup
 	for range workers {
@@ -179,7 +179,7 @@
 			}
 		})
 	}
-	for _, u := range mine {
+	for _, u := range owned {
 		work <- u
 	}
 	close(work)
--- a/internal/ownership/ownedupstream.go
+++ b/internal/ownership/ownedupstream.go
@@ -25,7 +25,7 @@
 // upstream is no longer listed. The caller holds the mutex.
 func (x *ownedUpstream) applyEntry(u *resource.Upstream) {
 	if u != nil {
-		x.owner.StartedAtMS, x.owner.LeavingReported = u.Spec.Born, u.ReportedLeaving
+		x.owner.StartedAtMS, x.owner.LeavingReported = u.Spec.StartedAtMS, u.ReportedLeaving
 	}
 	x.owner.Leaving = x.owner.Leaving || (u != nil && u.IsLeaving())
 	x.setEvacuated(u != nil && u.Evacuated())
--- a/internal/ownership/owners.go
+++ b/internal/ownership/owners.go
@@ -207,7 +207,7 @@
 		case i.Work != nil:
 			x.owner.Register(i.Work, i.Produced, now)
 		case !x.owner.IsRunning(i.ID):
-			r.Unknown = append(r.Unknown, i.ID)
+			r.UnknownIDs = append(r.UnknownIDs, i.ID)
 		default:
 			x.owner.Progress(i.ID, i.Produced, now)
 		}
@@ -273,7 +273,7 @@
 	}
 	x.owner = policy.NewOwner(name, c, o.lengths, now, options...)
 	x.owner.Evacuated = u.Evacuated()
-	x.owner.StartedAtMS, x.owner.Leaving, x.owner.LeavingReported = u.Spec.Born, u.IsLeaving(), u.ReportedLeaving
+	x.owner.StartedAtMS, x.owner.Leaving, x.owner.LeavingReported = u.Spec.StartedAtMS, u.IsLeaving(), u.ReportedLeaving
 	x.assigned = o.Owns(u)
 	o.owners[name] = x
 	return x
--- a/internal/placement/tracker.go
+++ b/internal/placement/tracker.go
@@ -177,7 +177,7 @@
 	if r.Load != nil {
 		t.recordLoad(r.Load)
 	}
-	if a := t.fullItems(r.Unknown); len(a) > 0 {
+	if a := t.fullItems(r.UnknownIDs); len(a) > 0 {
 		_, _ = t.Send(ctx, &box.ProgressReport{Items: a, Upstream: u.Upstream})
 	}
 }
--- a/internal/relay/crash.go
+++ b/internal/relay/crash.go
@@ -88,7 +88,7 @@
 		return
 	}
 	s.Cleared = x.servedSinceLastCrash(s.Fingerprint, at)
-	l := []policy.Crash{{At: at, StartedAtMS: u.Spec.Born, Suspects: []policy.Suspect{s}, Upstream: u.Name}}
+	l := []policy.Crash{{At: at, StartedAtMS: u.Spec.StartedAtMS, Suspects: []policy.Suspect{s}, Upstream: u.Name}}
 	x.metrics.Add(metric.UpstreamCrashes, 1)
 	x.RecordCrashes(l, "")
 	event.UpstreamCrashed.Log(x.log, "request", e.request.ID, "upstream", u.Name, "ends", x.quarantine.CrashCount(s.Fingerprint, time.Now()), "asked", s.Fingerprint.String())
@@ -117,7 +117,7 @@
 func (e *exchange) ignoredReason(u *resource.Upstream, now time.Time) string {
 	v := e.relay.view.Upstream(u.Name)
 	switch {
-	case v == nil || v.Spec.Born != u.Spec.Born:
+	case v == nil || v.Spec.StartedAtMS != u.Spec.StartedAtMS:
 		return ignoredEntryChanged
 	case !v.KeepsWork(now):
 		return ignoredLeaving
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -123,7 +123,7 @@
 // from the beginning.
 func (e *exchange) readLastEventID() error {
 	id := e.request.LastEventID
-	if id == "" || e.route.Spec.Repeat != resource.RepeatResume {
+	if id == "" || e.route.Spec.RetryPolicy != resource.RetryResume {
 		return nil
 	}
 	if _, ok := eventNumber(id); !ok {
@@ -168,7 +168,7 @@
 	if e.clientCtx.Err() != nil || e.sends >= maxSends || !time.Now().Before(e.deadline) || e.quarantineError() != nil {
 		return false
 	}
-	if !errorx.IsOfType(err, fail.NotRun) && (!e.route.Spec.Repeat.Repeatable() || e.possibleRuns >= e.route.Spec.Attempts) {
+	if !errorx.IsOfType(err, fail.NotRun) && (!e.route.Spec.RetryPolicy.Retryable() || e.possibleRuns >= e.route.Spec.Attempts) {
 		return false
 	}
 	if reachedUpstream(err) && !x.retryBudget.Take(e.service.Name, time.Now()) {
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -56,14 +56,14 @@
 	switch {
 	case a.LimitError != nil:
 		x.metrics.Count(metric.UpstreamNotices, "word", noticeLimitInvalid)
-		if limits.MarkInvalid(u.Name, u.Spec.Born) {
+		if limits.MarkInvalid(u.Name, u.Spec.StartedAtMS) {
 			event.LimitInvalid.Log(x.log, "upstream", u.Name, "error", a.LimitError.Error())
 		}
 	case a.Limit != nil:
 		x.metrics.Count(metric.UpstreamNotices, "word", noticeLimit)
-		x.announceLimit(x.RecordLimit(ratelimit.Limit{ReportedAt: now, StartedAt: u.Spec.Born, PerSecond: *a.Limit, Upstream: u.Name}, fromAnswer))
+		x.announceLimit(x.RecordLimit(ratelimit.Limit{ReportedAt: now, StartedAt: u.Spec.StartedAtMS, PerSecond: *a.Limit, Upstream: u.Name}, fromAnswer))
 	case a.Stamped || (a.NotRun && a.Status != http.StatusMisdirectedRequest):
-		x.announceLimit(x.logLimitChange(limits.Lift(u.Name, u.Spec.Born, now), fromAnswer))
+		x.announceLimit(x.logLimitChange(limits.Lift(u.Name, u.Spec.StartedAtMS, now), fromAnswer))
 	}
 }
 
@@ -178,7 +178,7 @@
 // limiterUpstream describes an upstream to the limiter. Only plain services get a limit while they are
 // cold: for a cold engine its owner decides.
 func (x *Relay) limiterUpstream(u *resource.Upstream, now time.Time) ratelimit.Upstream {
-	v := ratelimit.Upstream{StartedAt: u.Spec.Born, Name: u.Name}
+	v := ratelimit.Upstream{StartedAt: u.Spec.StartedAtMS, Name: u.Name}
 	if u.Engine() == nil && u.Cold(now) {
 		v.ColdRate = x.coldRate(u)
 	}
--- a/internal/relay/resume.go
+++ b/internal/relay/resume.go
@@ -59,7 +59,7 @@
 // by running the generation again if the route allows it. Its error is final.
 func (s *stream) failOver(ctx context.Context, cause error) (*Answer, error) {
 	a, err := s.resumeFromMove(ctx, cause)
-	if err == nil || s.exchange.route.Spec.Repeat != resource.RepeatResume {
+	if err == nil || s.exchange.route.Spec.RetryPolicy != resource.RetryResume {
 		return a, err
 	}
 	return s.rerun(ctx, err)
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -144,7 +144,7 @@
 // returned function is called before. It does so only for streams that may be resumed: giving up
 // on others early gains nothing.
 func (e *exchange) withFirstEventTimeout(ctx context.Context) (context.Context, func()) {
-	if e.route.Spec.Repeat != resource.RepeatResume {
+	if e.route.Spec.RetryPolicy != resource.RetryResume {
 		return ctx, func() {}
 	}
 	c, cancel := context.WithCancel(ctx)
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -119,7 +119,7 @@
 func (s *stream) eventTimeout() time.Duration {
 	e := s.exchange
 	switch {
-	case e.route.Spec.Repeat != resource.RepeatResume:
+	case e.route.Spec.RetryPolicy != resource.RetryResume:
 		return time.Until(e.deadline)
 	case s.eventsDelivered() == 0:
 		return firstEventTimeout
--- a/internal/resource/check.go
+++ b/internal/resource/check.go
@@ -82,7 +82,7 @@
 	*f = append(*f, Fault{Field: field, Message: fmt.Sprintf(format, arguments...)})
 }
 
-func (f *Faults) addRange(field string, v, low, high int) {
+func (f *Faults) checkRange(field string, v, low, high int) {
 	if v < low || v > high {
 		f.add(field, "must be between %d and %d, not %d", low, high, v)
 	}
@@ -98,15 +98,15 @@
 
 func checkLimits(s *LimitsSpec) Faults {
 	var f Faults
-	f.addRange("spec.bodyBytes", int(s.BodyBytes), 0, maxLimitBytes)
-	f.addRange("spec.headerBytes", s.HeaderBytes, 0, maxLimitBytes)
-	f.addRange("spec.idleTimeoutMilliseconds", int(s.IdleTimeout), 0, maxTimeoutMS)
+	f.checkRange("spec.bodyBytes", int(s.BodyBytes), 0, maxLimitBytes)
+	f.checkRange("spec.headerBytes", s.HeaderBytes, 0, maxLimitBytes)
+	f.checkRange("spec.idleTimeoutMilliseconds", int(s.IdleTimeout), 0, maxTimeoutMS)
 	return f
 }
 
 func checkModel(s *ModelSpec) Faults {
 	var f Faults
-	f.addRange("spec.maxTokens", s.MaxTokens, 1, maxOutputTokens)
+	f.checkRange("spec.maxTokens", s.MaxTokens, 1, maxOutputTokens)
 	return f
 }
 
@@ -122,7 +122,7 @@
 		return checkWith(r, checkModel)
 	case KindPriority:
 		return checkWith(r, func(s *PrioritySpec) (f Faults) {
-			f.addRange("spec.value", s.Value, -100, 100)
+			f.checkRange("spec.value", s.Value, -100, 100)
 			return f
 		})
 	case KindRoute:
@@ -141,38 +141,38 @@
 
 func checkRoute(s *RouteSpec) Faults {
 	var f Faults
-	f.addRange("spec.attempts", s.Attempts, 1, maxAttempts)
+	f.checkRange("spec.attempts", s.Attempts, 1, maxAttempts)
 	if s.Host == "" {
 		f.add("spec.host", "must be set")
 	}
 	if !strings.HasPrefix(s.PathPrefix, "/") || !strings.HasSuffix(s.PathPrefix, "/") {
 		f.add("spec.pathPrefix", "must begin and end with a slash")
 	}
-	switch s.Repeat {
-	case RepeatNever, RepeatSafely:
-	case RepeatResume:
+	switch s.RetryPolicy {
+	case RetryNever, RetryFromStart:
+	case RetryResume:
 		if !s.Stream {
-			f.add("spec.repeat", "may be %q only if the response is a stream", RepeatResume)
+			f.add("spec.repeat", "may be %q only if the response is a stream", RetryResume)
 		}
 	default:
-		f.add("spec.repeat", "must be %q, %q or %q, not %q", RepeatNever, RepeatResume, RepeatSafely, s.Repeat)
+		f.add("spec.repeat", "must be %q, %q or %q, not %q", RetryNever, RetryResume, RetryFromStart, s.RetryPolicy)
 	}
 	if len(s.Services) == 0 {
 		f.add("spec.services", "must name at least one service")
 	}
 	for i, x := range s.Services {
-		f.addRange(fmt.Sprintf("spec.services[%d].weight", i), x.Weight, 0, maxWeight)
+		f.checkRange(fmt.Sprintf("spec.services[%d].weight", i), x.Weight, 0, maxWeight)
 	}
-	f.addRange("spec.patienceMilliseconds", int(s.FirstEventTimeout), 0, maxTimeoutMS)
-	f.addRange("spec.timeoutMilliseconds", int(s.Timeout), 1, maxTimeoutMS)
+	f.checkRange("spec.patienceMilliseconds", int(s.FirstEventTimeout), 0, maxTimeoutMS)
+	f.checkRange("spec.timeoutMilliseconds", int(s.Timeout), 1, maxTimeoutMS)
 	return f
 }
 
 func checkService(s *ServiceSpec) Faults {
 	var f Faults
 	if s.Engine != nil {
-		f.addRange("spec.engine.kvTokens", s.Engine.KVTokens, 1, 1<<30)
-		f.addRange("spec.engine.maxBatch", s.Engine.MaxBatch, 1, 1<<14)
+		f.checkRange("spec.engine.kvTokens", s.Engine.KVTokens, 1, 1<<30)
+		f.checkRange("spec.engine.maxBatch", s.Engine.MaxBatch, 1, 1<<14)
 	}
 	return f
 }
@@ -185,8 +185,8 @@
 	}
 	switch s.Type {
 	case UpstreamEngine:
-		f.addRange("spec.kvTokens", s.KVTokens, 1, 1<<30)
-		f.addRange("spec.maxBatch", s.MaxBatch, 1, 1<<14)
+		f.checkRange("spec.kvTokens", s.KVTokens, 1, 1<<30)
+		f.checkRange("spec.maxBatch", s.MaxBatch, 1, 1<<14)
 		if len(s.Models) == 0 {
 			f.add("spec.models", "must name at least one model")
 		}
@@ -240,7 +240,7 @@
 	if len(s.KeyHashes) == 0 {
 		f.add("spec.keyHashes", "must hold at least one hash")
 	}
-	f.addRange("spec.maxQueued", s.MaxQueued, 0, maxQueuedRequests)
+	f.checkRange("spec.maxQueued", s.MaxQueued, 0, maxQueuedRequests)
 	if s.Weight < 0 || s.Weight > maxWeight {
 		f.add("spec.weight", "must be between 0 and %d", maxWeight)
 	}
--- a/internal/resource/index.go
+++ b/internal/resource/index.go
@@ -108,8 +108,8 @@
 		before := x.upstreams[n]
 		putSpec(x.upstreams, c, func(s *UpstreamSpec) *Upstream {
 			u := &Upstream{Name: n, Spec: *s, ReportedLeaving: x.leaving.stillLeaving(n, before, s, source)}
-			if s.Cold > 0 {
-				u.ColdUntil = now.Add(s.Cold.Duration())
+			if s.ColdRemaining > 0 {
+				u.ColdUntil = now.Add(s.ColdRemaining.Duration())
 			}
 			if s.Lapsed {
 				u.LapsedAt = now
--- a/internal/resource/leaving.go
+++ b/internal/resource/leaving.go
@@ -3,8 +3,8 @@
 // leavingNotices holds the announcements of upstreams that they are leaving. It is guarded by the
 // lock of View.
 type leavingNotices struct {
-	startedAt map[string]int64 // by name: start time of the process that announced it, in Unix milliseconds
-	unlisted  []string         // announced names that are not listed, longest absent first
+	startedAtMS map[string]int64 // by name: start time of the process that announced it, in Unix milliseconds
+	unlisted    []string         // announced names that are not listed, longest absent first
 }
 
 // maxUnlisted bounds the notices kept for upstreams that are not listed. They are kept because an
@@ -12,13 +12,13 @@
 const maxUnlisted = 4096
 
 func newLeavingNotices() leavingNotices {
-	return leavingNotices{startedAt: make(map[string]int64)}
+	return leavingNotices{startedAtMS: make(map[string]int64)}
 }
 
 // markUnlisted notes that an upstream has no entry, and forgets the oldest such notice beyond
 // maxUnlisted.
 func (l *leavingNotices) markUnlisted(name string, listed map[string]*Upstream) {
-	if _, announced := l.startedAt[name]; !announced {
+	if _, announced := l.startedAtMS[name]; !announced {
 		return
 	}
 	l.unlisted = append(l.unlisted, name)
@@ -28,17 +28,17 @@
 	oldest := l.unlisted[0]
 	l.unlisted = l.unlisted[1:]
 	if listed[oldest] == nil {
-		delete(l.startedAt, oldest)
+		delete(l.startedAtMS, oldest)
 	}
 }
 
 // record stores the announcement of an upstream, which is listed as u or unlisted if u is nil. It
 // reports whether that changes the state of a listed upstream.
-func (l *leavingNotices) record(name string, born int64, u *Upstream) bool {
-	if b, recorded := l.startedAt[name]; (recorded && b >= born) || (u != nil && u.Spec.Born > born) {
+func (l *leavingNotices) record(name string, startedAtMS int64, u *Upstream) bool {
+	if announcedMS, recorded := l.startedAtMS[name]; (recorded && announcedMS >= startedAtMS) || (u != nil && u.Spec.StartedAtMS > startedAtMS) {
 		return false
 	}
-	l.startedAt[name] = born
+	l.startedAtMS[name] = startedAtMS
 	return u != nil && !u.IsLeaving()
 }
 
@@ -47,13 +47,13 @@
 // that a later start revokes it. Operators may withdraw a declared departure; upstreams may not.
 func (l *leavingNotices) stillLeaving(name string, before *Upstream, s *UpstreamSpec, source Source) bool {
 	if source == SourceUpstreams && s.Leaving {
-		l.startedAt[name] = max(l.startedAt[name], s.Born) // the upstream writes its own entry
+		l.startedAtMS[name] = max(l.startedAtMS[name], s.StartedAtMS) // the upstream writes its own entry
 		return true
 	}
-	born, announced := l.startedAt[name]
+	announcedMS, announced := l.startedAtMS[name]
 	withdrawn := source == SourceResources && before != nil && before.Spec.Leaving && !s.Leaving
-	if announced && (s.Born > born || withdrawn) {
-		delete(l.startedAt, name)
+	if announced && (s.StartedAtMS > announcedMS || withdrawn) {
+		delete(l.startedAtMS, name)
 		return false
 	}
 	return announced
--- a/internal/resource/leaving_test.go
+++ b/internal/resource/leaving_test.go
@@ -17,17 +17,17 @@
 // in various orders. Once announced, only a later start of its process, or an operator, may make
 // it accept work again.
 func TestWordOfLeavingHolds(t *testing.T) {
-	entryReady := func(born int) func(v *View, revision int64) {
+	entryReady := func(startedAtMS int) func(v *View, revision int64) {
 		return func(v *View, revision int64) {
-			putUpstream(v, SourceUpstreams, revision, "u", fmt.Sprintf(`{"hall":"a","born":%d,"coldMilliseconds":%d}`, born, revision), false)
+			putUpstream(v, SourceUpstreams, revision, "u", fmt.Sprintf(`{"hall":"a","born":%d,"coldMilliseconds":%d}`, startedAtMS, revision), false)
 		}
 	}
 	entryLeaving := func(v *View, revision int64) {
 		putUpstream(v, SourceUpstreams, revision, "u", `{"hall":"a","born":5,"leaving":true}`, false)
 	}
 	removed := func(v *View, revision int64) { putUpstream(v, SourceUpstreams, revision, "u", `{}`, true) }
-	announces := func(born int64) func(v *View, _ int64) {
-		return func(v *View, _ int64) { v.NoteLeaving("u", born) }
+	announces := func(startedAtMS int64) func(v *View, _ int64) {
+		return func(v *View, _ int64) { v.RecordLeaving("u", startedAtMS) }
 	}
 	declared := func(leaving bool) func(v *View, revision int64) {
 		return func(v *View, revision int64) {
@@ -73,11 +73,11 @@
 func TestWordsOfUnlistedUpstreamsAreBounded(t *testing.T) {
 	v := NewView()
 	putUpstream(v, SourceUpstreams, 1, "listed", `{"hall":"a"}`, false)
-	v.NoteLeaving("listed", 0)
+	v.RecordLeaving("listed", 0)
 	for i := range maxUnlisted + 100 {
-		v.NoteLeaving(fmt.Sprint("u-", i), 0)
+		v.RecordLeaving(fmt.Sprint("u-", i), 0)
 	}
-	if got, want := len(v.index.leaving.startedAt), maxUnlisted+1; got != want {
+	if got, want := len(v.index.leaving.startedAtMS), maxUnlisted+1; got != want {
 		t.Errorf("notices: got %d, want %d", got, want)
 	}
 	putUpstream(v, SourceUpstreams, 2, "listed", `{"hall":"a","coldMilliseconds":5}`, false)
--- a/internal/resource/route.go
+++ b/internal/resource/route.go
@@ -1,13 +1,13 @@
 package resource
 
-// Repeat specifies how requests of a route may be retried.
-type Repeat string
+// RetryPolicy specifies how requests of a route may be retried.
+type RetryPolicy string
 
 // The ways in which requests may be repeated.
 const (
-	RepeatNever  Repeat = "never"  // a request runs at most once
-	RepeatResume Repeat = "resume" // a request may run more than once, and a stream may resume after any of its events
-	RepeatSafely Repeat = "safely" // a request may run more than once, each time from the start
+	RetryNever     RetryPolicy = "never"  // a request runs at most once
+	RetryResume    RetryPolicy = "resume" // a request may run more than once, and a stream may resume after any of its events
+	RetryFromStart RetryPolicy = "safely" // a request may run more than once, each time from the start
 )
 
 // RouteSpec declares which requests are proxied unchanged to which services, and how.
@@ -28,8 +28,8 @@
 	Priority string `json:"priority,omitempty"`
 	// Public routes need no key.
 	Public bool `json:"public,omitempty"`
-	// Repeat specifies how requests may be retried.
-	Repeat Repeat `json:"repeat"`
+	// RetryPolicy specifies how requests may be retried.
+	RetryPolicy RetryPolicy `json:"repeat"`
 	// Services are the destinations, weighted.
 	Services []ServiceShare `json:"services"`
 	// Stream is set if the response is an event stream.
@@ -53,7 +53,7 @@
 	Spec     RouteSpec
 }
 
-// Repeatable reports whether a request may run more than once.
-func (r Repeat) Repeatable() bool {
-	return r == RepeatResume || r == RepeatSafely
+// Retryable reports whether a request may run more than once.
+func (r RetryPolicy) Retryable() bool {
+	return r == RetryResume || r == RetryFromStart
 }
--- a/internal/resource/tentative.go
+++ b/internal/resource/tentative.go
@@ -39,7 +39,7 @@
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
 	n := 0
-	for _, h := range v.held {
+	for _, h := range v.heldChanges {
 		if h.source == s {
 			n++
 		}
@@ -51,7 +51,7 @@
 func (v *View) IsHeld(k Kind, name string) bool {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
-	_, ok := v.held[key(k, name)]
+	_, ok := v.heldChanges[key(k, name)]
 	return ok
 }
 
@@ -61,7 +61,7 @@
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
 	var l []Change
-	for k, h := range v.held {
+	for k, h := range v.heldChanges {
 		if h.source == s {
 			l = append(l, v.resources[k].Change)
 		}
@@ -72,7 +72,7 @@
 // hold delays a change. The caller holds the lock. The period starts with the first held change of
 // a resource, and again with each later era, since each restore may bring back stale data.
 func (v *View) hold(k string, e *entry, d time.Duration) {
-	h, held := v.held[k]
+	h, held := v.heldChanges[k]
 	if held && h.Revision >= e.Revision {
 		return
 	}
@@ -81,13 +81,13 @@
 		time.AfterFunc(d, v.releaseHeld)
 	}
 	h.entry = *e
-	v.held[k] = h
+	v.heldChanges[k] = h
 }
 
 // outgoing returns the change of a resource as it is reported to other boxes: the held one, if
 // any. The caller holds the lock.
 func (v *View) outgoing(k string, e *entry) Change {
-	if h, ok := v.held[k]; ok {
+	if h, ok := v.heldChanges[k]; ok {
 		return h.Change
 	}
 	c := e.Change
@@ -100,7 +100,7 @@
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	changed := false
-	for k, h := range v.held {
+	for k, h := range v.heldChanges {
 		if v.now().Before(h.due) {
 			continue
 		}
@@ -135,7 +135,7 @@
 	if e.Deleted {
 		return !old.Deleted
 	}
-	if revision.Version(e.Revision) >= revision.Version(old.Revision) && !e.Redated {
+	if revision.Version(e.Revision) >= revision.Version(old.Revision) && !e.HasSnapshotRevision {
 		return false
 	}
 	return e.source != SourceUpstreams || !provesNewer(old, e)
@@ -149,5 +149,5 @@
 		return false
 	}
 	before, err := Decode[UpstreamSpec](old.Resource)
-	return err == nil && (x.Born > before.Born || (x.Leaving && !old.Deleted))
+	return err == nil && (x.StartedAtMS > before.StartedAtMS || (x.Leaving && !old.Deleted))
 }
--- a/internal/resource/upstream.go
+++ b/internal/resource/upstream.go
@@ -15,24 +15,24 @@
 	Name            string
 	Service         *Service // nil if its service is not declared
 	Spec            UpstreamSpec
-	ReportedLeaving bool // it announced itself that it is leaving; see View.NoteLeaving
+	ReportedLeaving bool // it announced itself that it is leaving; see View.RecordLeaving
 }
 
 // UpstreamSpec declares an engine or a plain service.
 type UpstreamSpec struct {
-	Address     string       `json:"address"`                    // http://IP:port
-	Born        int64        `json:"born,omitempty"`             // start time of its process in Unix milliseconds, 0 if unknown; distinguishes successive processes of one name
-	ChecksFence bool         `json:"checksFence,omitempty"`      // it rejects orders with an outdated fencing token
-	Cold        Milliseconds `json:"coldMilliseconds,omitempty"` // rest of the cold-start period when the entry was written
-	Hall        string       `json:"hall"`                       // the data hall in which it runs
-	KVTokens    int          `json:"kvTokens,omitempty"`         // engine: memory for prompts and outputs, in tokens
-	Lapsed      bool         `json:"lapsed,omitempty"`           // its entry was removed while the store was unavailable; it may return
-	Leaving     bool         `json:"leaving,omitempty"`          // it gets no new work
-	MaxBatch    int          `json:"maxBatch,omitempty"`         // engine: concurrent generations within the inter-token latency target
-	Models      []string     `json:"models,omitempty"`           // engine: the models that it serves
-	Repeatable  []string     `json:"repeatable,omitempty"`       // service: methods that may be retried
-	Service     string       `json:"service,omitempty"`          // service: the NAME in the path /services/NAME/
-	Type        UpstreamType `json:"type"`
+	Address          string       `json:"address"`                    // http://IP:port
+	StartedAtMS      int64        `json:"born,omitempty"`             // start time of its process in Unix milliseconds, 0 if unknown; distinguishes successive processes of one name
+	ChecksFence      bool         `json:"checksFence,omitempty"`      // it rejects orders with an outdated fencing token
+	ColdRemaining    Milliseconds `json:"coldMilliseconds,omitempty"` // rest of the cold-start period when the entry was written
+	Hall             string       `json:"hall"`                       // the data hall in which it runs
+	KVTokens         int          `json:"kvTokens,omitempty"`         // engine: memory for prompts and outputs, in tokens
+	Lapsed           bool         `json:"lapsed,omitempty"`           // its entry was removed while the store was unavailable; it may return
+	Leaving          bool         `json:"leaving,omitempty"`          // it gets no new work
+	MaxBatch         int          `json:"maxBatch,omitempty"`         // engine: concurrent generations within the inter-token latency target
+	Models           []string     `json:"models,omitempty"`           // engine: the models that it serves
+	RetryableMethods []string     `json:"repeatable,omitempty"`       // service: methods that may be retried
+	Service          string       `json:"service,omitempty"`          // service: the NAME in the path /services/NAME/
+	Type             UpstreamType `json:"type"`
 }
 
 // UpstreamType distinguishes model engines from other services.
--- a/internal/resource/view.go
+++ b/internal/resource/view.go
@@ -25,16 +25,16 @@
 // that it returns are never modified afterwards. Its mutex is the innermost lock of a box: no
 // other lock may be taken while it is held.
 type View struct {
-	mutex      sync.RWMutex          // guards the fields below
-	changed    chan struct{}         // closed on the next change
-	floors     Revisions             // by source: changes up to this revision were part of a complete batch that was merged
-	held       map[string]heldChange // by kind and name: changes delayed because they may come from a backup of the store
-	index      index
-	gaps       map[Source][]revisionGap
-	tombstones []string // keys of removed resources, oldest first
-	now        func() time.Time
-	resources  map[string]entry // by kind and name; a removed resource stays as a tombstone
-	revisions  Revisions
+	mutex       sync.RWMutex          // guards the fields below
+	changed     chan struct{}         // closed on the next change
+	floors      Revisions             // by source: changes up to this revision were part of a complete batch that was merged
+	heldChanges map[string]heldChange // by kind and name: changes delayed because they may come from a backup of the store
+	index       index
+	gaps        map[Source][]revisionGap
+	tombstones  []string // keys of removed resources, oldest first
+	now         func() time.Time
+	resources   map[string]entry // by kind and name; a removed resource stays as a tombstone
+	revisions   Revisions
 	// tentativeUntil is, by source, the time until which the absence of resources is reported to
 	// other boxes as tentative.
 	tentativeUntil map[Source]time.Time
@@ -49,7 +49,7 @@
 // NewView returns an empty view.
 func NewView() *View {
 	return &View{
-		changed: make(chan struct{}), floors: make(Revisions), held: make(map[string]heldChange), index: newIndex(),
+		changed: make(chan struct{}), floors: make(Revisions), heldChanges: make(map[string]heldChange), index: newIndex(),
 		gaps: make(map[Source][]revisionGap), now: time.Now, resources: make(map[string]entry), revisions: make(Revisions),
 		tentativeUntil: make(map[Source]time.Time),
 	}
@@ -144,7 +144,7 @@
 		}
 		b := Batch{Revision: v.revisions[s], FromView: true, Source: s, Tentative: v.now().Before(v.tentativeUntil[s]), Snapshot: v.inGap(s, have[s])}
 		if b.Snapshot {
-			b.Changes = v.live(s)
+			b.Changes = v.liveChanges(s)
 		} else {
 			b.Changes = v.since(s, have[s], v.outgoing)
 		}
@@ -153,17 +153,17 @@
 	return l
 }
 
-// NoteLeaving records that an upstream, whose process started at born (Unix milliseconds),
+// RecordLeaving records that an upstream, whose process started at born (Unix milliseconds),
 // announced that it is leaving. It reports whether this is new information on a listed upstream.
 //
 // An announcement is final for that process. A later write of its list entry does not revoke it,
 // because entries can arrive out of order. It is revoked only by an entry with a later start time
 // under the same name, or by an operator who had declared the upstream leaving and withdraws that.
-func (v *View) NoteLeaving(name string, born int64) bool {
+func (v *View) RecordLeaving(name string, startedAtMS int64) bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	u := v.index.upstreams[name]
-	changed := v.index.leaving.record(name, born, u)
+	changed := v.index.leaving.record(name, startedAtMS, u)
 	if u == nil {
 		v.index.leaving.markUnlisted(name, v.index.upstreams)
 	}
@@ -225,9 +225,9 @@
 	}
 }
 
-// live returns the resources of a source that are not deleted, as they are reported to other
+// liveChanges returns the resources of a source that are not deleted, as they are reported to other
 // boxes.
-func (v *View) live(s Source) []Change {
+func (v *View) liveChanges(s Source) []Change {
 	var l []Change
 	for k, e := range v.resources {
 		if e.source != s {
@@ -259,13 +259,13 @@
 // stored. If it differs although its revision is already known, or a held change has to be
 // replaced by the unchanged resource, the change gets the revision of the snapshot.
 func (v *View) reconcile(k string, e *entry, b *Batch) bool {
-	h, held := v.held[k]
+	h, held := v.heldChanges[k]
 	unchanged := v.matches(k, e)
 	if unchanged && (!held || h.Revision >= b.Revision) {
 		return false
 	}
 	if unchanged || e.Revision <= v.revisions[b.Source] {
-		e.Revision, e.Redated = b.Revision, true // the content changed without a revision newer than the known one
+		e.Revision, e.HasSnapshotRevision = b.Revision, true // the content changed without a revision newer than the known one
 		e.Tentative = e.Tentative || b.Tentative
 	}
 	return true
@@ -273,13 +273,13 @@
 
 // removeOthers marks the resources of the source that a snapshot does not name as deleted. It
 // reports whether anything changed.
-func (v *View) removeOthers(b *Batch, named map[string]bool) bool {
+func (v *View) removeOthers(b *Batch, present map[string]bool) bool {
 	changed := false
 	for k, e := range v.resources {
-		if e.source != b.Source || named[k] || e.Revision >= b.Revision {
+		if e.source != b.Source || present[k] || e.Revision >= b.Revision {
 			continue
 		}
-		if h, held := v.held[k]; e.Deleted && (!held || h.Revision >= b.Revision) {
+		if h, held := v.heldChanges[k]; e.Deleted && (!held || h.Revision >= b.Revision) {
 			continue // a held change older than the snapshot must be replaced, so that other boxes learn of its absence, too
 		}
 		e.Deleted, e.Revision, e.Tentative = true, b.Revision, b.Tentative
@@ -308,7 +308,7 @@
 	if ok && !v.replaces(k, &old, &e) {
 		return false
 	}
-	delete(v.held, k)
+	delete(v.heldChanges, k)
 	e.tentativeUntil = time.Time{}
 	if e.Tentative {
 		e.tentativeUntil = v.now().Add(tentativePeriod)
@@ -324,11 +324,11 @@
 
 // setAll stores the changes of a batch. It returns whether any was new, and the keys of the
 // resources that the batch names.
-func (v *View) setAll(b *Batch, complete bool) (changed bool, named map[string]bool) {
-	named = make(map[string]bool, len(b.Changes))
+func (v *View) setAll(b *Batch, complete bool) (changed bool, present map[string]bool) {
+	present = make(map[string]bool, len(b.Changes))
 	for _, c := range b.Changes {
 		k := key(c.Resource.Kind, c.Resource.Metadata.Name)
-		named[k] = true
+		present[k] = true
 		if c.Revision <= v.floors[b.Source] && !complete {
 			continue // covered by an earlier complete batch
 		}
@@ -338,7 +338,7 @@
 		}
 		changed = v.set(k, e) || changed
 	}
-	return changed, named
+	return changed, present
 }
 
 // since returns the newest change of each resource of a source changed after revision r, ordered
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -282,5 +282,5 @@
 // repeatable reports whether calls with a method may be repeated: GET, HEAD, and what the upstream
 // declares.
 func repeatable(method string, u *resource.Upstream) bool {
-	return method == http.MethodGet || method == http.MethodHead || slices.Contains(u.Spec.Repeatable, method)
+	return method == http.MethodGet || method == http.MethodHead || slices.Contains(u.Spec.RetryableMethods, method)
 }
--- a/leaving.go
+++ b/leaving.go
@@ -12,16 +12,16 @@
 // would go on sending requests to the upstream until it got a notice in a response itself, because
 // the list may be unavailable for long. An announcement costs one message per box.
 func (b *Box) announceLeaving(u *resource.Upstream, from string) {
-	if !b.recordLeaving(u.Name, u.Spec.Born, from) {
+	if !b.recordLeaving(u.Name, u.Spec.StartedAtMS, from) {
 		return
 	}
-	b.broadcast("", box.Request{Born: u.Spec.Born, Kind: box.KindLeaving, LeavingUpstream: u.Name}) // not retried: the owner's load reports contain it, too
+	b.broadcast("", box.Request{StartedAtMS: u.Spec.StartedAtMS, Kind: box.KindLeaving, LeavingUpstream: u.Name}) // not retried: the owner's load reports contain it, too
 }
 
 // recordLeaving records that an upstream, whose process started at startedAtMS (Unix milliseconds),
 // is leaving, and logs it. It reports whether that was unknown.
 func (b *Box) recordLeaving(upstream string, startedAtMS int64, from string) bool {
-	if !b.view.NoteLeaving(upstream, startedAtMS) {
+	if !b.view.RecordLeaving(upstream, startedAtMS) {
 		return false
 	}
 	event.LeavingNoticeReceived.Log(b.log, "upstream", upstream, "from", from)
--- a/recorder.go
+++ b/recorder.go
@@ -120,7 +120,7 @@
 				b.addRuns(l)
 				return nil
 			}
-			_, err := b.links.CallOnce(ctx, b.members.Address(n), b.newRequest(box.Request{Kind: box.KindServed, Served: l}))
+			_, err := b.links.CallOnce(ctx, b.members.Address(n), b.newRequest(box.Request{Kind: box.KindReportCompleted, CompletedRuns: l}))
 			return err
 		})
 	}
--- a/register.go
+++ b/register.go
@@ -81,7 +81,7 @@
 	if policy.First("registrar", b.members.Alive(s.Hall)) != s.Name {
 		return
 	}
-	for _, n := range b.members.Gone(time.Now()) {
+	for _, n := range b.members.LongUnreachable(time.Now()) {
 		r := b.view.Get(resource.KindBox, n)
 		if r == nil {
 			continue
