--- a/internal/box/clock_test.go
+++ b/internal/box/clock_test.go
@@ -15,7 +15,7 @@
 	q := &Request{SentAt: there, Placement: &PlacementRequest{Work: policy.Work{Arrived: there.Add(-time.Second), Deadline: there.Add(5 * time.Second)}}}
 	q.Shift(here)
 	if got, want := q.Placement.Work.Deadline.Sub(here), 5*time.Second; got != want {
-		t.Errorf("left: got %s, want %s", got, want)
+		t.Errorf("time left: got %s, want %s", got, want)
 	}
 	if got, want := here.Sub(q.Placement.Work.Arrived), time.Second; got != want {
 		t.Errorf("age: got %s, want %s", got, want)
@@ -33,7 +33,7 @@
 	r := &Reply{SentAt: there, Answer: &policy.Answer{}, Crashes: []policy.Crash{{At: there, LastReturnAt: there}}, Load: &policy.Load{AsOf: there}}
 	r.Shift(here)
 	if got := r.Crashes[0]; !got.At.Equal(here) || !got.LastReturnAt.Equal(here) {
-		t.Errorf("crash: got at %s, seen at %s, want %s", got.At, got.LastReturnAt, here)
+		t.Errorf("crash: got at %s, last return at %s, want %s", got.At, got.LastReturnAt, here)
 	}
 	if got := r.Load.AsOf; !got.Equal(here) {
 		t.Errorf("load as of: got %s, want %s", got, here)
--- a/internal/box/codec.go
+++ b/internal/box/codec.go
@@ -16,9 +16,9 @@
 
 // Limits on decoded messages.
 const (
-	maxElements = 1 << 20
-	maxLevels   = 16
-	maxPairs    = 1 << 16
+	maxElements = 1 << 20 // of one array
+	maxLevels   = 16      // of nesting
+	maxPairs    = 1 << 16 // of one map
 )
 
 func newDecodeMode() cbor.DecMode {
--- a/internal/box/http.go
+++ b/internal/box/http.go
@@ -31,7 +31,7 @@
 const (
 	callPath         = "/call"
 	maxIdlePerBox    = 8                      // idle connections kept to one box
-	httpDialTimeout  = time.Second            // a box that does not accept a connection within it is considered gone
+	httpDialTimeout  = time.Second            // a box that does not accept a connection within it counts as unreachable
 	httpDrainTimeout = 100 * time.Millisecond // for reading the end of a response after its last reply
 	httpIdleTimeout  = 30 * time.Second       // for keeping an idle connection; heartbeats use it every second
 	httpReadTimeout  = 2 * time.Second        // for receiving a complete request
--- a/internal/box/message.go
+++ b/internal/box/message.go
@@ -2,7 +2,7 @@
 // trusted networks.
 //
 // A call opens a stream, sends a Request and reads one or more Replies. Every message carries the
-// sender's name and configuration revision.
+// revisions of the configuration that its sender knows, and every request its sender's name.
 package box
 
 import (
@@ -19,7 +19,7 @@
 // Kinds of requests.
 const (
 	KindPlacement       Kind = "ask"       // asks for a slot at an upstream; replied to repeatedly until the work starts or is refused
-	KindListUnavailable Kind = "away"      // announces whether the sender cannot read the platform's list of upstreams
+	KindListUnavailable Kind = "away"      // announces whether the platform's list of upstreams is unavailable to the sender
 	KindChanges         Kind = "changes"   // asks for the configuration changes after a revision
 	KindReportCleared   Kind = "cleared"   // announces requests that are no longer suspected of having crashed upstreams
 	KindReportCrashes   Kind = "crashed"   // announces crashes of upstreams
@@ -32,7 +32,7 @@
 	KindWatchChanges    Kind = "news"      // long poll: asks for changes unknown to the sender, and waits if there are none
 	KindPermit          Kind = "permit"    // asks for permits to send to a rate-limited upstream
 	KindReportCompleted Kind = "served"    // announces the requests that the sender completed
-	KindMoveSlot        Kind = "turn"      // asks for the slot to move a generation to or from an upstream
+	KindMoveSlot        Kind = "turn"      // asks for a move slot of an upstream
 	KindProgress        Kind = "update"    // reports the progress of running generations
 )
 
@@ -58,11 +58,11 @@
 type Request struct {
 	ViewAge             time.Duration            `cbor:"22,keyasint,omitempty"` // heartbeat: age of the sender's view, 0 if unknown
 	Placement           *PlacementRequest        `cbor:"2,keyasint,omitempty"`
-	ListUnavailable     bool                     `cbor:"11,keyasint,omitempty"` // away: the list of upstreams cannot be read
+	ListUnavailable     bool                     `cbor:"11,keyasint,omitempty"` // away: the sender cannot read the list of upstreams
 	StartedAtMS         int64                    `cbor:"13,keyasint,omitempty"` // leaving: start time of the upstream in Unix milliseconds, 0 if unknown
 	Crashes             []policy.Crash           `cbor:"16,keyasint,omitempty"` // crashed
 	From                Member                   `cbor:"3,keyasint"`
-	WholeHall           bool                     `cbor:"4,keyasint,omitempty"` // in-force: collect the answers of the whole hall
+	WholeHall           bool                     `cbor:"4,keyasint,omitempty"` // in-force: reply for all boxes of the hall
 	Kind                Kind                     `cbor:"5,keyasint"`
 	KnownCrashes        []uint64                 `cbor:"17,keyasint,omitempty"` // crashes: hashes of the crashes that the sender knows
 	LeavingUpstream     string                   `cbor:"9,keyasint,omitempty"`  // leaving: name of the upstream
@@ -86,15 +86,15 @@
 	Work     policy.Work `cbor:"2,keyasint"`
 }
 
-// MoveSlotRequest asks the owner of an upstream for the slot to move a generation from or to it.
-// The slot is held until the caller ends the call.
+// MoveSlotRequest asks the owner of an upstream for a move slot: the right to copy the memory of one
+// generation from or to the upstream. The slot is held until the caller ends the call.
 type MoveSlotRequest struct {
-	Inbound  bool       `cbor:"3,keyasint,omitempty"` // the generation moves to the upstream, not away from it
+	Inbound  bool       `cbor:"3,keyasint,omitempty"` // the memory is copied to the upstream, not from it
 	Run      policy.Run `cbor:"1,keyasint"`
 	Upstream string     `cbor:"2,keyasint"`
 }
 
-// MoveSlotReply grants a move slot, or refuses it: then the generation stays.
+// MoveSlotReply grants or refuses a move slot. If it is refused, the generation stays where it is.
 type MoveSlotReply struct {
 	Granted bool   `cbor:"1,keyasint"`
 	Reason  string `cbor:"2,keyasint,omitempty"` // why the slot is refused
@@ -103,13 +103,13 @@
 // GenerationProgress is the progress of one generation.
 type GenerationProgress struct {
 	Ended    bool         `cbor:"1,keyasint,omitempty"` // it ran to completion
-	Released bool         `cbor:"2,keyasint,omitempty"` // it no longer occupies memory at the upstream
+	Released bool         `cbor:"2,keyasint,omitempty"` // its memory at the upstream is free again
 	ID       string       `cbor:"3,keyasint"`
 	Produced int          `cbor:"4,keyasint"`           // output tokens so far
 	Work     *policy.Work `cbor:"5,keyasint,omitempty"` // set if the owner does not know the generation
 }
 
-// ProgressReport tells the owner of an upstream the progress of generations.
+// ProgressReport reports the progress of generations to the owner of their upstream.
 type ProgressReport struct {
 	Items    []GenerationProgress `cbor:"1,keyasint"`
 	Upstream string               `cbor:"2,keyasint"`
@@ -120,21 +120,21 @@
 type Reply struct {
 	ViewAge       time.Duration      `cbor:"19,keyasint,omitempty"` // heartbeat, news: age of the sender's view, 0 if unknown
 	Answer        *policy.Answer     `cbor:"1,keyasint,omitempty"`  // ask
-	Changes       []resource.Batch   `cbor:"2,keyasint,omitempty"`  // changes
+	Changes       []resource.Batch   `cbor:"2,keyasint,omitempty"`  // changes, news
 	Crashes       []policy.Crash     `cbor:"14,keyasint,omitempty"` // crashes
 	Error         string             `cbor:"3,keyasint,omitempty"`  // reason why the box refused the request
-	FollowsStore  bool               `cbor:"13,keyasint,omitempty"` // news: the sender's view is updated from the store
+	FollowsStore  bool               `cbor:"13,keyasint,omitempty"` // news: the sender's view is kept up to date
 	Grant         *ratelimit.Grant   `cbor:"16,keyasint,omitempty"` // permit
 	LimitsDigest  uint64             `cbor:"17,keyasint,omitempty"` // heartbeat: digest of the rate limits that the sender knows
 	Limits        []ratelimit.Limit  `cbor:"18,keyasint,omitempty"` // limits
 	Halls         []HallRevisions    `cbor:"4,keyasint,omitempty"`  // in-force
-	Load          *policy.Load       `cbor:"5,keyasint,omitempty"`
+	Load          *policy.Load       `cbor:"5,keyasint,omitempty"`  // ask, update: load of the upstream
 	Loads         []policy.Load      `cbor:"12,keyasint,omitempty"` // heartbeat: loads of the upstreams that the sender owns
 	Members       []Member           `cbor:"6,keyasint,omitempty"`  // members
 	CrashesDigest uint64             `cbor:"15,keyasint,omitempty"` // heartbeat: digest of the crashes that the sender knows
 	Revisions     resource.Revisions `cbor:"7,keyasint"`            // known to the sender
 	SentAt        time.Time          `cbor:"10,keyasint"`           // by the sender's clock, like all times in the message
-	State         State              `cbor:"8,keyasint,omitempty"`  // heartbeat
+	State         State              `cbor:"8,keyasint,omitempty"`  // of the sender
 	MoveSlot      *MoveSlotReply     `cbor:"11,keyasint,omitempty"` // turn
 	UnknownIDs    []string           `cbor:"9,keyasint,omitempty"`  // update: IDs of generations that the owner does not know
 }
--- a/internal/box/silent_test.go
+++ b/internal/box/silent_test.go
@@ -98,9 +98,9 @@
 	)
 	concurrentPermit := &Request{Kind: KindPermit, Permit: &ratelimit.PermitRequest{Want: 1}} // not repeatable, so never sent twice
 	for _, x := range []struct {
-		q     *Request
-		first time.Duration // timeout of the first call
-		want  bool          // whether the first call gets a reply
+		q            *Request
+		firstTimeout time.Duration // timeout of the first call
+		want         bool          // whether the first call gets a reply
 	}{
 		{&Request{Kind: KindHeartbeat}, longTimeout, true},
 		{&Request{Kind: KindWatchChanges, Wait: time.Millisecond}, longTimeout, true},
@@ -136,7 +136,7 @@
 			if got, want := s.blackhole(), 2*idleConnections; got != want {
 				t.Fatalf("ends of open connections: got %d, want %d", got, want)
 			}
-			if err := call(x.q, x.first); (err == nil) != x.want {
+			if err := call(x.q, x.firstTimeout); (err == nil) != x.want {
 				t.Errorf("first call: got %v, want a reply %v", err, x.want)
 			}
 			if err := call(x.q, longTimeout); err != nil {
--- a/internal/box/transport.go
+++ b/internal/box/transport.go
@@ -41,10 +41,10 @@
 const MaxMessageBytes = 64 << 20
 
 const (
-	quicCodeClosed      = 1
-	quicIdleTimeout     = 10 * time.Second
-	quicKeepAlivePeriod = 3 * time.Second
-	quicMaxStreams      = 1 << 16
+	quicCodeClosed      = 1                // error code of connections and streams that a box closes
+	quicIdleTimeout     = 10 * time.Second // for a connection without packets, and for receiving a complete request
+	quicKeepAlivePeriod = 3 * time.Second  // between packets that keep an unused connection open
+	quicMaxStreams      = 1 << 16          // concurrent incoming calls of one connection
 )
 
 // ListenQUIC returns a transport that listens at address (IP:port) and serves calls with h.
--- a/internal/configuration/catchup_test.go
+++ b/internal/configuration/catchup_test.go
@@ -17,7 +17,7 @@
 		f := newOutageStore(0).follower(resource.SourceConfiguration)
 		c := resource.Change{Revision: 7, Resource: &resource.Resource{Kind: resource.KindPriority, Metadata: resource.Metadata{Name: "first"}, Spec: []byte(`{"value":9}`)}}
 		f.Call = func(ctx context.Context, address string, _ *box.Request) (*box.Reply, error) {
-			if address == "dark" {
+			if address == "unresponsive" {
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
@@ -26,11 +26,11 @@
 		newest := resource.Revisions{resource.SourceConfiguration: 7}
 		ended := make(chan error, 2)
 		for range 2 {
-			go func() { ended <- f.CatchUp(t.Context(), "dark", newest) }()
+			go func() { ended <- f.CatchUp(t.Context(), "unresponsive", newest) }()
 			synctest.Wait()
 		}
 		began := time.Now()
-		if err := f.CatchUp(t.Context(), "lit", newest); err != nil {
+		if err := f.CatchUp(t.Context(), "responsive", newest); err != nil {
 			t.Error(err)
 		}
 		if got, limit := time.Since(began), 2*catchUpSlotTimeout; got > limit {
--- a/internal/configuration/follower.go
+++ b/internal/configuration/follower.go
@@ -22,8 +22,8 @@
 // Reader waits up to wait for changes of one source, and of the sources that are read with it,
 // after a revision of the store. If after is 0, or the history since then is no longer available,
 // it returns complete snapshots at once. The batches must be applied in order, that of the source
-// itself last, so that a view at its revision also has the others up to there. next is the revision
-// from which to continue.
+// itself last, so that a view at its revision also has the other sources' changes up to it. next is
+// the revision from which to continue.
 type Reader func(ctx context.Context, after int64, wait time.Duration) (l []resource.Batch, next int64, err error)
 
 // Follower keeps one view up to date. It is safe for concurrent use.
@@ -35,8 +35,8 @@
 	// OnRestored is called when this box has learned that the store was restored from a backup. It
 	// may be nil.
 	OnRestored func()
-	// AnnounceListUnavailable tells the other boxes of the hall that this box cannot read the list
-	// of upstreams, or can read it again. It does not block. It may be nil.
+	// AnnounceListUnavailable announces to the other boxes of the hall whether the list of upstreams
+	// is unavailable to this box. It does not block. It may be nil.
 	AnnounceListUnavailable func(unavailable bool)
 	// Jitter returns a random number in [0, 1) by which retries are spread.
 	Jitter func() float64
@@ -44,7 +44,7 @@
 	log                  *slog.Logger
 	members              *member.Table
 	metrics              *metric.Set
-	mutex                sync.Mutex           // guards those of the fields below that change and are not safe for concurrent use by themselves
+	mutex                sync.Mutex           // guards the fields below that are modified and not safe for concurrent use by themselves
 	responseTime         atomic.Int64         // how long the store took for its last response, in nanoseconds
 	listUnavailableUntil map[string]time.Time // by box: until when its report counts that it cannot read the list of upstreams
 	recovered            chan struct{}        // closed when a source can be read again after failures
@@ -209,8 +209,8 @@
 	g.Wait()
 }
 
-// announceListUnavailable tells the other boxes of the hall whether this box can read the list of
-// upstreams. It does nothing for other sources.
+// announceListUnavailable announces to the other boxes of the hall whether the list of upstreams is
+// unavailable to this box. It does nothing for other sources.
 func (f *Follower) announceListUnavailable(s *source, unavailable bool) {
 	if s.name == resource.SourceUpstreams && f.AnnounceListUnavailable != nil {
 		f.AnnounceListUnavailable(unavailable)
--- a/internal/configuration/reading.go
+++ b/internal/configuration/reading.go
@@ -142,7 +142,7 @@
 }
 
 // otherWaitEndsWithin reports whether the wait of another source's read ends within a period, so
-// that a read of s need not end its wait in it. The sources thus take turns.
+// that the wait of a read of s need not end within it, too. The sources thus alternate.
 func (f *Follower) otherWaitEndsWithin(s *source, now time.Time, d time.Duration) bool {
 	for _, o := range f.sources {
 		if ends := o.waitEndsAt.get(); o != s && ends.After(now) && !ends.After(now.Add(d)) {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -24,7 +24,7 @@
 	Deadline time.Time `json:"deadline"` // when the lease expires
 	Epoch    int64     `json:"epoch"`    // increases with each holder
 	Holder   string    `json:"holder"`   // name of the box and ID of its process
-	WriteID  string    `json:"write"`    // tells whether this write took effect if its answer was lost
+	WriteID  string    `json:"write"`    // identifies the write, so that its outcome can be determined if its answer was lost
 }
 
 // Lease is a lease that this box holds or has held.
@@ -33,9 +33,9 @@
 
 	currentEra func() (era int64, since time.Time) // see Manager.Era
 	deadline   time.Time
-	era        int64
-	key        string
-	revision   int64
+	era        int64  // of the store, in which the lease was acquired
+	key        string // of the lease's row
+	revision   int64  // of the lease's row
 }
 
 // Manager acquires and renews leases. It is safe for concurrent use. Commit, Get and NewWriteID must
@@ -112,8 +112,8 @@
 	return l.heldAt(now.Add(SafetyMargin))
 }
 
-// heldAt reports whether the lease has not expired and the store's era, as known to this box, is still
-// the same.
+// heldAt reports whether at a given time the lease has not expired, and the store's era, as known to
+// this box, is still the one in which the lease was acquired.
 func (l *Lease) heldAt(now time.Time) bool {
 	era, _ := l.currentEra()
 	return now.Before(l.deadline) && era == l.era
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -27,7 +27,7 @@
 // entry is what is known of another box.
 type entry struct {
 	failedAt         time.Time // last failed call; zero after a contact, and once it expired or was cleared
-	lastContactAt    time.Time // last contact
+	lastContactAt    time.Time // last contact; zero if there was none
 	unreachableSince time.Time // first failed call since the last contact; zero if there is none
 	listed           bool      // whether the platform lists the box
 	member           box.Member
@@ -35,12 +35,13 @@
 
 const (
 	// unlistedTTL is how long a box that the platform does not list is kept after the last contact.
-	// For the same time what the box said of itself takes precedence over the list.
+	// For the same time, what the box reported about itself takes precedence over the list.
 	unlistedTTL = 15 * time.Second
-	// failureTTL is how long a failed call counts against a box. Each further failure starts it
-	// anew.
+	// failureTTL is how long a failed call counts against a box. Each further failure restarts
+	// the period.
 	failureTTL = 30 * time.Second
-	// longUnreachableAfter is how long a listed box must be unreachable before Gone returns it.
+	// longUnreachableAfter is how long a listed box must be unreachable before
+	// LongUnreachable returns it.
 	longUnreachableAfter = 2 * time.Minute
 	// crossHallSenders is how many boxes of each hall send heartbeats to the other halls.
 	crossHallSenders = 2
@@ -102,7 +103,7 @@
 	}
 }
 
-// Changed returns a channel that is closed when the results of Alive may next have changed.
+// Changed returns a channel that is closed the next time that the results of Alive may have changed.
 func (t *Table) Changed() <-chan struct{} {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -148,7 +149,19 @@
 	}
 }
 
-// LongUnreachable returns the names of listed boxes that have been unreachable for more than longUnreachableAfter.
+// Halls returns the sorted names of the halls of all known boxes.
+func (t *Table) Halls() []string {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	m := map[string]bool{t.self.Hall: true}
+	for _, e := range t.boxes {
+		m[e.member.Hall] = true
+	}
+	return slices.Sorted(maps.Keys(m))
+}
+
+// LongUnreachable returns the names of listed boxes that have been unreachable for more than
+// longUnreachableAfter.
 func (t *Table) LongUnreachable(now time.Time) []string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -161,17 +174,6 @@
 	return l
 }
 
-// Halls returns the sorted names of the halls of all known boxes.
-func (t *Table) Halls() []string {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	m := map[string]bool{t.self.Hall: true}
-	for _, e := range t.boxes {
-		m[e.member.Hall] = true
-	}
-	return slices.Sorted(maps.Keys(m))
-}
-
 // MarkLeaving records that another box announced that it is leaving.
 func (t *Table) MarkLeaving(name string) {
 	t.mutex.Lock()
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -85,15 +85,15 @@
 
 func TestLeavingIsBelievedFromAnySource(t *testing.T) {
 	for _, x := range []struct {
-		name string
-		tell func(b *Table)
+		name     string
+		announce func(b *Table)
 	}{
 		{"list", func(b *Table) { b.ApplyList([]box.Member{member("b1", "a", box.StateLeaving)}, now) }},
 		{"itself", func(b *Table) { b.RecordContact(member("b1", "a", box.StateLeaving), now) }},
 		{"reply", func(b *Table) { b.MarkLeaving("b1") }},
 	} {
 		b := newTable()
-		x.tell(b)
+		x.announce(b)
 		if slices.Contains(b.Alive("a"), "b1") {
 			t.Errorf("%s: got a leaving box as alive, want it left out", x.name)
 		}
--- a/internal/order/reconciler.go
+++ b/internal/order/reconciler.go
@@ -1,9 +1,9 @@
-// Package order reconciles engines with the models, versions and roles that operators declare. It
-// does so by fenced orders.
+// Package order reconciles engines with the models, versions and roles that operators declare, by
+// sending them orders that carry a fencing token.
 //
-// The box that owns an upstream sends it orders while it holds a lease, whose epoch is the fencing
-// token. To limit the rate of reads from the weight store, all boxes share a small number of further
-// leases as permits to load weights.
+// The box that owns an upstream sends it orders while it holds a lease on it, whose epoch is the
+// fencing token. To limit the rate of reads from the weight store, all boxes share a small number
+// of further leases as permits to load weights.
 package order
 
 import (
--- a/internal/resource/change.go
+++ b/internal/resource/change.go
@@ -3,8 +3,8 @@
 // Change is a write or removal of a resource at a revision of its source.
 type Change struct {
 	Deleted bool `json:"deleted,omitempty"`
-	// HasSnapshotRevision is set if the revision is that of a snapshot that contained the resource, and not
-	// that of the resource's own row.
+	// HasSnapshotRevision is set if the revision is that of a snapshot that contained the resource,
+	// and not that of the resource's own row.
 	HasSnapshotRevision bool      `json:"redated,omitempty"`
 	Resource            *Resource `json:"resource"`
 	Revision            int64     `json:"revision"`
--- a/internal/resource/engine.go
+++ b/internal/resource/engine.go
@@ -9,8 +9,8 @@
 	MaxBatch       int      `json:"maxBatch"`                // maximum concurrent generations
 	Migrates       bool     `json:"migrates,omitempty"`      // running generations can be moved to another engine
 	Models         []string `json:"models,omitempty"`        // the models that its engines serve
-	Standby        bool     `json:"standby,omitempty"`       // an engine can send the memory of a running generation to another one
-	BytesPerToken  float64  `json:"tokenBytes,omitempty"`    // memory per token
+	Standby        bool     `json:"standby,omitempty"`       // the memory of a running generation can be copied to another engine as a standby
+	BytesPerToken  float64  `json:"tokenBytes,omitempty"`    // memory per token, in bytes
 	TokensPerEvent int      `json:"tokensAnEvent,omitempty"` // tokens per stream event
 }
 
@@ -20,5 +20,6 @@
 	if e.LinkMbps <= 0 {
 		return 0
 	}
+	// A link of 1 Mbit/s copies one bit per microsecond.
 	return time.Duration(float64(tokens) * e.BytesPerToken * 8 / e.LinkMbps * float64(time.Microsecond))
 }
--- a/internal/resource/leaving.go
+++ b/internal/resource/leaving.go
@@ -4,7 +4,7 @@
 // lock of View.
 type leavingNotices struct {
 	startedAtMS map[string]int64 // by name: start time of the process that announced it, in Unix milliseconds
-	unlisted    []string         // announced names that are not listed, longest absent first
+	unlisted    []string         // announced names that are not listed, oldest notice first
 }
 
 // maxUnlisted bounds the notices kept for upstreams that are not listed. They are kept because an
@@ -15,8 +15,8 @@
 	return leavingNotices{startedAtMS: make(map[string]int64)}
 }
 
-// markUnlisted notes that an upstream has no entry, and forgets the oldest such notice beyond
-// maxUnlisted.
+// markUnlisted notes that an upstream has no entry, and drops the oldest such notice if there
+// are more than maxUnlisted.
 func (l *leavingNotices) markUnlisted(name string, listed map[string]*Upstream) {
 	if _, announced := l.startedAtMS[name]; !announced {
 		return
@@ -32,8 +32,9 @@
 	}
 }
 
-// record stores the announcement of an upstream, which is listed as u or unlisted if u is nil. It
-// reports whether that changes the state of a listed upstream.
+// record stores the announcement of an upstream whose process started at startedAtMS (Unix
+// milliseconds). The upstream is listed as u, or unlisted if u is nil. record reports whether the
+// announcement changes the state of a listed upstream.
 func (l *leavingNotices) record(name string, startedAtMS int64, u *Upstream) bool {
 	if announcedMS, recorded := l.startedAtMS[name]; (recorded && announcedMS >= startedAtMS) || (u != nil && u.Spec.StartedAtMS > startedAtMS) {
 		return false
@@ -42,9 +43,10 @@
 	return u != nil && !u.IsLeaving()
 }
 
-// stillLeaving reports whether an announcement of the upstream still holds once its entry has spec
-// s; before is the upstream as listed so far, or nil. An announcement is valid for one process, so
-// that a later start revokes it. Operators may withdraw a declared departure; upstreams may not.
+// stillLeaving reports whether an upstream's announcement that it is leaving is still valid once
+// its entry has spec s; before is the upstream as listed until then, or nil. An announcement is
+// valid for one process, so that a later start revokes it. Operators may withdraw a declared
+// departure; upstreams may not.
 func (l *leavingNotices) stillLeaving(name string, before *Upstream, s *UpstreamSpec, source Source) bool {
 	if source == SourceUpstreams && s.Leaving {
 		l.startedAtMS[name] = max(l.startedAtMS[name], s.StartedAtMS) // the upstream writes its own entry
--- a/internal/resource/leaving_test.go
+++ b/internal/resource/leaving_test.go
@@ -36,9 +36,9 @@
 	}
 	type step = func(v *View, revision int64)
 	for _, x := range []struct {
-		name  string
-		steps []step
-		takes bool
+		name        string
+		steps       []step
+		wantAccepts bool
 	}{
 		{"it announces", []step{entryReady(5), announces(5)}, false},
 		{"an entry written earlier arrives afterwards", []step{entryReady(5), announces(5), entryReady(5)}, false},
@@ -62,8 +62,8 @@
 			s(v, int64(i+1))
 		}
 		u := v.Upstream("u")
-		if u == nil || u.AcceptsWork(time.Now()) != x.takes {
-			t.Errorf("%s: got %+v, want accepts work %v", x.name, u, x.takes)
+		if u == nil || u.AcceptsWork(time.Now()) != x.wantAccepts {
+			t.Errorf("%s: got %+v, want accepts work %v", x.name, u, x.wantAccepts)
 		}
 	}
 }
--- a/internal/resource/limits.go
+++ b/internal/resource/limits.go
@@ -1,6 +1,6 @@
 package resource
 
-// LimitsName is the name of the only Limits resource that takes effect.
+// LimitsName is the name of the only Limits resource that is applied.
 const LimitsName = "entry"
 
 // LimitsSpec declares limits on clients' requests and connections. A field of 0 adds no limit to
--- a/internal/resource/resource.go
+++ b/internal/resource/resource.go
@@ -50,7 +50,7 @@
 
 // HallStatus describes in how many boxes of a data hall a resource is in effect.
 type HallStatus struct {
-	Boxes   int    `json:"boxes"` // boxes considered alive
+	Boxes   int    `json:"boxes"` // boxes that are believed to be serving
 	Hall    string `json:"hall"`
 	InForce int    `json:"inForce"` // boxes in which this generation is in effect
 	Unknown int    `json:"unknown"` // boxes that did not answer
--- a/internal/resource/source.go
+++ b/internal/resource/source.go
@@ -29,7 +29,7 @@
 	// Tentative is set if resources that a snapshot lacks may be missing only from the backup that
 	// the store was restored from; see Change.
 	Tentative bool `json:"tentative,omitempty"`
-	Snapshot  bool `json:"whole,omitempty"` // Changes holds the complete source; what it does not name is removed
+	Snapshot  bool `json:"whole,omitempty"` // Changes holds the complete source; resources that it lacks are removed
 }
 
 // NewestRevision returns the highest revision of the changes, or 0.
--- a/internal/resource/tentative.go
+++ b/internal/resource/tentative.go
@@ -16,8 +16,8 @@
 	// declaredHoldPeriod applies to resources that operators declared. Boxes write these again
 	// themselves, as soon as the store accepts writes.
 	declaredHoldPeriod = 10 * time.Minute
-	// returnHoldPeriod applies to upstreams that return after having been removed: the entry of a
-	// dead one lapses after three missed heartbeats, 3.6 s.
+	// returnHoldPeriod applies to upstreams that return after having been removed: the entry of
+	// one that ended lapses after three missed heartbeats, 3.6 s.
 	returnHoldPeriod = 6 * time.Second
 	// defaultHoldPeriod applies to all other changes except the removal of upstreams, for which it
 	// is LapseGracePeriod.
--- a/internal/resource/tentative_test.go
+++ b/internal/resource/tentative_test.go
@@ -26,12 +26,12 @@
 func TestWhatTheCopyTellsWaits(t *testing.T) {
 	const ready, leaving = `{"born":5,"models":["m"]}`, `{"born":5,"leaving":true}`
 	for _, x := range []struct {
-		name   string
-		before []Change      // at era 0
-		copied []Change      // tentative, at era 1
-		now    string        // the entry's spec right after the merge; empty if there is none
-		later  string        // the same after the hold period
-		wait   time.Duration // the hold period; 0 if the change is applied at once
+		name     string
+		before   []Change      // at era 0
+		restored []Change      // tentative, at era 1
+		now      string        // the entry's spec right after the merge; empty if there is none
+		later    string        // the same after the hold period
+		wait     time.Duration // the hold period; 0 if the change is applied at once
 	}{
 		{"an older entry", []Change{upstreamChange(leaving, 9, false)}, []Change{upstreamChange(ready, revision.Of(1, 4), true)}, leaving, ready, returnHoldPeriod},
 		{"a newer entry", []Change{upstreamChange(leaving, 3, false)}, []Change{upstreamChange(ready, revision.Of(1, 4), true)}, ready, ready, 0},
@@ -59,7 +59,7 @@
 					peer.Merge(&Batch{Changes: []Change{c}, Revision: c.Revision, Source: SourceUpstreams})
 				}
 				have := peer.Revisions()
-				v.Merge(restoredSnapshot(6, x.copied...))
+				v.Merge(restoredSnapshot(6, x.restored...))
 				for _, b := range v.Missing(have) {
 					peer.Merge(&b)
 				}
--- a/internal/resource/upstream.go
+++ b/internal/resource/upstream.go
@@ -23,7 +23,7 @@
 	Address          string       `json:"address"`                    // http://IP:port
 	StartedAtMS      int64        `json:"born,omitempty"`             // start time of its process in Unix milliseconds, 0 if unknown; distinguishes successive processes of one name
 	ChecksFence      bool         `json:"checksFence,omitempty"`      // it rejects orders with an outdated fencing token
-	ColdRemaining    Milliseconds `json:"coldMilliseconds,omitempty"` // rest of the cold-start period when the entry was written
+	ColdRemaining    Milliseconds `json:"coldMilliseconds,omitempty"` // time left of the cold-start period when the entry was written
 	Hall             string       `json:"hall"`                       // the data hall in which it runs
 	KVTokens         int          `json:"kvTokens,omitempty"`         // engine: memory for prompts and outputs, in tokens
 	Lapsed           bool         `json:"lapsed,omitempty"`           // its entry was removed while the store was unavailable; it may return
--- a/internal/resource/view.go
+++ b/internal/resource/view.go
@@ -108,7 +108,7 @@
 	if complete && b.Revision < max(v.revisions[b.Source], v.floors[b.Source]) {
 		v.recordGap(b.Source, b.Revision)
 		v.revisions[b.Source] = max(v.revisions[b.Source], b.Revision)
-		return false // the view is already newer, from a snapshot if not from a change
+		return false // the view already holds a newer change or snapshot
 	}
 	if b.Tentative {
 		v.tentativeUntil[b.Source] = v.now().Add(tentativePeriod)
@@ -133,7 +133,7 @@
 
 // Missing returns, for every source, the changes after the given revisions of another box. It
 // returns the whole source as a snapshot if the other box may hold resources that this view never
-// saw, and whose removal it therefore could not name.
+// saw, since the changes then lack their removals.
 func (v *View) Missing(have Revisions) []Batch {
 	v.mutex.RLock()
 	defer v.mutex.RUnlock()
@@ -153,7 +153,7 @@
 	return l
 }
 
-// RecordLeaving records that an upstream, whose process started at born (Unix milliseconds),
+// RecordLeaving records that an upstream, whose process started at startedAtMS (Unix milliseconds),
 // announced that it is leaving. It reports whether this is new information on a listed upstream.
 //
 // An announcement is final for that process. A later write of its list entry does not revoke it,
@@ -271,7 +271,7 @@
 	return true
 }
 
-// removeOthers marks the resources of the source that a snapshot does not name as deleted. It
+// removeOthers marks the resources of the source that a snapshot does not contain as deleted. It
 // reports whether anything changed.
 func (v *View) removeOthers(b *Batch, present map[string]bool) bool {
 	changed := false
@@ -294,7 +294,7 @@
 	if old.Revision >= e.Revision {
 		return false
 	}
-	e.Deleted = e.Deleted || (old.Deleted && isLapsed(e.Resource)) // a lapsed entry of another box must not bring back an upstream that is gone here
+	e.Deleted = e.Deleted || (old.Deleted && isLapsed(e.Resource)) // a lapsed entry of another box must not bring back an upstream that was removed here
 	if d := holdPeriod(old, e); d > 0 {
 		v.hold(k, e, d)
 		return false
@@ -323,7 +323,7 @@
 }
 
 // setAll stores the changes of a batch. It returns whether any was new, and the keys of the
-// resources that the batch names.
+// resources that the batch contains.
 func (v *View) setAll(b *Batch, complete bool) (changed bool, present map[string]bool) {
 	present = make(map[string]bool, len(b.Changes))
 	for _, c := range b.Changes {
@@ -342,7 +342,7 @@
 }
 
 // since returns the newest change of each resource of a source changed after revision r, ordered
-// by revision. The change of an entry is what the given function makes of it.
+// by revision. The function change returns the change to report for an entry.
 func (v *View) since(s Source, r int64, change func(k string, e *entry) Change) []Change {
 	var l []Change
 	for k, e := range v.resources {
