--- a/assemble.go
+++ b/assemble.go
@@ -137,8 +137,8 @@
 func (b *Box) assembleRelay(l *policy.Lengths) {
 	g := b.settings.Budget
 	b.relay = relay.New(b.view, b.tracker, l, b.settings.Hall, b.metrics, b.log,
-		relay.WithRetryBudget(g.Ratio, g.Extra, g.Window.Duration, b.members.Count), relay.WithCold(b.coldCapacity, b.coldShare), relay.WithLimiter(b.limits.limiter), relay.WithBackoffs(b.backoffs))
-	b.relay.AnnounceCleared = func(p policy.Fingerprint) {
+		relay.WithRetryBudget(g.Ratio, g.Extra, g.Window.Duration, b.members.Count), relay.WithColdRateLimits(b.coldCapacity, b.coldShare), relay.WithLimiter(b.limits.limiter), relay.WithBackoffs(b.backoffs))
+	b.relay.AnnounceClearance = func(p policy.Fingerprint) {
 		b.broadcast("", box.Request{Kind: box.KindReportCleared, ClearedFingerprints: []policy.Fingerprint{p}})
 	}
 	b.relay.AnnounceCrashes = b.announceCrashes
@@ -148,7 +148,7 @@
 	b.relay.RecordLeaving = func(u *resource.Upstream) { b.announceLeaving(u, "its answer") }
 	b.relay.Place = b.reserved.Place
 	b.relay.HasOtherBoxes = b.hasOtherBoxes
-	b.relay.Turn = b.acquireMoveTurn
+	b.relay.AcquireMoveSlot = b.acquireMoveTurn
 	b.relay.ViewAge = b.follower.ViewAge
 	b.relay.Upstreams = relay.UpstreamCalls{ProcessEnded: b.routedEngines.ProcessEnded, Migrate: b.routedEngines.Migrate, Release: b.routedEngines.Release, Send: b.routedEngines.Send}
 }
--- a/crashes.go
+++ b/crashes.go
@@ -91,7 +91,7 @@
 func (b *Box) handleCrashes(q *box.Request) *box.Reply {
 	switch q.Kind { //nolint:exhaustive // handleRequest handles the other kinds.
 	case box.KindReportCleared:
-		b.relay.RecordCleared(q.ClearedFingerprints, q.From.Name)
+		b.relay.RecordClearances(q.ClearedFingerprints, q.From.Name)
 	case box.KindReportCrashes:
 		b.relay.RecordCrashes(q.Crashes, q.From.Name)
 	case box.KindListCrashes:
--- a/internal/delivery/backoff_test.go
+++ b/internal/delivery/backoff_test.go
@@ -24,8 +24,8 @@
 		r.engines["engine-2"].SetFaults(engine.Faults{RetryAfterSeconds: 30})
 		_ = r.run(t.Context(), "b", r.request("length=2", ""))
 		err := r.run(t.Context(), "c", r.request("length=2", ""))
-		if got, most := time.Until(fail.RetryAt(err)), 3*time.Second; fail.Reason(err) != "resting" || got <= 0 || got > most {
-			t.Errorf("both engines in back-off: got %v, retry in %s; want resting, within %s", err, got, most)
+		if got, maxDelay := time.Until(fail.RetryAt(err)), 3*time.Second; fail.Reason(err) != "resting" || got <= 0 || got > maxDelay {
+			t.Errorf("both engines in back-off: got %v, retry in %s; want resting, within %s", err, got, maxDelay)
 		}
 		r.engines["engine-1"].SetFaults(engine.Faults{})
 		time.Sleep(3 * time.Second)
--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -84,7 +84,7 @@
 	stallTimeout          time.Duration
 	tracker               *placement.Tracker
 	view                  *resource.View
-	recorders             sync.WaitGroup // outcomes being recorded
+	recordings            sync.WaitGroup // outcomes being recorded
 	requests              sync.WaitGroup // requests in progress
 }
 
@@ -161,7 +161,7 @@
 	d.mutex.Unlock()
 	d.cancel()
 	d.requests.Wait()
-	d.recorders.Wait()
+	d.recordings.Wait()
 	return nil
 }
 
@@ -174,7 +174,7 @@
 	d.requests.Wait()
 	t := time.AfterFunc(recordGracePeriod, d.cancel)
 	defer t.Stop()
-	d.recorders.Wait()
+	d.recordings.Wait()
 	d.cancel()
 	return nil
 }
@@ -225,7 +225,7 @@
 	if d.inProgress >= d.maxInProgress {
 		return fail.WithRetryAt(fail.New(fail.NotRun, p, "too_many_streams", "this box has reached its limit of requests in progress"), time.Now().Add(time.Second))
 	}
-	if most := int(maxWorkspaceShare * float64(d.maxInProgress)); d.inProgressByWorkspace[workspace] >= max(1, most) {
+	if maxPerWorkspace := int(maxWorkspaceShare * float64(d.maxInProgress)); d.inProgressByWorkspace[workspace] >= max(1, maxPerWorkspace) {
 		return fail.WithRetryAt(fail.New(fail.NotRun, p, "workspace_streams", "the workspace has reached its share of the requests in progress at this box"), time.Now().Add(time.Second))
 	}
 	d.inProgressByWorkspace[workspace]++
@@ -281,7 +281,7 @@
 // recordTimeout has passed or the deliverer stops waiting.
 func (d *Deliverer) recordInBackground(record func(ctx context.Context) error) {
 	until := time.Now().Add(recordTimeout)
-	d.recorders.Go(func() {
+	d.recordings.Go(func() {
 		for first := true; time.Now().Before(until); first = false {
 			ctx, cancel := context.WithTimeout(d.ctx, recordRetryInterval)
 			err := record(ctx)
--- a/internal/delivery/forwarder.go
+++ b/internal/delivery/forwarder.go
@@ -30,7 +30,7 @@
 // maxIdleReopens limits how often in a row a stream is reopened without yielding a token.
 const maxIdleReopens = 100
 
-// run forwards tokens until the generation ends. It returns errClientGone if the client disconnected
+// run forwards tokens until the generation ends. It returns errClientDisconnected if the client disconnected
 // and the request has no key; with a key, it reads on to record the answer. An error of type
 // fail.Interrupted means that the generation is lost.
 func (f *forwarder) run() error {
@@ -39,16 +39,16 @@
 	defer context.AfterFunc(f.session.deliverer.ctx, cancel)()
 	f.ctx = ctx
 	for idle := 0; ; idle++ {
-		before := f.session.delivered
+		before := f.session.deliveredTokens
 		err := f.forwardStream()
-		if err == nil || f.session.clientGone && f.session.request.Key == "" {
+		if err == nil || f.session.clientDisconnected && f.session.request.Key == "" {
 			return f.endError(err)
 		}
-		if f.session.delivered > before {
+		if f.session.deliveredTokens > before {
 			idle = 0
 		}
 		if idle > maxIdleReopens {
-			return fail.Wrap(fail.Interrupted, f.upstreamPlace("resume"), "no_progress", err)
+			return fail.Wrap(fail.Interrupted, f.upstreamOrigin("resume"), "no_progress", err)
 		}
 		if err := f.reopen(time.Now().Add(resumeTimeout), err); err != nil {
 			return err
@@ -56,10 +56,10 @@
 	}
 }
 
-// endError returns errClientGone if err is not nil, which means that the client disconnected.
+// endError returns errClientDisconnected if err is not nil, which means that the client disconnected.
 func (f *forwarder) endError(err error) error {
 	if err != nil {
-		return errClientGone
+		return errClientDisconnected
 	}
 	return nil
 }
@@ -67,7 +67,7 @@
 // forwardStream forwards tokens until the generation ends or the stream fails.
 func (f *forwarder) forwardStream() error {
 	if f.stream == nil {
-		return fail.New(fail.Interrupted, f.upstreamPlace("open"), "start_lost", "the response to the start of the generation was lost")
+		return fail.New(fail.Interrupted, f.upstreamOrigin("open"), "start_lost", "the response to the start of the generation was lost")
 	}
 	x := f.stream
 	defer func() { _ = x.Close() }()
@@ -82,7 +82,7 @@
 	for {
 		v, err := x.Next()
 		if err != nil {
-			f.session.clientGone = f.session.clientGone || f.session.clientContext.Err() != nil
+			f.session.clientDisconnected = f.session.clientDisconnected || f.session.clientContext.Err() != nil
 			return err
 		}
 		stall.Reset(f.session.deliverer.stallTimeout)
@@ -100,25 +100,25 @@
 func (f *forwarder) forwardToken(v *upstream.Token) error {
 	s := f.session
 	if v.Finish == upstream.FinishCancelled {
-		return fail.New(fail.Interrupted, f.upstreamPlace("relay"), "cancelled", "the upstream cancelled the generation")
+		return fail.New(fail.Interrupted, f.upstreamOrigin("relay"), "cancelled", "the upstream cancelled the generation")
 	}
 	f.token = Token{Finish: v.Finish, Generation: f.generation, Index: v.Index, Text: v.Text, Upstream: f.upstream.Name}
 	if v.Finish == "" {
-		s.delivered = v.Index + 1
-		f.running.Produced.Store(int64(s.delivered))
+		s.deliveredTokens = v.Index + 1
+		f.running.Produced.Store(int64(s.deliveredTokens))
 		s.deliverer.meter.Tokens(1, time.Now(), s.request.Work.Arrived, &f.session.times)
 	}
 	if s.claim != nil {
 		s.text.Write(v.Text)
 		s.claim.Record.Finish = v.Finish
 	}
-	if s.clientGone {
+	if s.clientDisconnected {
 		return nil
 	}
 	if err := s.sink(&f.token); err != nil {
-		s.clientGone = true
+		s.clientDisconnected = true
 		if s.request.Key == "" {
-			return errClientGone
+			return errClientDisconnected
 		}
 	}
 	return nil
@@ -136,15 +136,15 @@
 		event.UpstreamMismatch.Log(d.log, "upstream", f.upstream.Name, "generation", f.generation)
 	}
 	for {
-		x, err := d.engines.Resume(f.ctx, f.upstream.Spec.Address, f.generation, f.session.delivered)
+		x, err := d.engines.Resume(f.ctx, f.upstream.Spec.Address, f.generation, f.session.deliveredTokens)
 		if err == nil {
 			f.stream = x
 			d.metrics.Count(metric.Resumptions, "reason", fail.Reason(cause))
-			event.StreamResumed.Log(d.log, "upstream", f.upstream.Name, "reason", fail.Reason(cause), "index", f.session.delivered)
+			event.StreamResumed.Log(d.log, "upstream", f.upstream.Name, "reason", fail.Reason(cause), "index", f.session.deliveredTokens)
 			return nil
 		}
 		if errorx.IsOfType(err, fail.NotFound) || time.Now().After(lostAt) {
-			return fail.Wrap(fail.Interrupted, f.upstreamPlace("resume"), "generation_lost", err)
+			return fail.Wrap(fail.Interrupted, f.upstreamOrigin("resume"), "generation_lost", err)
 		}
 		select {
 		case <-time.After(resumeRetryInterval):
@@ -154,6 +154,6 @@
 	}
 }
 
-func (f *forwarder) upstreamPlace(step string) fail.Origin {
+func (f *forwarder) upstreamOrigin(step string) fail.Origin {
 	return fail.Origin{Peer: "upstream " + f.upstream.Name, Step: step}
 }
--- a/internal/delivery/relay_test.go
+++ b/internal/delivery/relay_test.go
@@ -30,8 +30,8 @@
 	return &http.Response{Body: io.NopCloser(bytes.NewReader(b)), Header: make(http.Header), StatusCode: http.StatusOK}, nil
 }
 
-// newRelay returns a deliverer whose engine sends n tokens without delay, and a request to it.
-func newRelay(n int) (*Deliverer, *Request) {
+// newReplayDeliverer returns a deliverer whose engine sends n tokens without delay, and a request to it.
+func newReplayDeliverer(n int) (*Deliverer, *Request) {
 	var b []byte
 	for i := range n {
 		f, _ := json.Marshal(upstream.Frame{Generation: "GENERATION", Index: i, Text: " token"})
@@ -58,7 +58,7 @@
 func TestRelayAllocatesNothing(t *testing.T) {
 	const short, long = 1000, 11_000
 	count := func(n int) float64 {
-		d, q := newRelay(n)
+		d, q := newReplayDeliverer(n)
 		return testing.AllocsPerRun(5, func() {
 			if err := d.Generate(t.Context(), q, func(*Token) error { return nil }); err != nil {
 				t.Fatal(err)
@@ -71,7 +71,7 @@
 }
 
 func BenchmarkRelayToken(b *testing.B) {
-	d, q := newRelay(b.N)
+	d, q := newReplayDeliverer(b.N)
 	b.ReportAllocs()
 	b.ResetTimer()
 	if err := d.Generate(b.Context(), q, func(*Token) error { return nil }); err != nil {
--- a/internal/delivery/rig_test.go
+++ b/internal/delivery/rig_test.go
@@ -99,8 +99,8 @@
 	}}
 }
 
-// note adds a line to the transcript.
-func (r *rig) note(format string, arguments ...any) {
+// addLine adds a line to the transcript.
+func (r *rig) addLine(format string, arguments ...any) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	fmt.Fprintf(&r.lines, format+"\n", arguments...)
@@ -115,17 +115,17 @@
 
 // run runs a request for the named client and adds what the client sees to the transcript.
 func (r *rig) run(ctx context.Context, name string, q *Request) error {
-	r.note("client %s asks", name)
+	r.addLine("client %s asks", name)
 	err := r.deliverer.Generate(ctx, q, func(t *Token) error {
 		if t.Finish != "" {
-			r.note("client %s end %s at %d", name, t.Finish, t.Index)
+			r.addLine("client %s end %s at %d", name, t.Finish, t.Index)
 			return nil
 		}
-		r.note("client %s token %d%s of %s at %s", name, t.Index, t.Text, t.Generation, t.Upstream)
+		r.addLine("client %s token %d%s of %s at %s", name, t.Index, t.Text, t.Generation, t.Upstream)
 		return ctx.Err()
 	})
 	if x := errorx.Cast(err); x != nil {
-		r.note("client %s error %s %s", name, x.Type().FullName(), fail.Reason(err))
+		r.addLine("client %s error %s %s", name, x.Type().FullName(), fail.Reason(err))
 	}
 	return err
 }
--- a/internal/delivery/session.go
+++ b/internal/delivery/session.go
@@ -26,17 +26,17 @@
 	request       *Request
 	sink          Sink
 
-	avoid      map[string]bool   // names of upstreams not to try again
-	claim      *requestkey.Claim // nil unless this attempt holds the request key
-	delivered  int               // tokens that were sent to the client or are to be recorded
-	clientGone bool              // the client has disconnected
-	stage      stage
-	text       strings.Builder // the answer to be recorded; only if claim is set
-	times      meter.RequestTimes
+	avoid              map[string]bool   // names of upstreams not to try again
+	claim              *requestkey.Claim // nil unless this attempt holds the request key
+	deliveredTokens    int               // tokens that were sent to the client or are to be recorded
+	clientDisconnected bool              // the client has disconnected
+	stage              stage
+	text               strings.Builder // the answer to be recorded; only if claim is set
+	times              meter.RequestTimes
 }
 
-// errClientGone means that the client has disconnected and the generation is no longer needed.
-var errClientGone = errors.New("the client has disconnected")
+// errClientDisconnected means that the client has disconnected and the generation is no longer needed.
+var errClientDisconnected = errors.New("the client has disconnected")
 
 // run handles the request and returns its error for the client.
 func (s *session) run() error {
@@ -88,17 +88,17 @@
 		err = f.run()
 	}
 	ended = err == nil
-	if errors.Is(err, errClientGone) {
-		s.cancelUnread(f)
+	if errors.Is(err, errClientDisconnected) {
+		s.cancelIfUnread(f)
 		return false, fail.New(fail.Interrupted, fail.Origin{Peer: "client", Step: "deliver"}, "caller_gone", "the client has disconnected")
 	}
 	return err != nil && s.mayRetry(err), err
 }
 
-// cancelUnread waits for reconnectGracePeriod, so that the client can reconnect through any box, and
+// cancelIfUnread waits for reconnectGracePeriod, so that the client can reconnect through any box, and
 // then cancels the generation if it has no reader. If the box stops meanwhile, the generation is left
 // running, because its client may be about to reconnect through another box.
-func (s *session) cancelUnread(f *forwarder) {
+func (s *session) cancelIfUnread(f *forwarder) {
 	d := s.deliverer
 	select {
 	case <-time.After(reconnectGracePeriod):
@@ -120,17 +120,17 @@
 func (s *session) recheckPlace(p *placement.Place) (*placement.Place, error) {
 	s.deliverer.RefreshViews(s.clientContext)
 	u := s.deliverer.view.Upstream(p.Upstream.Name)
-	place := fail.Origin{Peer: "upstream " + p.Upstream.Name, Step: "check before the send"}
+	origin := fail.Origin{Peer: "upstream " + p.Upstream.Name, Step: "check before the send"}
 	if u == nil || !u.AcceptsWork(time.Now()) {
 		s.avoid[p.Upstream.Name] = true
-		return nil, fail.WithRetryAt(fail.New(fail.NotRun, place, "leaving", "the upstream is leaving"), time.Now())
+		return nil, fail.WithRetryAt(fail.New(fail.NotRun, origin, "leaving", "the upstream is leaving"), time.Now())
 	}
 	if t := s.deliverer.backoffs.Until(u.Name, time.Now()); !t.IsZero() {
 		s.avoid[u.Name] = true
-		return nil, fail.WithRetryAt(fail.New(fail.NotRun, place, string(policy.ReasonResting), "the upstream asked for back-off"), t)
+		return nil, fail.WithRetryAt(fail.New(fail.NotRun, origin, string(policy.ReasonResting), "the upstream asked for back-off"), t)
 	}
 	if p.Stale(time.Now()) {
-		return nil, fail.WithRetryAt(fail.New(fail.NotRun, place, "stale_place", "the reserved place has expired"), time.Now())
+		return nil, fail.WithRetryAt(fail.New(fail.NotRun, origin, "stale_place", "the reserved place has expired"), time.Now())
 	}
 	return &placement.Place{GrantedAt: p.GrantedAt, Upstream: u}, nil
 }
@@ -150,12 +150,12 @@
 		return s.clientError(err)
 	}
 	r := c.Record
-	r.Finish, r.Tokens = finish, s.delivered
+	r.Finish, r.Tokens = finish, s.deliveredTokens
 	r.State = requestkey.StateFinished
 	if err != nil {
 		r.State = requestkey.StateInterrupted
 	}
-	if err != nil && s.delivered == 0 {
+	if err != nil && s.deliveredTokens == 0 {
 		r.State = requestkey.StateUnknown
 	}
 	text := s.text.String()
@@ -170,7 +170,7 @@
 
 // mayRetry reports whether the request may be sent to another upstream after err.
 func (s *session) mayRetry(err error) bool {
-	if s.delivered > 0 || s.clientGone {
+	if s.deliveredTokens > 0 || s.clientDisconnected {
 		return false
 	}
 	return errorx.IsOfType(err, fail.NotRun) || s.request.Key == ""
@@ -181,7 +181,7 @@
 	if err == nil {
 		return nil
 	}
-	return s.stage.correctError(err, s.delivered)
+	return s.stage.correctError(err, s.deliveredTokens)
 }
 
 // answerIfRepeated answers the request if its key was used before. It reports whether it was.
@@ -258,13 +258,13 @@
 	r := d.tracker.Start(&w, name)
 	ended := false
 	defer func() { d.tracker.Finish(r, ended) }()
-	s.delivered = from
+	s.deliveredTokens = from
 	f := &forwarder{generation: generation, running: r, session: s, upstream: u}
 	d.metrics.Count(metric.Resumptions, "reason", "client_returned")
 	err = f.run()
 	ended = err == nil
-	if errors.Is(err, errClientGone) {
-		s.cancelUnread(f)
+	if errors.Is(err, errClientDisconnected) {
+		s.cancelIfUnread(f)
 		return nil
 	}
 	return s.clientError(err)
@@ -298,7 +298,7 @@
 	})
 	if errorx.IsOfType(err, fail.NotRun) {
 		s.stage = stageNotRun
-		s.recordRefusal(f.upstream, err)
+		s.recordRejection(f.upstream, err)
 		event.UpstreamFailed.Log(s.deliverer.log, "upstream", f.upstream.Name, "reason", fail.Reason(err))
 		return err
 	}
@@ -312,14 +312,14 @@
 	return nil
 }
 
-// recordRefusal records the back-off that an upstream requested when it rejected the request, or a
+// recordRejection records the back-off that an upstream requested when it rejected the request, or a
 // rejection without back-off if it accepts no new work. It records nothing if the upstream found the
 // request invalid or could not be reached.
-func (s *session) recordRefusal(u *resource.Upstream, err error) {
+func (s *session) recordRejection(u *resource.Upstream, err error) {
 	if t := fail.RetryAt(err); !t.IsZero() {
 		s.deliverer.backoffs.RecordBackoff(u, t)
 	} else if fail.Reason(err) == upstream.ReasonLeaving {
-		s.deliverer.backoffs.RecordRefusal(u.Name, time.Now())
+		s.deliverer.backoffs.RecordRejection(u.Name, time.Now())
 	}
 }
 
@@ -375,8 +375,8 @@
 		return err
 	}
 	p := fail.Origin{Peer: "platform", Step: "claim request key"}
-	return fail.WithRetryAt(fail.Wrap(fail.NotRun, p, "table_unavailable", err), time.Now().Add(tableRetryAfter))
+	return fail.WithRetryAt(fail.Wrap(fail.NotRun, p, "table_unavailable", err), time.Now().Add(tableRetryDelay))
 }
 
-// tableRetryAfter is the retry delay given to clients while the platform's table is unavailable.
-const tableRetryAfter = 5 * time.Second
+// tableRetryDelay is the retry delay given to clients while the platform's table is unavailable.
+const tableRetryDelay = 5 * time.Second
--- a/internal/delivery/stage.go
+++ b/internal/delivery/stage.go
@@ -17,7 +17,7 @@
 
 // correctError returns err with the type that applies in this stage after the given number of delivered
 // tokens. In particular, it never returns fail.NotRun for a request that may have run.
-func (s stage) correctError(err error, delivered int) error {
+func (s stage) correctError(err error, deliveredTokens int) error {
 	p := fail.Origin{Peer: fail.Peer(err), Step: fail.Step(err)}
 	if s == stageNotRun {
 		if errorx.IsOfType(err, fail.Unknown) || errorx.IsOfType(err, fail.Unavailable) {
@@ -25,7 +25,7 @@
 		}
 		return err
 	}
-	if delivered > 0 && !errorx.IsOfType(err, fail.Interrupted) {
+	if deliveredTokens > 0 && !errorx.IsOfType(err, fail.Interrupted) {
 		return fail.Wrap(fail.Interrupted, p, fail.Reason(err), err)
 	}
 	if errorx.IsOfType(err, fail.NotRun) {
--- a/internal/health/backoffs.go
+++ b/internal/health/backoffs.go
@@ -22,37 +22,37 @@
 //
 // Backoffs is safe for concurrent use.
 type Backoffs struct {
-	mutex    sync.Mutex
-	refusals map[string]refusalStreak // by upstream
-	backoffs map[string]backoff       // by upstream
-	view     *resource.View
+	mutex      sync.Mutex
+	rejections map[string]rejectionStreak // by upstream
+	backoffs   map[string]backoff         // by upstream
+	view       *resource.View
 }
 
-// refusalStreak counts the consecutive rejections of one upstream that gave no back-off period.
-type refusalStreak struct {
+// rejectionStreak counts the consecutive rejections of one upstream that gave no back-off period.
+type rejectionStreak struct {
 	count int
 	until time.Time // avoided until then if others are available
 }
 
 // backoff is the back-off that an upstream instance requested.
 type backoff struct {
-	startedAt int64 // start time of the instance, in Unix milliseconds
-	probed    bool  // whether the one request that may be sent regardless has been
-	until     time.Time
+	startedAtMS int64 // start time of the instance, in Unix milliseconds
+	probed      bool  // whether the one request that may be sent regardless has been
+	until       time.Time
 }
 
 const (
-	// An upstream is avoided for minRefusalBackoff after its first rejection without a back-off
-	// period. The time doubles with each consecutive one, up to maxRefusalBackoff.
-	minRefusalBackoff = 250 * time.Millisecond
-	maxRefusalBackoff = 4 * time.Second
-	// refusalTTL is how long a streak of rejections is kept after the upstream is no longer avoided.
-	refusalTTL = 4 * time.Second
+	// An upstream is avoided for minRejectionBackoff after its first rejection without a back-off
+	// period. The time doubles with each consecutive one, up to maxRejectionBackoff.
+	minRejectionBackoff = 250 * time.Millisecond
+	maxRejectionBackoff = 4 * time.Second
+	// rejectionTTL is how long a streak of rejections is kept after the upstream is no longer avoided.
+	rejectionTTL = 4 * time.Second
 )
 
 // NewBackoffs returns an empty set of back-offs for the upstreams in v.
 func NewBackoffs(v *resource.View) *Backoffs {
-	return &Backoffs{refusals: make(map[string]refusalStreak), backoffs: make(map[string]backoff), view: v}
+	return &Backoffs{rejections: make(map[string]rejectionStreak), backoffs: make(map[string]backoff), view: v}
 }
 
 // AllBackingOffError returns an error if every listed upstream that takes new work has requested
@@ -64,7 +64,7 @@
 	if r.evictExpired(now) {
 		return nil
 	}
-	var first time.Time
+	var earliest time.Time
 	for _, u := range l {
 		if !u.AcceptsWork(now) {
 			continue
@@ -73,14 +73,14 @@
 		if t.IsZero() {
 			return nil
 		}
-		if first.IsZero() || t.Before(first) {
-			first = t
+		if earliest.IsZero() || t.Before(earliest) {
+			earliest = t
 		}
 	}
-	if first.IsZero() {
+	if earliest.IsZero() {
 		return nil
 	}
-	return fail.WithRetryAt(fail.New(fail.NotRun, p, string(policy.ReasonResting), "every upstream has requested back-off"), first)
+	return fail.WithRetryAt(fail.New(fail.NotRun, p, string(policy.ReasonResting), "every upstream has requested back-off"), earliest)
 }
 
 // Avoid returns the upstreams not to choose from l: those in avoid, those that requested back-off,
@@ -92,15 +92,15 @@
 	if r.evictExpired(now) {
 		return avoid
 	}
-	throttled := make(map[string]bool)
-	maps.Copy(throttled, avoid)
+	backingOff := make(map[string]bool)
+	maps.Copy(backingOff, avoid)
 	for n := range r.backoffs {
 		if !r.until(n, now).IsZero() {
-			throttled[n] = true
+			backingOff[n] = true
 		}
 	}
-	all := maps.Clone(throttled)
-	for n, x := range r.refusals {
+	all := maps.Clone(backingOff)
+	for n, x := range r.rejections {
 		if now.Before(x.until) {
 			all[n] = true
 		}
@@ -110,7 +110,7 @@
 			return all
 		}
 	}
-	return throttled
+	return backingOff
 }
 
 // RecordBackoff records that an upstream requested back-off until the given time. It does not
@@ -118,29 +118,29 @@
 func (r *Backoffs) RecordBackoff(u *resource.Upstream, until time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if old, ok := r.backoffs[u.Name]; ok && old.startedAt == u.Spec.StartedAtMS && old.until.After(until) {
+	if old, ok := r.backoffs[u.Name]; ok && old.startedAtMS == u.Spec.StartedAtMS && old.until.After(until) {
 		return
 	}
-	r.backoffs[u.Name] = backoff{startedAt: u.Spec.StartedAtMS, until: until}
+	r.backoffs[u.Name] = backoff{startedAtMS: u.Spec.StartedAtMS, until: until}
 }
 
-// RecordRefusal records that an upstream rejected a request without requesting back-off.
-func (r *Backoffs) RecordRefusal(name string, now time.Time) {
+// RecordRejection records that an upstream rejected a request without requesting back-off.
+func (r *Backoffs) RecordRejection(name string, now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	x := r.refusals[name]
+	x := r.rejections[name]
 	if now.Before(x.until) {
 		return // the request was sent before the previous rejection was known
 	}
-	period := min(maxRefusalBackoff, minRefusalBackoff<<min(x.count, 8))
-	r.refusals[name] = refusalStreak{count: x.count + 1, until: now.Add(period)}
+	period := min(maxRejectionBackoff, minRejectionBackoff<<min(x.count, 8))
+	r.rejections[name] = rejectionStreak{count: x.count + 1, until: now.Add(period)}
 }
 
 // RecordSuccess records that an upstream ran a request, which ends its streak of rejections.
 func (r *Backoffs) RecordSuccess(name string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	delete(r.refusals, name)
+	delete(r.rejections, name)
 }
 
 // TakeProbe reports whether a request that no other upstream can take may be sent to this one. During
@@ -174,12 +174,12 @@
 			delete(r.backoffs, n)
 		}
 	}
-	for n, x := range r.refusals {
-		if now.Sub(x.until) > refusalTTL {
-			delete(r.refusals, n)
+	for n, x := range r.rejections {
+		if now.Sub(x.until) > rejectionTTL {
+			delete(r.rejections, n)
 		}
 	}
-	return len(r.backoffs) == 0 && len(r.refusals) == 0
+	return len(r.backoffs) == 0 && len(r.rejections) == 0
 }
 
 // until implements Until. The caller holds the lock.
@@ -188,7 +188,7 @@
 	if !ok || !now.Before(x.until) {
 		return time.Time{}
 	}
-	if u := r.view.Upstream(name); u != nil && u.Spec.StartedAtMS != x.startedAt {
+	if u := r.view.Upstream(name); u != nil && u.Spec.StartedAtMS != x.startedAtMS {
 		return time.Time{} // the instance that requested the back-off is gone
 	}
 	return x.until
--- a/internal/health/backoffs_test.go
+++ b/internal/health/backoffs_test.go
@@ -9,12 +9,12 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// addUpstreams adds n upstreams that started at startedAt to a view and returns them.
-func addUpstreams(v *resource.View, n int, revision, startedAt int64) []*resource.Upstream {
+// addUpstreams adds n upstreams that started at startedAtMS to a view and returns them.
+func addUpstreams(v *resource.View, n int, revision, startedAtMS int64) []*resource.Upstream {
 	var changes []resource.Change
 	for i := range n {
 		m := resource.Metadata{Name: fmt.Sprintf("u-%04d", i)}
-		spec := fmt.Sprintf(`{"hall":"a","service":"desk","type":"service","born":%d}`, startedAt)
+		spec := fmt.Sprintf(`{"hall":"a","service":"desk","type":"service","born":%d}`, startedAtMS)
 		changes = append(changes, resource.Change{Revision: revision, Resource: &resource.Resource{Kind: resource.KindUpstream, Metadata: m, Spec: []byte(spec)}})
 	}
 	v.Apply(changes, revision)
@@ -59,18 +59,18 @@
 	}
 	l = addUpstreams(v, 2, 2, 6)
 	check("the upstream has restarted", 6*time.Second, 0, 0)
-	r.RecordRefusal(a.Name, at(6*time.Second))
+	r.RecordRejection(a.Name, at(6*time.Second))
 	check("one has rejected a request", 6100*time.Millisecond, 1, 0)
-	r.RecordRefusal(b.Name, at(6*time.Second))
+	r.RecordRejection(b.Name, at(6*time.Second))
 	check("both have rejected a request", 6100*time.Millisecond, 0, 0)
 	r.RecordSuccess(b.Name)
 	check("the other one has run a request", 6100*time.Millisecond, 1, 0)
-	check("after the first period", 6*time.Second+minRefusalBackoff, 0, 0)
-	r.RecordRefusal(a.Name, at(6*time.Second+minRefusalBackoff))
-	check("a second rejection in a row", 6*time.Second+2*minRefusalBackoff, 1, 0)
-	check("after the doubled period", 6*time.Second+3*minRefusalBackoff, 0, 0)
+	check("after the first period", 6*time.Second+minRejectionBackoff, 0, 0)
+	r.RecordRejection(a.Name, at(6*time.Second+minRejectionBackoff))
+	check("a second rejection in a row", 6*time.Second+2*minRejectionBackoff, 1, 0)
+	check("after the doubled period", 6*time.Second+3*minRejectionBackoff, 0, 0)
 	check("after the streak has expired", time.Minute, 0, 0)
-	if got := len(r.backoffs) + len(r.refusals); got != 0 {
+	if got := len(r.backoffs) + len(r.rejections); got != 0 {
 		t.Errorf("entries left: got %d, want 0", got)
 	}
 }
@@ -86,7 +86,7 @@
 			r := NewBackoffs(v)
 			for i := range throttled {
 				r.RecordBackoff(l[i], now.Add(time.Hour))
-				r.RecordRefusal(l[throttled].Name, now)
+				r.RecordRejection(l[throttled].Name, now)
 			}
 			for b.Loop() {
 				_ = r.AllBackingOffError(l, fail.Origin{}, now)
--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -20,10 +20,10 @@
 	burstPeriod = 250 * time.Millisecond
 	// idleTTL is how long a bucket is kept after the last request for its permits.
 	idleTTL = time.Minute
-	// coldShare is the share of a cold upstream's sustainable rate that is granted. The rest is
+	// coldPermitShare is the share of a cold upstream's sustainable rate that is granted. The rest is
 	// headroom: boxes that do not know of each other may grant permits at the same time, and the
 	// sum could overload the upstream.
-	coldShare = 0.5
+	coldPermitShare = 0.5
 	// Retries of boxes that got no permit are spread over minRetrySpread, or over retrySpreadPerBox
 	// times the number of boxes if that is longer. Without the spread every box would ask the
 	// allocating box again each time a permit becomes available.
@@ -82,8 +82,8 @@
 // caller holds the lock.
 func (a *Allocator) bucketOf(l *Limit, now time.Time) *bucket {
 	b := a.buckets[l.Upstream]
-	if b == nil || b.startedAt != l.StartedAt {
-		b = &bucket{refilledAt: now, startedAt: l.StartedAt}
+	if b == nil || b.startedAtMS != l.StartedAtMS {
+		b = &bucket{refilledAt: now, startedAtMS: l.StartedAtMS}
 		a.buckets[l.Upstream] = b
 	}
 	return b
--- a/internal/ratelimit/allocator_test.go
+++ b/internal/ratelimit/allocator_test.go
@@ -15,12 +15,12 @@
 
 // maxInSpan returns the largest number of the times, which are sorted, that lie within one span.
 func maxInSpan(l []time.Time, span time.Duration) int {
-	n, first := 0, 0
+	n, start := 0, 0
 	for i := range l {
-		for l[i].Sub(l[first]) >= span {
-			first++
+		for l[i].Sub(l[start]) >= span {
+			start++
 		}
-		n = max(n, i-first+1)
+		n = max(n, i-start+1)
 	}
 	return n
 }
@@ -126,7 +126,7 @@
 	}
 	a := NewAllocator()
 	a.Allocate(&PermitRequest{Limit: l, Want: 10}, 1, 1, now)
-	l.StartedAt = 7
+	l.StartedAtMS = 7
 	if got := a.Allocate(&PermitRequest{Limit: l, Want: 10}, 1, 1, now.Add(10*time.Millisecond)).Count; got != 0 {
 		t.Errorf("permits after the upstream restarted: got %d, want none", got)
 	}
@@ -250,12 +250,12 @@
 // announces itself still applies.
 func TestColdUpstreamIsSpared(t *testing.T) {
 	const maxRate = 8
-	first, second, now := NewAllocator(), NewAllocator(), time.Unix(1_000, 0)
+	allocator, fallback, now := NewAllocator(), NewAllocator(), time.Unix(1_000, 0)
 	var used []time.Time
 	for range 600 {
 		now = now.Add(10 * time.Millisecond)
 		q := &PermitRequest{ColdRate: maxRate, Limit: Limit{Upstream: "u"}, Want: 3}
-		for range first.Allocate(q, 1, 4, now).Count + second.Allocate(q, FallbackShare, 4, now).Count {
+		for range allocator.Allocate(q, 1, 4, now).Count + fallback.Allocate(q, FallbackShare, 4, now).Count {
 			used = append(used, now)
 		}
 	}
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -8,7 +8,7 @@
 // bucket is the token bucket of one upstream instance. The Allocator's lock guards it.
 type bucket struct {
 	refilledAt  time.Time // last refill
-	startedAt   int64     // start time of the upstream instance, in Unix milliseconds
+	startedAtMS int64     // start time of the upstream instance, in Unix milliseconds
 	lastRetryAt time.Time // latest retry time given to a box that got no permit
 	tokens      float64   // negative if permits were granted in advance
 }
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -7,11 +7,11 @@
 
 // Limit is the request rate, over all boxes together, that an upstream last announced.
 type Limit struct {
-	ReportedAt time.Time `cbor:"1,keyasint"`           // when the answer that announced it arrived
-	StartedAt  int64     `cbor:"2,keyasint,omitempty"` // start time of the upstream instance, in Unix milliseconds; 0 if unknown
-	Lifted     bool      `cbor:"3,keyasint,omitempty"` // the answer announced no limit although earlier ones did
-	PerSecond  float64   `cbor:"4,keyasint,omitempty"` // requests per second, as last announced
-	Upstream   string    `cbor:"5,keyasint"`
+	ReportedAt  time.Time `cbor:"1,keyasint"`           // when the answer that announced it arrived
+	StartedAtMS int64     `cbor:"2,keyasint,omitempty"` // start time of the upstream instance, in Unix milliseconds; 0 if unknown
+	Lifted      bool      `cbor:"3,keyasint,omitempty"` // the answer announced no limit although earlier ones did
+	PerSecond   float64   `cbor:"4,keyasint,omitempty"` // requests per second, as last announced
+	Upstream    string    `cbor:"5,keyasint"`
 }
 
 const (
@@ -40,9 +40,9 @@
 
 // supersedes reports whether l should replace the known limit because it comes from a later answer.
 // Of several answers without a limit the first one counts.
-func (l *Limit) supersedes(known *Limit) bool {
-	if l.Lifted && known.Lifted && l.StartedAt == known.StartedAt {
+func (l *Limit) supersedes(old *Limit) bool {
+	if l.Lifted && old.Lifted && l.StartedAtMS == old.StartedAtMS {
 		return false
 	}
-	return l.ReportedAt.After(known.ReportedAt)
+	return l.ReportedAt.After(old.ReportedAt)
 }
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -24,13 +24,13 @@
 
 // permitState holds the permits of this box for one upstream instance, and its recent demand.
 type permitState struct {
-	startedAt     int64
-	permits       int       // granted and unused
-	refusedUntil  time.Time // no permit is available before this time
-	windowTakes   int       // permits wanted since windowStart
-	previousTakes int       // permits wanted in the window before; a window lasts permitTTL or longer
-	windowStart   time.Time
-	permitsUntil  time.Time // when the unused permits expire
+	startedAtMS    int64
+	permits        int       // granted and unused
+	refusedUntil   time.Time // no permit is available before this time
+	windowDemand   int       // permits wanted since windowStart
+	previousDemand int       // permits wanted in the window before; a window lasts permitTTL or longer
+	windowStart    time.Time
+	permitsUntil   time.Time // when the unused permits expire
 }
 
 const (
@@ -71,7 +71,7 @@
 
 // NeedsPermit reports whether requests to the upstream need a permit.
 func (m *Limiter) NeedsPermit(u Upstream, now time.Time) bool {
-	return u.ColdRate > 0 || m.limits.Get(u.Name, u.StartedAt, now) != nil
+	return u.ColdRate > 0 || m.limits.Get(u.Name, u.StartedAtMS, now) != nil
 }
 
 // RefusedUntil returns the time before which no permit for the upstream is available, as far as
@@ -83,7 +83,7 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	x := m.states[u.Name]
-	if x == nil || x.startedAt != u.StartedAt || x.hasPermit(now) || !now.Before(x.refusedUntil) {
+	if x == nil || x.startedAtMS != u.StartedAtMS || x.hasPermit(now) || !now.Before(x.refusedUntil) {
 		return time.Time{}
 	}
 	return x.refusedUntil
@@ -93,19 +93,19 @@
 // It reports whether the request may be sent: it got a permit or needs none.
 func (m *Limiter) Take(ctx context.Context, u Upstream, options ...Option) bool {
 	now := time.Now()
-	l := m.limits.Get(u.Name, u.StartedAt, now)
+	l := m.limits.Get(u.Name, u.StartedAtMS, now)
 	if l == nil && u.ColdRate <= 0 {
 		return true
 	}
-	q := &PermitRequest{ColdRate: u.ColdRate, Limit: Limit{StartedAt: u.StartedAt, Upstream: u.Name}}
+	q := &PermitRequest{ColdRate: u.ColdRate, Limit: Limit{StartedAtMS: u.StartedAtMS, Upstream: u.Name}}
 	if l != nil {
 		q.Limit = *l
 	}
 	for _, o := range options {
 		o(q)
 	}
-	var taken bool
-	if taken, q.Want = m.takeHeld(u, now); taken {
+	var ok bool
+	if ok, q.Want = m.takeGranted(u, now); ok {
 		return true
 	}
 	g, err := m.RequestPermits(ctx, q)
@@ -142,28 +142,28 @@
 // the lock.
 func (m *Limiter) stateOf(u Upstream) *permitState {
 	x := m.states[u.Name]
-	if x == nil || x.startedAt != u.StartedAt {
-		x = &permitState{startedAt: u.StartedAt}
+	if x == nil || x.startedAtMS != u.StartedAtMS {
+		x = &permitState{startedAtMS: u.StartedAtMS}
 		m.states[u.Name] = x
 	}
 	return x
 }
 
-// takeHeld takes a permit that this box already holds and reports whether there was one. If not, it
+// takeGranted takes a permit that this box already holds and reports whether there was one. If not, it
 // returns how many to request: as many as were wanted in the window before, at least 1.
-func (m *Limiter) takeHeld(u Upstream, now time.Time) (taken bool, want int) {
+func (m *Limiter) takeGranted(u Upstream, now time.Time) (ok bool, want int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	x := m.stateOf(u)
 	if since := now.Sub(x.windowStart); since >= permitTTL {
-		x.previousTakes, x.windowTakes, x.windowStart = x.windowTakes, 0, now
+		x.previousDemand, x.windowDemand, x.windowStart = x.windowDemand, 0, now
 		if since >= 2*permitTTL {
-			x.previousTakes = 0
+			x.previousDemand = 0
 		}
 	}
-	x.windowTakes++
+	x.windowDemand++
 	if !x.hasPermit(now) {
-		return false, max(1, x.previousTakes)
+		return false, max(1, x.previousDemand)
 	}
 	x.permits--
 	return true, 0
--- a/internal/ratelimit/limits.go
+++ b/internal/ratelimit/limits.go
@@ -55,7 +55,7 @@
 	for _, x := range s.limits {
 		h := xxhash.New()
 		_, _ = h.WriteString(x.Upstream)
-		b := binary.LittleEndian.AppendUint64(nil, uint64(x.StartedAt))
+		b := binary.LittleEndian.AppendUint64(nil, uint64(x.StartedAtMS))
 		if x.Lifted {
 			b = append(b, 1)
 		}
@@ -69,14 +69,14 @@
 func (s *Limits) Empty() bool { return s.count.Load() == 0 }
 
 // Get returns the limit in force for the given instance of an upstream, or nil if there is none.
-func (s *Limits) Get(upstream string, startedAt int64, now time.Time) *Limit {
+func (s *Limits) Get(upstream string, startedAtMS int64, now time.Time) *Limit {
 	if s.Empty() {
 		return nil
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	x, ok := s.limits[upstream]
-	if !ok || x.StartedAt != startedAt || !x.inForce(now) {
+	if !ok || x.StartedAtMS != startedAtMS || !x.inForce(now) {
 		return nil
 	}
 	l := x // copied here so that x does not escape, and lookups without a limit do not allocate
@@ -85,14 +85,14 @@
 
 // Lift records that an answer of the given instance of an upstream announced no limit. It returns
 // nil if that changes nothing.
-func (s *Limits) Lift(upstream string, startedAt int64, now time.Time) *Change {
+func (s *Limits) Lift(upstream string, startedAtMS int64, now time.Time) *Change {
 	if s.Empty() {
 		return nil
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	x, ok := s.limits[upstream]
-	if !ok || x.Lifted || x.StartedAt != startedAt {
+	if !ok || x.Lifted || x.StartedAtMS != startedAtMS {
 		return nil
 	}
 	x.ReportedAt, x.Lifted = now, true
@@ -101,16 +101,16 @@
 
 // MarkInvalid records that the given instance of an upstream announced an invalid limit. It reports
 // whether this is the first time.
-func (s *Limits) MarkInvalid(upstream string, startedAt int64) bool {
+func (s *Limits) MarkInvalid(upstream string, startedAtMS int64) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if b, ok := s.invalid[upstream]; ok && b == startedAt {
+	if b, ok := s.invalid[upstream]; ok && b == startedAtMS {
 		return false
 	}
 	if len(s.invalid) >= maxInvalid {
 		clear(s.invalid)
 	}
-	s.invalid[upstream] = startedAt
+	s.invalid[upstream] = startedAtMS
 	return true
 }
 
@@ -150,11 +150,11 @@
 
 // record implements Record without the clock correction. The caller holds the lock.
 func (s *Limits) record(l Limit, now time.Time) *Change {
-	known, ok := s.limits[l.Upstream]
-	if l.expired(now) || (ok && !l.supersedes(&known)) {
+	old, ok := s.limits[l.Upstream]
+	if l.expired(now) || (ok && !l.supersedes(&old)) {
 		return nil
 	}
 	s.limits[l.Upstream] = l
 	s.count.Store(int32(len(s.limits)))
-	return &Change{After: l, Before: known, Known: ok}
+	return &Change{After: l, Before: old, HasBefore: ok}
 }
--- a/internal/ratelimit/permitrequest.go
+++ b/internal/ratelimit/permitrequest.go
@@ -21,12 +21,12 @@
 }
 
 // rateAndBurst returns the rate at which permits may be granted, per second, and the capacity of the
-// token bucket. A cold upstream's rate is its own limit or coldShare of ColdRate, whichever is
+// token bucket. A cold upstream's rate is its own limit or coldPermitShare of ColdRate, whichever is
 // lower.
 func (q *PermitRequest) rateAndBurst() (rate, burst float64) {
 	rate = max(q.Limit.PerSecond, probesPerSecond)
 	burst = minBurst + rate*burstPeriod.Seconds()
-	if c := coldShare * q.ColdRate; c > 0 && (q.Limit.ReportedAt.IsZero() || c < rate) {
+	if c := coldPermitShare * q.ColdRate; c > 0 && (q.Limit.ReportedAt.IsZero() || c < rate) {
 		return c, 1
 	}
 	return rate, burst
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -25,13 +25,13 @@
 		return nil, err
 	}
 	x := e.relay
-	for denied := 0; ; denied++ {
+	for refusals := 0; ; refusals++ {
 		now := time.Now()
 		l := e.upstreams()
-		if err := x.backoffs.AllBackingOffError(l, e.servicePlace(), now); err != nil {
+		if err := x.backoffs.AllBackingOffError(l, e.serviceOrigin(), now); err != nil {
 			return nil, err
 		}
-		avoid, waitUntil, err := e.avoidUnpermitted(l, x.backoffs.Avoid(l, e.avoid, now), denied, now)
+		avoid, waitUntil, err := e.avoidUnpermitted(l, x.backoffs.Avoid(l, e.avoid, now), refusals, now)
 		if err != nil {
 			return nil, err
 		}
@@ -44,7 +44,7 @@
 		}
 		t.release(x, false)
 		if ctx.Err() != nil {
-			return nil, fail.Wrap(fail.NotRun, e.servicePlace(), string(policy.ReasonLimited), ctx.Err())
+			return nil, fail.Wrap(fail.NotRun, e.serviceOrigin(), string(policy.ReasonLimited), ctx.Err())
 		}
 	}
 }
@@ -81,20 +81,20 @@
 		return nil, err // quarantined while it waited for a place
 	}
 	now := time.Now()
-	place := fail.Origin{Peer: "upstream " + t.upstream.Name, Step: stepCheck}
+	origin := fail.Origin{Peer: "upstream " + t.upstream.Name, Step: stepCheck}
 	u := e.relay.view.Upstream(t.upstream.Name)
 	switch {
 	case u == nil || !u.KeepsWork(now):
 		e.avoid[t.upstream.Name] = true
-		return nil, fail.WithRetryAt(fail.New(fail.NotRun, place, string(policy.ReasonLeaving), "the upstream is leaving"), now)
+		return nil, fail.WithRetryAt(fail.New(fail.NotRun, origin, string(policy.ReasonLeaving), "the upstream is leaving"), now)
 	case u.Evacuated():
 		e.avoid[t.upstream.Name] = true
-		return nil, fail.WithRetryAt(fail.New(fail.NotRun, place, string(policy.ReasonEvacuated), "data hall %q is evacuated", u.Spec.Hall), now)
+		return nil, fail.WithRetryAt(fail.New(fail.NotRun, origin, string(policy.ReasonEvacuated), "data hall %q is evacuated", u.Spec.Hall), now)
 	case !e.relay.backoffs.Until(u.Name, now).IsZero():
 		e.avoid[t.upstream.Name] = true
-		return nil, fail.WithRetryAt(fail.New(fail.NotRun, place, string(policy.ReasonResting), "the upstream asked for back-off"), e.retryAt(now))
+		return nil, fail.WithRetryAt(fail.New(fail.NotRun, origin, string(policy.ReasonResting), "the upstream asked for back-off"), e.retryAt(now))
 	case t.place != nil && t.place.Stale(now):
-		return nil, fail.WithRetryAt(fail.New(fail.NotRun, place, "stale_place", "the reserved place has expired"), now)
+		return nil, fail.WithRetryAt(fail.New(fail.NotRun, origin, "stale_place", "the reserved place has expired"), now)
 	}
 	e.startTrial(now)
 	return u, nil
@@ -114,10 +114,10 @@
 	now := time.Now()
 	u, backAt := x.health.Choose(e.upstreams(), avoid, now)
 	if u == nil && !backAt.IsZero() {
-		return nil, fail.WithRetryAt(fail.New(fail.NotRun, e.servicePlace(), reasonOutOfReach, "no upstream of %q can be reached", e.service.Name), backAt)
+		return nil, fail.WithRetryAt(fail.New(fail.NotRun, e.serviceOrigin(), reasonAllUnreachable, "no upstream of %q can be reached", e.service.Name), backAt)
 	}
 	if u == nil {
-		return nil, fail.WithRetryAt(fail.New(fail.NotRun, e.servicePlace(), string(policy.ReasonNoUpstream), "no upstream of %q takes new work", e.service.Name), now.Add(refusedRetryDelay))
+		return nil, fail.WithRetryAt(fail.New(fail.NotRun, e.serviceOrigin(), string(policy.ReasonNoUpstream), "no upstream of %q takes new work", e.service.Name), now.Add(refusedRetryDelay))
 	}
 	return &assignment{end: x.health.Begin(u.Name), upstream: u}, nil
 }
--- a/internal/relay/crash.go
+++ b/internal/relay/crash.go
@@ -21,9 +21,9 @@
 // off from the network does not answer at all.
 const crashCheckWait = 50 * time.Millisecond
 
-// callerGoneCheckDelay is the time between a caller's disconnect and the check whether the upstream
+// disconnectCheckDelay is the time between a caller's disconnect and the check whether the upstream
 // of its request has crashed: an upstream that had begun to run a poison request has crashed by then.
-const callerGoneCheckDelay = 500 * time.Millisecond
+const disconnectCheckDelay = 500 * time.Millisecond
 
 // A running stream clears a suspect with the same fingerprint if, between clearanceDelay and twice
 // that time after the crash, it is more than clearanceLeadEvents events ahead of the suspect: a
@@ -52,25 +52,25 @@
 		e.ignoreCrash(u, r)
 		return
 	}
-	known, p := make(chan struct{}), e.fingerprint()
+	done, p := make(chan struct{}), e.fingerprint()
 	x.workers.Go(func() {
-		defer close(known)
+		defer close(done)
 		e.confirmCrash(x.ctx, u, now, policy.Suspect{Events: events, Fingerprint: p})
 	})
 	select {
-	case <-known:
+	case <-done:
 	case <-time.After(crashCheckWait):
 	}
 }
 
-// checkCrashAfterCallerLeft schedules a crash check for an upstream whose caller disconnected before
+// checkCrashAfterDisconnect schedules a crash check for an upstream whose caller disconnected before
 // the answer began: the upstream may have started to run the request.
-func (e *exchange) checkCrashAfterCallerLeft(u *resource.Upstream) {
-	if e.clientCtx.Err() == nil {
+func (e *exchange) checkCrashAfterDisconnect(u *resource.Upstream) {
+	if e.callerCtx.Err() == nil {
 		return
 	}
 	x, now, s := e.relay, time.Now(), policy.Suspect{Fingerprint: e.fingerprint()}
-	x.runAfter(callerGoneCheckDelay, func() {
+	x.runAfter(disconnectCheckDelay, func() {
 		if e.ignoredReason(u, time.Now()) == "" {
 			e.confirmCrash(x.background, u, now, s)
 		}
@@ -87,13 +87,13 @@
 		e.ignoreCrash(u, ignoredNotRefused)
 		return
 	}
-	s.Cleared = x.servedSinceLastCrash(s.Fingerprint, at)
+	s.Cleared = x.completedSinceLastCrash(s.Fingerprint, at)
 	l := []policy.Crash{{At: at, StartedAtMS: u.Spec.StartedAtMS, Suspects: []policy.Suspect{s}, Upstream: u.Name}}
 	x.metrics.Add(metric.UpstreamCrashes, 1)
 	x.RecordCrashes(l, "")
 	event.UpstreamCrashed.Log(x.log, "request", e.request.ID, "upstream", u.Name, "ends", x.quarantine.CrashCount(s.Fingerprint, time.Now()), "asked", s.Fingerprint.String())
 	x.AnnounceCrashes(l)
-	x.ClearServed()
+	x.ClearCompleted()
 }
 
 // fingerprint returns the request's fingerprint, which is the same for every caller and every retry.
@@ -135,17 +135,17 @@
 	if l := x.quarantine.Renew(e.fingerprint(), now); l != nil {
 		x.AnnounceCrashes(l)
 	}
-	return fail.New(fail.Unknown, e.servicePlace(), reasonQuarantined, "request quarantined: %d upstreams crashed while running fingerprint %s", x.quarantine.CrashCount(e.fingerprint(), now), e.fingerprint())
+	return fail.New(fail.Unknown, e.serviceOrigin(), reasonQuarantined, "request quarantined: %d upstreams crashed while running fingerprint %s", x.quarantine.CrashCount(e.fingerprint(), now), e.fingerprint())
 }
 
-// recordServed records that the request completed. If it was suspected of crashes, it is cleared and
+// recordCompleted records that the request completed. If it was suspected of crashes, it is cleared and
 // the other boxes are told: a popular request is often running when an upstream crashes, whatever
 // the cause, and becomes a suspect each time.
-func (e *exchange) recordServed() {
+func (e *exchange) recordCompleted() {
 	x, p := e.relay, e.fingerprint()
-	x.served.Record(p, time.Now())
+	x.completedRuns.Record(p, time.Now())
 	if x.clearCrashes(p, "") {
-		x.AnnounceCleared(p)
+		x.AnnounceClearance(p)
 	}
 }
 
@@ -176,8 +176,8 @@
 // clearSuspects clears those suspects of a crash for which this box has evidence, and announces them.
 func (x *Relay) clearSuspects(c *policy.Crash) {
 	for _, s := range c.Suspects {
-		if !s.Cleared && (x.servedSinceLastCrash(s.Fingerprint, c.At) || x.hasStreamAhead(&s)) && x.clearCrashes(s.Fingerprint, "") {
-			x.AnnounceCleared(s.Fingerprint)
+		if !s.Cleared && (x.completedSinceLastCrash(s.Fingerprint, c.At) || x.hasStreamAhead(&s)) && x.clearCrashes(s.Fingerprint, "") {
+			x.AnnounceClearance(s.Fingerprint)
 		}
 	}
 }
@@ -203,7 +203,7 @@
 	for _, c := range l {
 		for _, s := range c.Suspects {
 			if s.Cleared {
-				x.frequent.MarkUsed(s.Fingerprint, c.At, now)
+				x.frequentRuns.MarkUsed(s.Fingerprint, c.At, now)
 			}
 		}
 	}
@@ -238,10 +238,10 @@
 	})
 }
 
-// servedSinceLastCrash reports whether this box served the request p after the last crash before at
+// completedSinceLastCrash reports whether this box served the request p after the last crash before at
 // of which it was a suspect.
-func (x *Relay) servedSinceLastCrash(p policy.Fingerprint, at time.Time) bool {
-	t := x.served.LastRunAt(p, time.Now())
+func (x *Relay) completedSinceLastCrash(p policy.Fingerprint, at time.Time) bool {
+	t := x.completedRuns.LastRunAt(p, time.Now())
 	return !t.IsZero() && t.After(x.quarantine.LastCrashBefore(p, at))
 }
 
--- a/internal/relay/crash_test.go
+++ b/internal/relay/crash_test.go
@@ -133,10 +133,10 @@
 // Callers that retry must be served: engines that fail together do not fail because of a request.
 func TestRackIsLost(t *testing.T) {
 	withRig(t, 8, 0, func(t *testing.T, r *rig) {
-		var first, next atomic.Int32 // places are given at the engines from this one on, in turn
-		first.Store(1)
+		var firstEngine, next atomic.Int32 // places are given at the engines from this one on, in turn
+		firstEngine.Store(1)
 		r.relay.Place = func(context.Context, *policy.Work, map[string]bool) (*placement.Place, error) {
-			n := first.Load()
+			n := firstEngine.Load()
 			n += next.Add(1) % (9 - n)
 			return &placement.Place{GrantedAt: time.Now(), Upstream: r.view.Upstream(fmt.Sprint("u", n))}, nil
 		}
@@ -146,7 +146,7 @@
 		}
 		for _, rack := range [][]string{{"u1", "u2", "u3"}, {"u4", "u5", "u6"}} {
 			time.Sleep(2 * time.Second)
-			first.Add(3)
+			firstEngine.Add(3)
 			for _, n := range rack {
 				r.kill(n)
 			}
@@ -249,11 +249,11 @@
 // that left during its answer.
 func TestCallersThatLeaveCostFewConnections(t *testing.T) {
 	withRig(t, 1, 0, func(t *testing.T, r *rig) {
-		var made atomic.Int32
-		gone := r.relay.Upstreams.ProcessEnded
+		var connections atomic.Int32
+		processEnded := r.relay.Upstreams.ProcessEnded
 		r.relay.Upstreams.ProcessEnded = func(ctx context.Context, u *resource.Upstream) bool {
-			made.Add(1)
-			return gone(ctx, u)
+			connections.Add(1)
+			return processEnded(ctx, u)
 		}
 		leave := func(id string, after time.Duration) {
 			ctx, cancel := context.WithTimeout(t.Context(), after)
@@ -262,12 +262,12 @@
 			time.Sleep(2 * time.Second)
 		}
 		leave("during", time.Second)
-		if got, want := made.Load(), int32(0); got != want {
+		if got, want := connections.Load(), int32(0); got != want {
 			t.Errorf("after a caller left during its answer: got %d connections, want %d", got, want)
 		}
 		r.engines["u1"].SetFaults(routed.Faults{Silent: true})
 		leave("before", time.Second)
-		if got, want := made.Load(), int32(1); got != want {
+		if got, want := connections.Load(), int32(1); got != want {
 			t.Errorf("after a caller left before its answer: got %d connections, want %d", got, want)
 		}
 	})
@@ -288,7 +288,7 @@
 		}
 		r.relay.Upstreams.ProcessEnded = func(context.Context, *resource.Upstream) bool { return crashing.Load() }
 		n := 0
-		ask := func() int {
+		call := func() int {
 			n++
 			time.Sleep(time.Second)
 			w, _, err := r.do(request(t.Context(), http.MethodGet, "/often/x", fmt.Sprint("id-", n), ""))
@@ -297,20 +297,20 @@
 			}
 			return w.StatusCode
 		}
-		if got := ask(); got != http.StatusOK {
+		if got := call(); got != http.StatusOK {
 			t.Fatalf("before: got status %d, want 200", got)
 		}
 		crashing.Store(true)
-		ask() // at two upstreams
+		call() // at two upstreams
 		crashing.Store(false)
-		if got := ask(); got != http.StatusOK {
+		if got := call(); got != http.StatusOK {
 			t.Errorf("after two crashes: got status %d, want 200", got)
 		}
 		crashing.Store(true)
-		ask()
-		ask()
+		call()
+		call()
 		crashing.Store(false)
-		if got := ask(); got != http.StatusBadGateway {
+		if got := call(); got != http.StatusBadGateway {
 			t.Errorf("after three more: got status %d, want 502", got)
 		}
 	})
--- a/internal/relay/deliver.go
+++ b/internal/relay/deliver.go
@@ -41,7 +41,7 @@
 		_, err = io.Copy(e.writer, a.Body)
 	}
 	if err != nil {
-		return fail.Wrap(fail.Interrupted, clientPlace("deliver"), "answer_cut", err)
+		return fail.Wrap(fail.Interrupted, clientOrigin("deliver"), "answer_cut", err)
 	}
 	return nil
 }
@@ -59,11 +59,11 @@
 		if ctx.Err() == nil {
 			e.checkCrash(e.upstream, 0)
 		}
-		e.checkCrashAfterCallerLeft(e.upstream)
+		e.checkCrashAfterDisconnect(e.upstream)
 		return true, fail.Wrap(fail.Unknown, p, "answer_cut", err)
 	}
 	if a.Status < http.StatusMultipleChoices {
-		e.recordServed()
+		e.recordCompleted()
 	}
 	w := &bufferedAnswer{*a, b}
 	if a.Status >= http.StatusInternalServerError {
@@ -85,7 +85,7 @@
 	e.status = a.Status
 	e.writer.WriteHeader(a.Status)
 	if _, err := e.writer.Write(a.body); err != nil {
-		return fail.Wrap(fail.Interrupted, clientPlace("deliver"), "caller_gone", err)
+		return fail.Wrap(fail.Interrupted, clientOrigin("deliver"), "caller_gone", err)
 	}
 	return nil
 }
--- a/internal/relay/evacuation_test.go
+++ b/internal/relay/evacuation_test.go
@@ -125,17 +125,17 @@
 			}
 			return r.place(t.Context(), w, avoid)
 		}
-		first := 0
+		before := 0
 		s, err := r.readStream(checkRequest(t.Context(), 400), func(events int) {
 			if events == 5 {
-				first = r.requestsArrived()
+				before = r.requestsArrived()
 				r.evacuate(false)
 			}
 		})
 		if err != nil || s.complete {
 			t.Errorf("got %+v %v, want a stream that breaks off", s, err)
 		}
-		if got := r.requestsArrived() - first; got != 0 {
+		if got := r.requestsArrived() - before; got != 0 {
 			t.Errorf("requests that arrived later: got %d, want 0", got)
 		}
 	})
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -18,7 +18,7 @@
 
 // exchange is the state of one request while it is relayed. Only one goroutine uses it.
 type exchange struct {
-	clientCtx context.Context // cancelled when the caller disconnects
+	callerCtx context.Context // cancelled when the caller disconnects
 	relay     *Relay
 	request   *Request
 	writer    http.ResponseWriter
@@ -49,11 +49,11 @@
 func (e *exchange) admit() error {
 	x, q := e.relay, e.request
 	if !x.HasConfiguration() {
-		return fail.WithRetryAt(fail.New(fail.NotRun, clientPlace("route"), "configuration_unknown", "no configuration received yet"), time.Now().Add(startRetryDelay))
+		return fail.WithRetryAt(fail.New(fail.NotRun, clientOrigin("route"), "configuration_unknown", "no configuration received yet"), time.Now().Add(startRetryDelay))
 	}
 	e.route = x.view.Route(resource.HostOf(q.Host), q.Path)
 	if e.route == nil {
-		return e.unknownError(fail.New(fail.NotFound, clientPlace("route"), "route_unknown", "no route matches %s%s", q.Host, q.Path))
+		return e.unknownError(fail.New(fail.NotFound, clientOrigin("route"), "route_unknown", "no route matches %s%s", q.Host, q.Path))
 	}
 	if e.route.Spec.Stream {
 		if err := x.checkStreamFits(expectedTokens(q), q.Arrived); err != nil {
@@ -63,7 +63,7 @@
 	if !e.route.Spec.Public && x.view.HasWorkspaces() {
 		e.workspace = x.view.WorkspaceByKey(q.BearerKey)
 		if e.workspace == nil {
-			return e.unknownError(fail.New(fail.Unauthorized, clientPlace("authorize"), "key_unknown", "the bearer key belongs to no workspace"))
+			return e.unknownError(fail.New(fail.Unauthorized, clientOrigin("authorize"), "key_unknown", "the bearer key belongs to no workspace"))
 		}
 	}
 	e.deadline = q.Arrived.Add(e.route.Spec.Timeout.Duration())
@@ -76,7 +76,7 @@
 	n := pickService(&e.route.Spec)
 	e.service = x.view.Service(n)
 	if e.service == nil {
-		return fail.WithRetryAt(fail.New(fail.NotRun, clientPlace("route"), "service_unknown", "service %q is not declared", n), time.Now().Add(startRetryDelay))
+		return fail.WithRetryAt(fail.New(fail.NotRun, clientOrigin("route"), "service_unknown", "service %q is not declared", n), time.Now().Add(startRetryDelay))
 	}
 	x.retryBudget.CountRequest(n, time.Now())
 	return nil
@@ -89,7 +89,7 @@
 	if err == nil {
 		return nil
 	}
-	if e.fallback != nil && e.status == 0 && e.clientCtx.Err() == nil {
+	if e.fallback != nil && e.status == 0 && e.callerCtx.Err() == nil {
 		return e.writeAnswer(e.fallback)
 	}
 	p := fail.Origin{Peer: fail.Peer(err), Step: fail.Step(err)}
@@ -127,7 +127,7 @@
 		return nil
 	}
 	if _, ok := eventNumber(id); !ok {
-		return fail.New(fail.BadInput, clientPlace("resume"), "last_event_invalid", "the last event id is not a number: %q", id)
+		return fail.New(fail.BadInput, clientOrigin("resume"), "last_event_invalid", "the last event id is not a number: %q", id)
 	}
 	e.lastEventID = id
 	return nil
@@ -145,7 +145,7 @@
 	if err := e.admit(); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithDeadline(e.clientCtx, e.deadline)
+	ctx, cancel := context.WithDeadline(e.callerCtx, e.deadline)
 	defer cancel()
 	defer context.AfterFunc(e.relay.ctx, cancel)()
 	e.avoid = make(map[string]bool)
@@ -157,7 +157,7 @@
 	}
 }
 
-func (e *exchange) servicePlace() fail.Origin {
+func (e *exchange) serviceOrigin() fail.Origin {
 	return fail.Origin{Peer: "service " + e.service.Name, Step: "choose"}
 }
 
@@ -165,7 +165,7 @@
 // the service's retry budget, unless no upstream received the request.
 func (e *exchange) shouldRetry(err error) bool {
 	x := e.relay
-	if e.clientCtx.Err() != nil || e.sends >= maxSends || !time.Now().Before(e.deadline) || e.quarantineError() != nil {
+	if e.callerCtx.Err() != nil || e.sends >= maxSends || !time.Now().Before(e.deadline) || e.quarantineError() != nil {
 		return false
 	}
 	if !errorx.IsOfType(err, fail.NotRun) && (!e.route.Spec.RetryPolicy.Retryable() || e.possibleRuns >= e.route.Spec.Attempts) {
--- a/internal/relay/failure.go
+++ b/internal/relay/failure.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// reasonCallerGone is the failure reason when the caller has disconnected.
-	reasonCallerGone = "caller_gone"
-	// reasonOutOfReach is the refusal reason when recent connection attempts to all upstreams of
+	// reasonCallerDisconnected is the failure reason when the caller has disconnected.
+	reasonCallerDisconnected = "caller_gone"
+	// reasonAllUnreachable is the refusal reason when recent connection attempts to all upstreams of
 	// a service failed.
-	reasonOutOfReach = "upstreams_out_of_reach"
+	reasonAllUnreachable = "upstreams_out_of_reach"
 	// reasonUnreachable is the failure reason of a request that never left this box.
 	reasonUnreachable = "upstream_unreachable"
 	// stepCheck is the error step of checkBeforeSend.
@@ -30,7 +30,7 @@
 // writeFailure writes the answer to a request that failed. Where the caller has a part of
 // another answer already, it aborts the connection.
 func (e *exchange) writeFailure(err error) {
-	if e.clientCtx.Err() != nil || e.status != 0 {
+	if e.callerCtx.Err() != nil || e.status != 0 {
 		// The caller has disconnected, or has received part of an answer, which must not look complete.
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/relay/gone_test.go
+++ b/internal/relay/gone_test.go
@@ -12,8 +12,8 @@
 	"github.com/linetiller/linetiller/internal/policy"
 )
 
-// callerGoneTimeout is how long after a caller's disconnect an upstream may still receive or run its request.
-const callerGoneTimeout = 500 * time.Millisecond
+// disconnectTimeout is how long after a caller's disconnect an upstream may still receive or run its request.
+const disconnectTimeout = 500 * time.Millisecond
 
 // TestNothingIsSentForACallerThatIsGone has callers disconnect at each point where a request
 // may wait: for a place, for a silent upstream, before a retry, and while a broken stream is
@@ -42,7 +42,7 @@
 				go func() { _, _ = r.readStream(x.request(ctx), nil) }()
 				time.Sleep(x.after)
 				cancel()
-				time.Sleep(callerGoneTimeout)
+				time.Sleep(disconnectTimeout)
 				synctest.Wait()
 				arrived := r.requestsArrived()
 				for n, e := range r.engines {
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// maxPermitRequests is the number of permits that may be denied to one request, at one upstream after
+	// maxPermitRefusals is the number of permits that may be denied to one request, at one upstream after
 	// another, before it avoids all rate-limited upstreams.
-	maxPermitRequests = 2
+	maxPermitRefusals = 2
 	// permitTimeout bounds the wait for the answer to a permit request while there may be other upstreams.
 	permitTimeout = 100 * time.Millisecond
 	// permitTolerance is how much later than the end of the wait a permit may still be taken.
@@ -61,7 +61,7 @@
 		}
 	case a.Limit != nil:
 		x.metrics.Count(metric.UpstreamNotices, "word", noticeLimit)
-		x.announceLimit(x.RecordLimit(ratelimit.Limit{ReportedAt: now, StartedAt: u.Spec.StartedAtMS, PerSecond: *a.Limit, Upstream: u.Name}, fromAnswer))
+		x.announceLimit(x.RecordLimit(ratelimit.Limit{ReportedAt: now, StartedAtMS: u.Spec.StartedAtMS, PerSecond: *a.Limit, Upstream: u.Name}, fromAnswer))
 	case a.Stamped || (a.NotRun && a.Status != http.StatusMisdirectedRequest):
 		x.announceLimit(x.logLimitChange(limits.Lift(u.Name, u.Spec.StartedAtMS, now), fromAnswer))
 	}
@@ -99,14 +99,14 @@
 // available now. If no upstream is left, it returns the time until which it is worth waiting for a
 // permit, or an error if none becomes available before the request would be late.
 //
-// Retries, and requests to which maxPermitRequests permits were denied, avoid all rate-limited
+// Retries, and requests to which maxPermitRefusals permits were denied, avoid all rate-limited
 // upstreams while there are others: permits are left to first attempts.
-func (e *exchange) avoidUnpermitted(l []*resource.Upstream, avoid map[string]bool, denied int, now time.Time) (map[string]bool, time.Time, error) {
+func (e *exchange) avoidUnpermitted(l []*resource.Upstream, avoid map[string]bool, refusals int, now time.Time) (map[string]bool, time.Time, error) {
 	x := e.relay
 	if x.limiter.Limits().Empty() && e.service.Spec.Engine != nil { // cold engines are limited by their owners
 		return avoid, time.Time{}, nil
 	}
-	if e.sends > 0 || denied >= maxPermitRequests {
+	if e.sends > 0 || refusals >= maxPermitRefusals {
 		avoid = x.avoidAllLimited(l, avoid, now)
 	}
 	refused, free := x.refusedPermits(l, avoid, now)
@@ -116,10 +116,10 @@
 	if free {
 		return avoidRefused(avoid, refused, time.Time{}), time.Time{}, nil
 	}
-	first := slices.MinFunc(slices.Collect(maps.Values(refused)), time.Time.Compare)
+	earliest := slices.MinFunc(slices.Collect(maps.Values(refused)), time.Time.Compare)
 	until := e.permitWaitDeadline(now)
-	if first.After(until) {
-		return nil, time.Time{}, fail.WithRetryAt(fail.New(fail.NotRun, e.servicePlace(), string(policy.ReasonLimited), "all upstreams have reached their request limits"), first)
+	if earliest.After(until) {
+		return nil, time.Time{}, fail.WithRetryAt(fail.New(fail.NotRun, e.serviceOrigin(), string(policy.ReasonLimited), "all upstreams have reached their request limits"), earliest)
 	}
 	return avoidRefused(avoid, refused, until), until, nil
 }
@@ -131,8 +131,8 @@
 	if d <= 0 || e.status != 0 {
 		return now
 	}
-	if left := e.request.Arrived.Add(d).Sub(now); left > 0 {
-		return now.Add(left / 2)
+	if remaining := e.request.Arrived.Add(d).Sub(now); remaining > 0 {
+		return now.Add(remaining / 2)
 	}
 	return now
 }
@@ -178,7 +178,7 @@
 // limiterUpstream describes an upstream to the limiter. Only plain services get a limit while they are
 // cold: for a cold engine its owner decides.
 func (x *Relay) limiterUpstream(u *resource.Upstream, now time.Time) ratelimit.Upstream {
-	v := ratelimit.Upstream{StartedAt: u.Spec.StartedAtMS, Name: u.Name}
+	v := ratelimit.Upstream{StartedAtMS: u.Spec.StartedAtMS, Name: u.Name}
 	if u.Engine() == nil && u.Cold(now) {
 		v.ColdRate = x.coldRate(u)
 	}
@@ -217,9 +217,9 @@
 	return all
 }
 
-// localAsk returns a limiter's Ask function that allocates permits in this process, for a box that is
+// localAllocator returns a limiter's Ask function that allocates permits in this process, for a box that is
 // the only one to send to the upstreams.
-func localAsk() func(context.Context, *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
+func localAllocator() func(context.Context, *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
 	a := ratelimit.NewAllocator()
 	return func(_ context.Context, q *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
 		g := a.Allocate(q, 1, 1, time.Now())
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -74,11 +74,11 @@
 		time.Sleep(1500 * time.Millisecond)
 		r.kill("u1")
 		g.Wait()
-		if broken := r.engines["u2"].LimitViolation(oneBox); broken != "" {
-			t.Error(broken)
+		if violation := r.engines["u2"].LimitViolation(oneBox); violation != "" {
+			t.Error(violation)
 		}
-		if got, least := complete.Load(), int32(2); got < least {
-			t.Errorf("complete streams: got %d, want at least %d", got, least)
+		if got, minComplete := complete.Load(), int32(2); got < minComplete {
+			t.Errorf("complete streams: got %d, want at least %d", got, minComplete)
 		}
 	})
 }
@@ -97,14 +97,14 @@
 		for _, v := range r.engines["s1"].Arrivals() {
 			failed[v.Request] = true
 		}
-		first := r.engines["s2"].Arrivals()
-		if got, least := len(failed), 1; got < least {
-			t.Fatalf("requests that failed at first: got %d, want at least %d", got, least)
+		arrivals := r.engines["s2"].Arrivals()
+		if got, minimum := len(failed), 1; got < minimum {
+			t.Fatalf("requests that failed at first: got %d, want at least %d", got, minimum)
 		}
-		if got, least := len(first), 10; got < least {
-			t.Errorf("requests at the limited upstream: got %d, want at least %d", got, least)
+		if got, minimum := len(arrivals), 10; got < minimum {
+			t.Errorf("requests at the limited upstream: got %d, want at least %d", got, minimum)
 		}
-		for _, v := range first[1:] { // the limit is not known before the first one
+		for _, v := range arrivals[1:] { // the limit is not known before the first one
 			if failed[v.Request] {
 				t.Errorf("%s: got a retry at the limited upstream, want none", v.Request)
 			}
--- a/internal/relay/migration.go
+++ b/internal/relay/migration.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// arrivalTurnTimeout bounds the wait for the turn at a target engine: a copy takes
+	// targetSlotTimeout bounds the wait for the turn at a target engine: a copy takes
 	// about 190 ms, and another engine may be free.
-	arrivalTurnTimeout = 40 * time.Millisecond
-	// maxArrivalTurns bounds the number of target engines whose turn a move waits for.
-	maxArrivalTurns = 3
+	targetSlotTimeout = 40 * time.Millisecond
+	// maxTargetSlotAttempts bounds the number of target engines whose turn a move waits for.
+	maxTargetSlotAttempts = 3
 	// copyTimeout bounds one copy: an engine leaves about two seconds after its notice.
 	copyTimeout = 3 * time.Second
 	// maxMoveAttempts bounds the number of target engines that a move tries.
@@ -82,7 +82,7 @@
 	m.mutex.Lock()
 	m.copy, m.to, m.stopped = c, to, true
 	m.mutex.Unlock()
-	first := time.Since(began)
+	firstCopyTime := time.Since(began)
 	if !x.acceptsWork(to) {
 		return s.withdrawCopy(ctx, m, c, avoid)
 	}
@@ -92,8 +92,8 @@
 	if c != nil {
 		m.copy = c
 	}
-	event.MoveCopied.Log(x.log, "request", e.request.ID, "from", m.from.Name, "to", to.Name, "first_ms", first.Milliseconds(),
-		"rest_ms", (time.Since(began) - first).Milliseconds(), "made", m.copy.Events, "error", errorText(err))
+	event.MoveCopied.Log(x.log, "request", e.request.ID, "from", m.from.Name, "to", to.Name, "first_ms", firstCopyTime.Milliseconds(),
+		"rest_ms", (time.Since(began) - firstCopyTime).Milliseconds(), "made", m.copy.Events, "error", errorText(err))
 	if err != nil && errorx.IsOfType(err, fail.NotFound) {
 		m.stopped = false // the generation had completed by itself
 	}
@@ -128,11 +128,11 @@
 	w := s.exchange.work()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	made := s.tokensDelivered()
-	w.Hint = max(0, w.Hint-made)
+	produced := s.tokensDelivered()
+	w.Hint = max(0, w.Hint-produced)
 	w.ID += reservationSuffix(s.reassignments)
-	w.MaxTokens = max(1, w.MaxTokens-made)
-	w.Prompt += made
+	w.MaxTokens = max(1, w.MaxTokens-produced)
+	w.Prompt += produced
 	return w
 }
 
@@ -146,10 +146,10 @@
 	w.Moved = true
 	now, l := time.Now(), s.exchange.upstreams()
 	avoid = x.avoidAllLimited(l, x.backoffs.Avoid(l, avoid, now), now)
-	place, cancel := context.WithTimeout(ctx, movePlacementTimeout)
+	placementCtx, cancel := context.WithTimeout(ctx, movePlacementTimeout)
 	defer cancel()
 	var to *resource.Upstream
-	if p, err := x.Place(place, w, avoid); err == nil {
+	if p, err := x.Place(placementCtx, w, avoid); err == nil {
 		to = p.Upstream
 	} else if to = x.ChooseLocally(w, avoid); to == nil {
 		return nil
@@ -174,7 +174,7 @@
 	s.mutex.Unlock()
 	avoid := map[string]bool{m.from.Name: true}
 	to := s.reserveMoveTarget(ctx, m, avoid) // in advance: the turn may have to be waited for
-	release, err := x.Turn(ctx, m.from, false, r)
+	release, err := x.AcquireMoveSlot(ctx, m.from, false, r)
 	if err != nil {
 		return err
 	}
@@ -184,9 +184,9 @@
 			m.releaseReservation(x)
 			to = s.reserveMoveTarget(ctx, m, avoid)
 		}
-		at, arrived := s.takeArrivalTurn(ctx, m, to, avoid, r)
+		at, releaseTarget := s.acquireTargetSlot(ctx, m, to, avoid, r)
 		err := s.copyTo(ctx, m, at, avoid)
-		arrived()
+		releaseTarget()
 		if err == nil || ctx.Err() != nil || try >= maxMoveAttempts || errorx.IsOfType(err, fail.NotFound) {
 			return err
 		}
@@ -199,7 +199,7 @@
 }
 
 // startMove starts a move in the background, unless one is under way or the stream is closed.
-func (s *stream) startMove(entryGone bool) {
+func (s *stream) startMove(entryRemoved bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.closed || s.move != nil {
@@ -208,9 +208,9 @@
 	m := &move{done: make(chan struct{}), from: s.assignment.upstream}
 	s.move = m
 	x := s.exchange.relay
-	event.UpstreamLeaving.Log(x.log, "request", s.exchange.request.ID, "upstream", m.from.Name, "entry_gone", entryGone, "events", s.events)
+	event.UpstreamLeaving.Log(x.log, "request", s.exchange.request.ID, "upstream", m.from.Name, "entry_gone", entryRemoved, "events", s.events)
 	x.workers.Go(func() {
-		ctx, cancel := context.WithCancel(s.exchange.clientCtx)
+		ctx, cancel := context.WithCancel(s.exchange.callerCtx)
 		defer cancel()
 		defer context.AfterFunc(x.ctx, cancel)()
 		go func() {
@@ -226,19 +226,19 @@
 	})
 }
 
-// takeArrivalTurn takes the turn at the target engine, or at another engine if the wait
-// takes longer than arrivalTurnTimeout. It returns the engine, or nil if none is left. If all
+// acquireTargetSlot takes the turn at the target engine, or at another engine if the wait
+// takes longer than targetSlotTimeout. It returns the engine, or nil if none is left. If all
 // attempts time out it returns an engine without a turn: the copy may then have to wait for
 // another one, which is better than waiting any longer here.
-func (s *stream) takeArrivalTurn(ctx context.Context, m *move, to *resource.Upstream, avoid map[string]bool, r *policy.Run) (at *resource.Upstream, release func()) {
+func (s *stream) acquireTargetSlot(ctx context.Context, m *move, to *resource.Upstream, avoid map[string]bool, r *policy.Run) (at *resource.Upstream, release func()) {
 	x := s.exchange.relay
 	busy := maps.Clone(avoid)
-	for range maxArrivalTurns {
+	for range maxTargetSlotAttempts {
 		if to == nil {
 			break
 		}
-		turn, cancel := context.WithTimeout(ctx, arrivalTurnTimeout)
-		release, err := x.Turn(turn, to, true, r)
+		slotCtx, cancel := context.WithTimeout(ctx, targetSlotTimeout)
+		release, err := x.AcquireMoveSlot(slotCtx, to, true, r)
 		cancel()
 		if err == nil {
 			return to, release
@@ -262,11 +262,11 @@
 	m.mutex.Lock()
 	m.copy, m.stopped = nil, false
 	m.mutex.Unlock()
-	place := fail.Origin{Peer: "upstream " + to.Name, Step: "copy"}
+	origin := fail.Origin{Peer: "upstream " + to.Name, Step: "copy"}
 	if err := x.Upstreams.Release(ctx, m.from, c.Handle); err != nil {
-		return fail.Wrap(fail.Unavailable, place, "copy_withdrawn", err)
+		return fail.Wrap(fail.Unavailable, origin, "copy_withdrawn", err)
 	}
-	return fail.New(fail.Unavailable, place, "copy_withdrawn", "the target engine no longer accepts new work")
+	return fail.New(fail.Unavailable, origin, "copy_withdrawn", "the target engine no longer accepts new work")
 }
 
 func errorText(err error) string {
@@ -278,6 +278,6 @@
 
 // reservationSuffix returns a suffix for the id of a generation that was moved or run again, so
 // that its reservation differs from the one at the engine before.
-func reservationSuffix(hops int) string {
-	return "+" + string(rune('1'+hops%9))
+func reservationSuffix(reassignments int) string {
+	return "+" + string(rune('1'+reassignments%9))
 }
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -185,9 +185,9 @@
 	const events = 100
 	withRig(t, 2, 0, func(t *testing.T, r *rig) {
 		migrate := r.relay.Upstreams.Migrate
-		r.relay.Upstreams.Migrate = func(ctx context.Context, from, to *resource.Upstream, id string, last bool) (*relay.Copy, error) {
-			if !last {
-				return migrate(ctx, from, to, id, last)
+		r.relay.Upstreams.Migrate = func(ctx context.Context, from, to *resource.Upstream, id string, stop bool) (*relay.Copy, error) {
+			if !stop {
+				return migrate(ctx, from, to, id, stop)
 			}
 			for r.engines[from.Name].Running() > 0 {
 				time.Sleep(time.Millisecond)
--- a/internal/relay/pace.go
+++ b/internal/relay/pace.go
@@ -15,9 +15,9 @@
 }
 
 const (
-	// expectedFirstToken is the assumed time to the first token: 0.5 s is the median at the
+	// expectedTimeToFirstToken is the assumed time to the first token: 0.5 s is the median at the
 	// users' sites.
-	expectedFirstToken = 500 * time.Millisecond
+	expectedTimeToFirstToken = 500 * time.Millisecond
 	// paceWeight is the weight of the latest stream in the moving average.
 	paceWeight = 0.1
 )
@@ -30,7 +30,7 @@
 	if t == 0 {
 		t = time.Duration(policy.DefaultStepSeconds * float64(time.Second))
 	}
-	return expectedFirstToken + time.Duration(tokens)*t
+	return expectedTimeToFirstToken + time.Duration(tokens)*t
 }
 
 // record adds a finished stream to the average; took is the time from its first token to its last.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -31,9 +31,9 @@
 // Relay forwards requests to upstreams. It is safe for concurrent use once its exported
 // fields are set. These are its dependencies on the rest of the box, which tests replace.
 type Relay struct {
-	// AnnounceCleared announces to the other boxes that a request which was suspected of crashes
+	// AnnounceClearance announces to the other boxes that a request which was suspected of crashes
 	// has completed.
-	AnnounceCleared func(p policy.Fingerprint)
+	AnnounceClearance func(p policy.Fingerprint)
 	// AnnounceCrashes announces crashes of upstreams, with their suspects, to the other boxes.
 	AnnounceCrashes func(l []policy.Crash)
 	// RefreshViews refreshes the box's views if its process was suspended since they were read.
@@ -49,8 +49,8 @@
 	HasOtherBoxes func() bool
 	// Place reserves a place for a generation at an engine that is not in avoid.
 	Place func(ctx context.Context, w *policy.Work, avoid map[string]bool) (*placement.Place, error)
-	// Turn waits for the turn to move a generation.
-	Turn TurnFunc
+	// AcquireMoveSlot waits for the turn to move a generation.
+	AcquireMoveSlot MoveSlotFunc
 	// Upstreams are the calls to engines and services.
 	Upstreams UpstreamCalls
 	// ViewAge returns the time since the view was last known to be current, 0 if it never was.
@@ -61,7 +61,7 @@
 	retryBudget    *budget.Budget
 	cancel         context.CancelFunc
 	ctx            context.Context // cancelled by Abort
-	frequent       *policy.FrequentRuns
+	frequentRuns   *policy.FrequentRuns
 	quarantine     *policy.Quarantine
 	health         *health.Tracker
 	lengths        *policy.Lengths
@@ -72,7 +72,7 @@
 	pace           pace
 	placeWait      *metrics.Histogram
 	backoffs       *health.Backoffs
-	served         *policy.CompletedRuns
+	completedRuns  *policy.CompletedRuns
 	stopBackground context.CancelFunc
 	tracker        *placement.Tracker
 	view           *resource.View
@@ -90,8 +90,8 @@
 type Option func(*Relay)
 
 const (
-	// forgetInterval is the interval at which expired health and rate-limit records are removed.
-	forgetInterval = 10 * time.Second
+	// evictionInterval is the interval at which expired health and rate-limit records are removed.
+	evictionInterval = 10 * time.Second
 	// streamLengthMargin is the factor applied to a stream's expected duration when a leaving box
 	// decides whether to accept it: callers' estimates are right only at the median, and a refused
 	// caller is served by another box a moment later. If the hall has no other box, a caller that
@@ -112,33 +112,33 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	background, stopBackground := context.WithCancel(ctx)
 	x := &Relay{
-		AnnounceCleared: func(policy.Fingerprint) {},
-		AnnounceCrashes: func([]policy.Crash) {},
-		RefreshViews:    func(context.Context) {},
-		AnnounceLimit:   func(*ratelimit.Change) {},
-		RecordLeaving:   func(u *resource.Upstream) { v.RecordLeaving(u.Name, u.Spec.StartedAtMS) },
-		HasOtherBoxes:   func() bool { return true },
-		ViewAge:         func() time.Duration { return 0 },
-		coldRate:        func(*resource.Upstream) float64 { return 0 },
-		background:      background, stopBackground: stopBackground,
+		AnnounceClearance: func(policy.Fingerprint) {},
+		AnnounceCrashes:   func([]policy.Crash) {},
+		RefreshViews:      func(context.Context) {},
+		AnnounceLimit:     func(*ratelimit.Change) {},
+		RecordLeaving:     func(u *resource.Upstream) { v.RecordLeaving(u.Name, u.Spec.StartedAtMS) },
+		HasOtherBoxes:     func() bool { return true },
+		ViewAge:           func() time.Duration { return 0 },
+		coldRate:          func(*resource.Upstream) float64 { return 0 },
+		background:        background, stopBackground: stopBackground,
 		retryBudget: budget.New(0.2, 0, 10*time.Second, func() int { return 1 }),
-		cancel:      cancel, ctx: ctx, frequent: policy.NewFrequentRuns(), quarantine: policy.NewQuarantine(), health: health.New(hall), lengths: l, limiter: ratelimit.NewLimiter(ratelimit.NewLimits()), log: log, meter: meter.New(m), metrics: m,
-		placeWait: m.Histogram(metric.PlaceWait), backoffs: health.NewBackoffs(v), served: policy.NewCompletedRuns(), streams: make(map[*stream]bool), tracker: t, view: v,
+		cancel:      cancel, ctx: ctx, frequentRuns: policy.NewFrequentRuns(), quarantine: policy.NewQuarantine(), health: health.New(hall), lengths: l, limiter: ratelimit.NewLimiter(ratelimit.NewLimits()), log: log, meter: meter.New(m), metrics: m,
+		placeWait: m.Histogram(metric.PlaceWait), backoffs: health.NewBackoffs(v), completedRuns: policy.NewCompletedRuns(), streams: make(map[*stream]bool), tracker: t, view: v,
 	}
-	x.limiter.RequestPermits = localAsk()
+	x.limiter.RequestPermits = localAllocator()
 	for _, o := range options {
 		o(x)
 	}
-	m.Gauge(metric.KeptRequests, func() float64 { return float64(x.frequent.Size()) })
+	m.Gauge(metric.KeptRequests, func() float64 { return float64(x.frequentRuns.Size()) })
 	m.Gauge(metric.LimitedUpstreams, func() float64 { return float64(x.limiter.Limits().Size(time.Now())) })
 	m.Gauge(metric.QuarantinedRequests, func() float64 { return float64(x.quarantine.Size(time.Now())) })
 	return x
 }
 
-// WithCold limits the requests to an upstream of a plain service while it is cold. rate returns the
+// WithColdRateLimits limits the requests to an upstream of a plain service while it is cold. rate returns the
 // requests a second that it may get from all boxes together, enforced by permits, or 0 for no limit.
 // localMax returns the requests a second that this box may send to it.
-func WithCold(rate func(u *resource.Upstream) float64, localMax func(u *resource.Upstream) int) Option {
+func WithColdRateLimits(rate func(u *resource.Upstream) float64, localMax func(u *resource.Upstream) int) Option {
 	return func(x *Relay) { x.coldRate, x.health.ColdRateLimit = rate, localMax }
 }
 
@@ -166,11 +166,11 @@
 	return x.Close()
 }
 
-// ClearServed clears suspects of crashes that completed at other boxes, according to the stored
+// ClearCompleted clears suspects of crashes that completed at other boxes, according to the stored
 // records of frequent requests, and announces that. The records outlive restarts of those boxes.
-func (x *Relay) ClearServed() {
+func (x *Relay) ClearCompleted() {
 	now := time.Now()
-	l := x.quarantine.ClearCompleted(func(p policy.Fingerprint) time.Time { return x.frequent.LastRunAt(p, now) })
+	l := x.quarantine.ClearCompleted(func(p policy.Fingerprint) time.Time { return x.frequentRuns.LastRunAt(p, now) })
 	if len(l) == 0 {
 		return
 	}
@@ -196,14 +196,14 @@
 // streams that are unlikely to complete before end, so that their callers can go to another
 // box before anything has run. It still accepts other requests, since the balancer may have
 // no other box for them.
-func (x *Relay) EndStreamsBy(end, left time.Time) {
+func (x *Relay) EndStreamsBy(streamsEnd, trafficEnd time.Time) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	x.streamsEndAt, x.trafficEndsAt = end, left
+	x.streamsEndAt, x.trafficEndsAt = streamsEnd, trafficEnd
 }
 
-// Frequent returns the records of frequent requests that completed at other boxes.
-func (x *Relay) Frequent() *policy.FrequentRuns { return x.frequent }
+// FrequentRuns returns the records of frequent requests that completed at other boxes.
+func (x *Relay) FrequentRuns() *policy.FrequentRuns { return x.frequentRuns }
 
 // HasConfiguration reports whether the relay has received a configuration.
 func (x *Relay) HasConfiguration() bool {
@@ -220,8 +220,8 @@
 // Quarantine returns this box's records of crashes and quarantined requests.
 func (x *Relay) Quarantine() *policy.Quarantine { return x.quarantine }
 
-// RecordCleared records that requests completed at the box from, which clears them of crashes.
-func (x *Relay) RecordCleared(l []policy.Fingerprint, from string) {
+// RecordClearances records that requests completed at the box from, which clears them of crashes.
+func (x *Relay) RecordClearances(l []policy.Fingerprint, from string) {
 	for _, p := range l {
 		x.clearCrashes(p, from)
 	}
@@ -238,7 +238,7 @@
 	if anyNew {
 		x.markClearancesUsed(l)
 		x.scheduleClearance(l)
-		x.runAfter(rand.N(clearanceDelay), x.ClearServed)
+		x.runAfter(rand.N(clearanceDelay), x.ClearCompleted)
 	}
 	return anyNew
 }
@@ -246,7 +246,7 @@
 // Run starts moves away from upstreams that leave and removes expired records, until the
 // context is cancelled.
 func (x *Relay) Run(ctx context.Context) {
-	t := time.NewTicker(forgetInterval)
+	t := time.NewTicker(evictionInterval)
 	defer t.Stop()
 	for {
 		c := x.view.Changed()
@@ -265,7 +265,7 @@
 // Serve relays q and writes its answer to w. The context is to be cancelled when the caller
 // disconnects. Serve panics with http.ErrAbortHandler if the answer could not be completed.
 func (x *Relay) Serve(ctx context.Context, w http.ResponseWriter, q *Request) {
-	e := &exchange{clientCtx: ctx, relay: x, request: q, writer: w}
+	e := &exchange{callerCtx: ctx, relay: x, request: q, writer: w}
 	var err error
 	if err = x.beginRequest(); err == nil {
 		err = e.run()
@@ -277,8 +277,8 @@
 	}
 }
 
-// Served returns this box's records of requests that completed.
-func (x *Relay) Served() *policy.CompletedRuns { return x.served }
+// CompletedRuns returns this box's records of requests that completed.
+func (x *Relay) CompletedRuns() *policy.CompletedRuns { return x.completedRuns }
 
 // SetRetryBudget changes the parameters of the retry budget; see WithRetryBudget.
 func (x *Relay) SetRetryBudget(ratio float64, extra float64, window time.Duration) {
@@ -308,20 +308,20 @@
 // unlikely to complete before.
 func (x *Relay) checkStreamFits(tokens int, now time.Time) error {
 	x.mutex.Lock()
-	end, left := x.streamsEndAt, x.trafficEndsAt
+	streamsEnd, trafficEnd := x.streamsEndAt, x.trafficEndsAt
 	x.mutex.Unlock()
-	if end.IsZero() {
+	if streamsEnd.IsZero() {
 		return nil
 	}
-	margin, again := time.Duration(streamLengthMargin), now
+	margin, retryAt := time.Duration(streamLengthMargin), now
 	if !x.HasOtherBoxes() {
 		margin = soleBoxLengthMargin
-		if left.After(now) {
-			again = left
+		if trafficEnd.After(now) {
+			retryAt = trafficEnd
 		}
 	}
-	if now.Add(margin * x.pace.expectedDuration(tokens)).After(end) {
-		return leavingError(again)
+	if now.Add(margin * x.pace.expectedDuration(tokens)).After(streamsEnd) {
+		return leavingError(retryAt)
 	}
 	return nil
 }
@@ -336,11 +336,11 @@
 
 // expectedRemaining returns the expected number of tokens still to come after made tokens:
 // from the caller's hint until that is reached, then from the lengths learned.
-func (x *Relay) expectedRemaining(w *policy.Work, made int) int {
-	if made < w.Hint {
-		return w.Hint - made
+func (x *Relay) expectedRemaining(w *policy.Work, produced int) int {
+	if produced < w.Hint {
+		return w.Hint - produced
 	}
-	return int(x.lengths.Remaining(policy.KeyOf(w), made, w.MaxTokens))
+	return int(x.lengths.Remaining(policy.KeyOf(w), produced, w.MaxTokens))
 }
 
 // recordOutcome records in the metrics and the log how a request ended.
@@ -364,7 +364,7 @@
 	}
 	l = append(l, "reason", fail.Reason(err), "step", fail.Step(err), "peer", fail.Peer(err))
 	switch {
-	case e.clientCtx.Err() != nil:
+	case e.callerCtx.Err() != nil:
 		x.metrics.Count(metric.Requests, "outcome", "caller_gone")
 		event.CallerDisconnected.Log(x.log, l...)
 	case errorx.IsOfType(err, fail.Interrupted), errorx.IsOfType(err, fail.Unknown):
@@ -401,8 +401,8 @@
 
 // leavingError returns the error for a request that is refused because the box is leaving. Its
 // caller may retry at the time again, to reach another box.
-func leavingError(again time.Time) error {
-	return fail.WithRetryAt(fail.New(fail.NotRun, clientPlace("accept"), "box_leaving", "this box is leaving"), again)
+func leavingError(retryAt time.Time) error {
+	return fail.WithRetryAt(fail.New(fail.NotRun, clientOrigin("accept"), "box_leaving", "this box is leaving"), retryAt)
 }
 
 // pickService picks one of a route's services at random, according to their weights.
@@ -423,6 +423,6 @@
 	return s.Services[0].Name
 }
 
-func clientPlace(step string) fail.Origin {
+func clientOrigin(step string) fail.Origin {
 	return fail.Origin{Peer: "client", Step: step}
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -214,7 +214,7 @@
 				tried++
 			}
 		}
-		if tried > 3*(outOfReachAttempts+5) {
+		if tried > 3*(unreachableThreshold+5) {
 			t.Errorf("requests sent in 5 s: got %d, want at most one a second to each and a few at first", tried)
 		}
 		r.link.SetDown("s2", false)
@@ -231,8 +231,8 @@
 	})
 }
 
-// outOfReachAttempts is the number of failed connections after which an upstream counts as out of reach.
-const outOfReachAttempts = 5
+// unreachableThreshold is the number of failed connections after which an upstream counts as out of reach.
+const unreachableThreshold = 5
 
 // TestBudgetBoundsTries sends many requests that fail at every upstream, and checks that the
 // number of retries stays within the retry budget.
@@ -250,8 +250,8 @@
 		for _, e := range r.engines {
 			arrived += len(e.Requests())
 		}
-		if got, most := arrived-requests, int(ratio*requests)+extra/boxes; got > most || got == 0 {
-			t.Errorf("retries: got %d, want 1 to %d", got, most)
+		if got, maxRetries := arrived-requests, int(ratio*requests)+extra/boxes; got > maxRetries || got == 0 {
+			t.Errorf("retries: got %d, want 1 to %d", got, maxRetries)
 		}
 	}, relay.WithRetryBudget(ratio, extra, 10*time.Second, func() int { return boxes }))
 }
--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -95,8 +95,8 @@
 // of a service have asked for back-off, and that Retry-After is the end of the first back-off.
 func TestAllUpstreamsRest(t *testing.T) {
 	withRig(t, 2, 2, func(t *testing.T, r *rig) {
-		for n, rest := range map[string]time.Duration{"s1": 3 * time.Second, "s2": 5 * time.Second, "u1": 3 * time.Second, "u2": 5 * time.Second} {
-			r.engines[n].SetFaults(routed.Faults{RefuseStatus: http.StatusServiceUnavailable, RetryAfter: rest})
+		for n, backoff := range map[string]time.Duration{"s1": 3 * time.Second, "s2": 5 * time.Second, "u1": 3 * time.Second, "u2": 5 * time.Second} {
+			r.engines[n].SetFaults(routed.Faults{RefuseStatus: http.StatusServiceUnavailable, RetryAfter: backoff})
 		}
 		send := func(id string) map[string]*response {
 			once, _, err := r.do(request(t.Context(), http.MethodPost, "/once/x", "once-"+id, ""))
@@ -113,10 +113,10 @@
 		began := time.Now()
 		for i := range 20 {
 			for kind, w := range send(strconv.Itoa(i)) {
-				left := 3*time.Second - time.Since(began)
-				again, err := strconv.ParseFloat(w.Header.Get("Retry-After"), 64)
-				if w.StatusCode != http.StatusServiceUnavailable || err != nil || again < left.Seconds()-0.1 || again > left.Seconds()+0.1 {
-					t.Errorf("%s %d: got %d, Retry-After %v s, %v; want 503 and %v", kind, i, w.StatusCode, again, err, left)
+				remaining := 3*time.Second - time.Since(began)
+				retryAfter, err := strconv.ParseFloat(w.Header.Get("Retry-After"), 64)
+				if w.StatusCode != http.StatusServiceUnavailable || err != nil || retryAfter < remaining.Seconds()-0.1 || retryAfter > remaining.Seconds()+0.1 {
+					t.Errorf("%s %d: got %d, Retry-After %v s, %v; want 503 and %v", kind, i, w.StatusCode, retryAfter, err, remaining)
 				}
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -178,8 +178,8 @@
 			t.Errorf("served: got %d, want all %d", served, requests)
 		}
 		got := len(r.engines["s1"].Arrivals())
-		if most := requests / 20; got == 0 || got > most {
-			t.Errorf("requests at the upstream: got %d, want some and at most %d", got, most)
+		if maxArrivals := requests / 20; got == 0 || got > maxArrivals {
+			t.Errorf("requests at the upstream: got %d, want some and at most %d", got, maxArrivals)
 		}
 		r.engines["s1"].SetFaults(routed.Faults{})
 		time.Sleep(10 * time.Second)
@@ -275,11 +275,11 @@
 			_, _, _ = r.do(planRequest(t.Context(), fmt.Sprint("bad-plan-", i), 4))
 			_, _, _ = r.do(request(t.Context(), http.MethodPost, "/once/x", fmt.Sprint("bad-call-", i), ""))
 		}
-		if got, least := len(r.engines["u1"].Arrivals()), 200; got < least {
-			t.Errorf("streams at the engine: got %d, want %d", got, least)
+		if got, minimum := len(r.engines["u1"].Arrivals()), 200; got < minimum {
+			t.Errorf("streams at the engine: got %d, want %d", got, minimum)
 		}
-		if got, least := len(r.engines["s1"].Arrivals()), 50; got < least {
-			t.Errorf("calls at the service: got %d, want %d or more", got, least)
+		if got, minimum := len(r.engines["s1"].Arrivals()), 50; got < minimum {
+			t.Errorf("calls at the service: got %d, want %d or more", got, minimum)
 		}
 	})
 }
--- a/internal/relay/resume.go
+++ b/internal/relay/resume.go
@@ -34,15 +34,15 @@
 // the run cannot continue anywhere else, it does so for evacuatedResumeGrace after the engine's
 // hall was evacuated, and for one run during each back-off that the engine asked for.
 func (e *exchange) resumeAt(ctx context.Context, u *resource.Upstream, r *Resume) (*Answer, error) {
-	v, place := e.relay.view.Upstream(u.Name), fail.Origin{Peer: "upstream " + u.Name, Step: "resume"}
+	v, origin := e.relay.view.Upstream(u.Name), fail.Origin{Peer: "upstream " + u.Name, Step: "resume"}
 	if v != nil && v.Evacuated() && time.Since(v.EvacuatedAt) > evacuatedResumeGrace {
-		return nil, fail.New(fail.NotRun, place, string(policy.ReasonEvacuated), "data hall %q is evacuated", v.Spec.Hall)
+		return nil, fail.New(fail.NotRun, origin, string(policy.ReasonEvacuated), "data hall %q is evacuated", v.Spec.Hall)
 	}
 	if !e.relay.backoffs.TakeProbe(u.Name, time.Now()) {
-		return nil, fail.New(fail.NotRun, place, string(policy.ReasonResting), "the upstream asked for back-off")
+		return nil, fail.New(fail.NotRun, origin, string(policy.ReasonResting), "the upstream asked for back-off")
 	}
 	if !e.takeResumePermit(ctx, u) {
-		return nil, fail.New(fail.NotRun, place, string(policy.ReasonLimited), "the upstream has reached its rate limit")
+		return nil, fail.New(fail.NotRun, origin, string(policy.ReasonLimited), "the upstream has reached its rate limit")
 	}
 	a, _, err := e.send(ctx, u, r)
 	return a, err
@@ -82,10 +82,10 @@
 	x := s.exchange.relay
 	s.mutex.Lock()
 	pause := time.Since(s.lastEventAt)
-	kept := u == m.to
+	atTarget := u == m.to
 	s.move = nil
 	s.mutex.Unlock()
-	if kept {
+	if atTarget {
 		m.running.Produced.Store(0)
 		s.reassign(&assignment{running: m.running, upstream: u})
 	} else {
@@ -113,7 +113,7 @@
 		cause = err
 	}
 	if e.status != 0 && !errorx.IsOfType(cause, fail.Interrupted) {
-		return nil, fail.Wrap(fail.Interrupted, s.upstreamPlace("resume"), fail.Reason(cause), cause)
+		return nil, fail.Wrap(fail.Interrupted, s.upstreamOrigin("resume"), fail.Reason(cause), cause)
 	}
 	return nil, cause
 }
@@ -136,7 +136,7 @@
 	}
 	if a.Status != http.StatusOK {
 		_ = a.Body.Close()
-		return nil, fail.New(fail.Unknown, s.upstreamPlace("resume"), "upstream_failed", "status %d", a.Status)
+		return nil, fail.New(fail.Unknown, s.upstreamOrigin("resume"), "upstream_failed", "status %d", a.Status)
 	}
 	e.relay.startMoves() // the engine may have announced its shutdown since it was chosen
 	return a, nil
@@ -160,9 +160,9 @@
 // copied it to another engine.
 func (s *stream) resumeFromMove(ctx context.Context, cause error) (*Answer, error) {
 	e := s.exchange
-	lost := fail.Wrap(fail.Interrupted, s.upstreamPlace("read stream"), "stream_broken", cause)
+	lost := fail.Wrap(fail.Interrupted, s.upstreamOrigin("read stream"), "stream_broken", cause)
 	if e.status == 0 {
-		lost = fail.Wrap(fail.Unknown, s.upstreamPlace("read stream"), "stream_broken", cause)
+		lost = fail.Wrap(fail.Unknown, s.upstreamOrigin("read stream"), "stream_broken", cause)
 	}
 	s.mutex.Lock()
 	m := s.move
@@ -178,7 +178,7 @@
 	if err != nil {
 		e.relay.metrics.Count(metric.Moves, "result", "resume_failed")
 		event.MoveFailed.Log(e.relay.log, "request", e.request.ID, "from", m.from.Name, "to", m.to.Name, "reason", "resume_failed", "error", err.Error())
-		return nil, fail.Wrap(fail.Interrupted, s.upstreamPlace("resume"), "move_lost", err)
+		return nil, fail.Wrap(fail.Interrupted, s.upstreamOrigin("resume"), "move_lost", err)
 	}
 	return a, nil
 }
@@ -202,7 +202,7 @@
 	}
 	if a.Status != http.StatusOK {
 		_ = a.Body.Close()
-		return nil, fail.New(fail.Unknown, s.upstreamPlace("resume"), "upstream_failed", "status %d", a.Status)
+		return nil, fail.New(fail.Unknown, s.upstreamOrigin("resume"), "upstream_failed", "status %d", a.Status)
 	}
 	s.recordMoved(m, u)
 	return a, nil
--- a/internal/relay/resume_test.go
+++ b/internal/relay/resume_test.go
@@ -185,17 +185,17 @@
 			r.engines[n].SetFaults(routed.Faults{CutAfter: 10})
 		}
 		r.engines["u3"].SetFaults(routed.Faults{RefuseStatus: http.StatusServiceUnavailable})
-		asked := make(map[string]int)
+		placements := make(map[string]int)
 		r.relay.Place = func(ctx context.Context, w *policy.Work, avoid map[string]bool) (*placement.Place, error) {
-			asked[w.ID]++
+			placements[w.ID]++
 			return r.place(ctx, w, avoid)
 		}
 		r.put(resource.SourceConfiguration, resource.KindRoute, "checks", `{"host":"`+rigHost+`","pathPrefix":"/checks/","attempts":4,"repeat":"resume","stream":true,"services":[{"name":"llm","weight":1}],"timeoutMilliseconds":39000}`, false)
 		if s, err := r.readStream(checkRequest(t.Context(), 200), nil); err != nil || !s.complete || s.events != 50 {
 			t.Errorf("got %+v %v, want 50 events and an end", s, err)
 		}
-		if len(asked) != 4 {
-			t.Errorf("ids under which places were requested: got %v, want four", asked)
+		if len(placements) != 4 {
+			t.Errorf("ids under which places were requested: got %v, want four", placements)
 		}
 	})
 }
--- a/internal/relay/rig_test.go
+++ b/internal/relay/rig_test.go
@@ -50,7 +50,7 @@
 	relay        *relay.Relay
 	revision     int64
 	t            *testing.T
-	turns        ownership.MoveTurns
+	moveSlots    ownership.MoveTurns
 	view         *resource.View
 }
 
@@ -68,8 +68,8 @@
 		r.relay.RefreshViews = func(context.Context) { r.refreshViews() }
 		r.relay.Place = r.place
 		r.relay.ChooseLocally = r.firstFree
-		r.relay.Turn = func(ctx context.Context, u *resource.Upstream, arriving bool, x *policy.Run) (func(), error) {
-			return r.turns.Acquire(ctx, u.Name, arriving, x)
+		r.relay.AcquireMoveSlot = func(ctx context.Context, u *resource.Upstream, incoming bool, x *policy.Run) (func(), error) {
+			return r.moveSlots.Acquire(ctx, u.Name, incoming, x)
 		}
 		r.link.Handle("box", platform.NewIngress(r.relay, 1<<20))
 		r.declareRoutes()
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -44,7 +44,7 @@
 		rejectsAll := impliesNotRun(a.Status) && a.Backoff == 0 // and not because of a fault in the request
 		x.health.RecordAnswer(u.Name, rejectsAll, a.Load, now)
 		if rejectsAll && u.Engine() != nil {
-			x.backoffs.RecordRefusal(u.Name, now) // its owner would take it for idle
+			x.backoffs.RecordRejection(u.Name, now) // its owner would take it for idle
 		}
 		event.UpstreamRefused.Log(x.log, "request", e.request.ID, "upstream", u.Name, "status", a.Status, "rest_ms", a.Backoff.Milliseconds())
 		return fail.WithRetryAt(fail.New(fail.NotRun, p, "upstream_refused", "status %d, request not run", a.Status), e.retryAt(now))
@@ -94,7 +94,7 @@
 // upstream may accept the request, otherwise when the first back-off ends.
 func (e *exchange) retryAt(now time.Time) time.Time {
 	t := now.Add(refusedRetryDelay)
-	if at := fail.RetryAt(e.relay.backoffs.AllBackingOffError(e.upstreams(), e.servicePlace(), now)); at.After(t) {
+	if at := fail.RetryAt(e.relay.backoffs.AllBackingOffError(e.upstreams(), e.serviceOrigin(), now)); at.After(t) {
 		return at
 	}
 	return t
@@ -123,13 +123,13 @@
 	if err != nil {
 		e.mayHaveRun = true
 		e.possibleRuns++
-		if e.clientCtx.Err() == nil { // otherwise the error says nothing about the upstream
+		if e.callerCtx.Err() == nil { // otherwise the error says nothing about the upstream
 			x.health.RecordAnswer(u.Name, true, nil, now)
 		}
 		if ctx.Err() == nil {
 			e.checkCrash(u, 0)
 		}
-		e.checkCrashAfterCallerLeft(u)
+		e.checkCrashAfterDisconnect(u)
 		event.UpstreamFailed.Log(x.log, "request", e.request.ID, "upstream", u.Name, "reason", fail.Reason(err), "error", err.Error())
 		return nil, true, err
 	}
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -66,23 +66,23 @@
 // alreadyDelivered reports whether the caller has an event already: an engine that resumes a run which
 // had produced all its events sends the last one again.
 func (s *stream) alreadyDelivered(id string) bool {
-	last, counted := eventNumber(s.exchange.lastEventID)
+	last, numbered := eventNumber(s.exchange.lastEventID)
 	n, ok := eventNumber(id)
-	return counted && ok && n <= last
+	return numbered && ok && n <= last
 }
 
 // checkSequence returns an error if an event's id does not follow that of the last event, or is
 // not a number although that of the last event is. Ids that are not numbers are not checked.
 func (s *stream) checkSequence(id string) error {
-	last, counted := eventNumber(s.exchange.lastEventID)
-	if !counted {
+	last, numbered := eventNumber(s.exchange.lastEventID)
+	if !numbered {
 		return nil
 	}
 	if n, ok := eventNumber(id); ok && n == last+1 {
 		return nil
 	}
 	event.UpstreamMismatch.Log(s.exchange.relay.log, "request", s.exchange.request.ID, "upstream", s.upstream().Name, "event_id", id, "last_id", last)
-	return fail.New(fail.Interrupted, s.upstreamPlace("read stream"), "stream_gap", "event id %q does not follow %d", id, last)
+	return fail.New(fail.Interrupted, s.upstreamOrigin("read stream"), "stream_gap", "event id %q does not follow %d", id, last)
 }
 
 // close ends the stream and releases what it holds.
@@ -108,9 +108,9 @@
 func (s *stream) currentRun() *policy.Run {
 	e := s.exchange
 	w := e.work()
-	made := s.tokensDelivered()
+	produced := s.tokensDelivered()
 	return &policy.Run{
-		Deadline: w.Deadline, ID: w.ID, Kind: w.Kind, Left: e.relay.expectedRemaining(w, made), Model: w.Model, Priority: w.Priority, Tokens: w.Prompt + made,
+		Deadline: w.Deadline, ID: w.ID, Kind: w.Kind, Left: e.relay.expectedRemaining(w, produced), Model: w.Model, Priority: w.Priority, Tokens: w.Prompt + produced,
 	}
 }
 
@@ -137,15 +137,15 @@
 // forward forwards the events of one engine's answer to the caller. A nil error means that
 // the stream is complete.
 func (s *stream) forward(ctx context.Context, a *Answer) error {
-	hangUp := func() { _ = a.Body.Close() }
-	defer context.AfterFunc(ctx, hangUp)()
-	silence := time.AfterFunc(s.eventTimeout(), hangUp)
-	defer silence.Stop()
+	closeBody := func() { _ = a.Body.Close() }
+	defer context.AfterFunc(ctx, closeBody)()
+	timer := time.AfterFunc(s.eventTimeout(), closeBody)
+	defer timer.Stop()
 	x := sse.NewSplitter(a.Body)
 	for {
-		silence.Reset(s.eventTimeout())
+		timer.Reset(s.eventTimeout())
 		b, id, err := x.Next()
-		silence.Stop()
+		timer.Stop()
 		if errors.Is(err, io.EOF) && s.isComplete(ctx, a) {
 			return nil
 		}
@@ -159,7 +159,7 @@
 			return err
 		}
 		if err := s.writeEvent(a, b); err != nil {
-			return fail.Wrap(fail.Interrupted, clientPlace("deliver"), reasonCallerGone, err)
+			return fail.Wrap(fail.Interrupted, clientOrigin("deliver"), reasonCallerDisconnected, err)
 		}
 		s.recordEvent(string(id))
 	}
@@ -229,15 +229,15 @@
 		_ = a.Body.Close()
 		if err == nil {
 			s.finished = true
-			s.exchange.recordServed()
+			s.exchange.recordCompleted()
 			s.writeHeader(a) // not written yet if the caller had all events before
 			return false, nil
 		}
-		if ctx.Err() != nil || fail.Reason(err) == reasonCallerGone {
+		if ctx.Err() != nil || fail.Reason(err) == reasonCallerDisconnected {
 			if s.eventsDelivered() == 0 {
-				s.exchange.checkCrashAfterCallerLeft(s.upstream())
+				s.exchange.checkCrashAfterDisconnect(s.upstream())
 			}
-			return false, fail.Wrap(fail.Interrupted, s.upstreamPlace("read stream"), reasonCallerGone, err)
+			return false, fail.Wrap(fail.Interrupted, s.upstreamOrigin("read stream"), reasonCallerDisconnected, err)
 		}
 		s.exchange.checkCrash(s.upstream(), s.position())
 		if a, err = s.failOver(ctx, err); err != nil {
@@ -266,7 +266,7 @@
 	return s.assignment.upstream
 }
 
-func (s *stream) upstreamPlace(step string) fail.Origin {
+func (s *stream) upstreamOrigin(step string) fail.Origin {
 	return fail.Origin{Peer: "upstream " + s.upstream().Name, Step: step}
 }
 
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -14,7 +14,7 @@
 // closed: nothing would ever release its copy.
 func TestNoMoveStartsOnceAStreamIsClosed(t *testing.T) {
 	x := New(resource.NewView(), nil, policy.NewLengths(), "a", metric.NewSet(), slog.New(slog.DiscardHandler))
-	e := &exchange{clientCtx: t.Context(), relay: x, request: new(Request), route: new(resource.Route), writer: httptest.NewRecorder()}
+	e := &exchange{callerCtx: t.Context(), relay: x, request: new(Request), route: new(resource.Route), writer: httptest.NewRecorder()}
 	s := newStream(e, &assignment{upstream: &resource.Upstream{Name: "u1"}})
 	s.close()
 	s.startMove(false)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -56,12 +56,12 @@
 	// with other senders.
 	Backoffs *health.Backoffs
 
-	keys    *requestkey.Keys
-	metrics *metric.Set
-	mutex   sync.Mutex     // guards active and retries
-	active  map[string]int // by upstream: calls in progress
-	retries *policy.RetryBudget
-	view    *resource.View
+	keys       *requestkey.Keys
+	metrics    *metric.Set
+	mutex      sync.Mutex     // guards active and retries
+	inProgress map[string]int // by upstream: calls in progress
+	retries    *policy.RetryBudget
+	view       *resource.View
 }
 
 const (
@@ -77,7 +77,7 @@
 
 // NewRouter returns a router for the services in v.
 func NewRouter(v *resource.View, k *requestkey.Keys, m *metric.Set) *Router {
-	return &Router{active: make(map[string]int), keys: k, metrics: m, Backoffs: health.NewBackoffs(v), retries: policy.NewRetryBudget(), view: v}
+	return &Router{inProgress: make(map[string]int), keys: k, metrics: m, Backoffs: health.NewBackoffs(v), retries: policy.NewRetryBudget(), view: v}
 }
 
 // Call sends c to an upstream of its service and returns the answer, within the deadline of c.
@@ -143,18 +143,18 @@
 // callRepeatable runs a call that may be repeated, with a different upstream for each try. Retries are
 // limited by maxTries and by the retry budget.
 func (r *Router) callRepeatable(ctx context.Context, c *Call, u []*resource.Upstream) (*Answer, error) {
-	var failed error
+	var lastErr error
 	avoid := make(map[string]bool)
 	for try := 1; ; try++ {
 		x := r.pick(u, avoid)
 		if x == nil {
-			return nil, cmp.Or(failed, r.noUpstreamError(c, u))
+			return nil, cmp.Or(lastErr, r.noUpstreamError(c, u))
 		}
 		a, err := r.send(ctx, c, x)
 		if err == nil {
 			return a, nil
 		}
-		failed = err
+		lastErr = err
 		avoid[x.Name] = true
 		if try >= maxTries || len(avoid) == len(u) || ctx.Err() != nil || !r.takeRetry() {
 			return nil, err
@@ -187,7 +187,7 @@
 		if avoid[x.Name] {
 			continue
 		}
-		if best == nil || r.active[x.Name] < r.active[best.Name] {
+		if best == nil || r.inProgress[x.Name] < r.inProgress[best.Name] {
 			best = x
 		}
 	}
@@ -213,12 +213,12 @@
 // error.
 func (r *Router) send(ctx context.Context, c *Call, u *resource.Upstream) (*Answer, error) {
 	r.mutex.Lock()
-	r.active[u.Name]++
+	r.inProgress[u.Name]++
 	r.mutex.Unlock()
 	defer func() {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
-		r.active[u.Name]--
+		r.inProgress[u.Name]--
 	}()
 	p := fail.Origin{Peer: "upstream " + u.Name, Step: "call"}
 	q, err := http.NewRequestWithContext(ctx, c.Method, u.Spec.Address+c.Path, bytes.NewReader(c.Body))
@@ -241,8 +241,8 @@
 	if err != nil {
 		return nil, fail.Wrap(fail.Unknown, p, "upstream_lost", err)
 	}
-	if rest := upstream.RetryAfter(w.StatusCode, w.Header); rest > 0 {
-		r.Backoffs.RecordBackoff(u, time.Now().Add(rest))
+	if backoff := upstream.RetryAfter(w.StatusCode, w.Header); backoff > 0 {
+		r.Backoffs.RecordBackoff(u, time.Now().Add(backoff))
 	}
 	return &Answer{Body: b, ContentType: w.Header.Get("Content-Type"), Status: w.StatusCode}, nil
 }
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -59,8 +59,8 @@
 		upstreams[1].SetRetryAfter(3 * time.Second)
 		_, _ = r.get(t.Context())
 		_, err := r.get(t.Context())
-		if got, most := time.Until(fail.RetryAt(err)), time.Second; fail.Reason(err) != "resting" || got <= 0 || got > most {
-			t.Errorf("both backing off: got %v, retry in %s; want reason resting, retry within %s", err, got, most)
+		if got, maxDelay := time.Until(fail.RetryAt(err)), time.Second; fail.Reason(err) != "resting" || got <= 0 || got > maxDelay {
+			t.Errorf("both backing off: got %v, retry in %s; want reason resting, retry within %s", err, got, maxDelay)
 		}
 		upstreams[0].SetRetryAfter(0)
 		time.Sleep(2 * time.Second)
--- a/limits.go
+++ b/limits.go
@@ -72,7 +72,7 @@
 	if !q.Limit.ReportedAt.IsZero() {
 		b.relay.RecordLimit(q.Limit, from)
 	}
-	l := b.limits.limiter.Limits().Get(q.Limit.Upstream, q.Limit.StartedAt, now)
+	l := b.limits.limiter.Limits().Get(q.Limit.Upstream, q.Limit.StartedAtMS, now)
 	switch {
 	case l != nil:
 		q.Limit = *l
--- a/recorder.go
+++ b/recorder.go
@@ -63,7 +63,7 @@
 
 // addRuns records completed runs that were reported by a box of the hall.
 func (b *Box) addRuns(l []policy.CompletedRun) {
-	b.relay.Frequent().Add(l, time.Now())
+	b.relay.FrequentRuns().Add(l, time.Now())
 	b.recorder.markRunsChanged()
 }
 
@@ -100,14 +100,14 @@
 			b.mergeQuarantinedRow(r, hall)
 		}
 	}
-	event.KeptRequestsRead.Log(b.log, "rows", len(c.Rows), "requests", b.relay.Frequent().Size())
-	b.relay.ClearServed()
+	event.KeptRequestsRead.Log(b.log, "rows", len(c.Rows), "requests", b.relay.FrequentRuns().Size())
+	b.relay.ClearCompleted()
 }
 
 // reportRuns reports this box's completed runs to the recorders of its hall. If a call fails, the
 // runs are reported again, unless this box is a recorder itself.
 func (b *Box) reportRuns(ctx context.Context, recorders []string) {
-	l := b.relay.Served().TakeReport(maxReportedRuns)
+	l := b.relay.CompletedRuns().TakeReport(maxReportedRuns)
 	if len(l) == 0 {
 		return
 	}
@@ -125,7 +125,7 @@
 		})
 	}
 	if g.Wait() != nil && !slices.Contains(recorders, b.settings.Box) {
-		b.relay.Served().RestoreReport(l)
+		b.relay.CompletedRuns().RestoreReport(l)
 	}
 }
 
--- a/runsrow.go
+++ b/runsrow.go
@@ -42,7 +42,7 @@
 func (b *Box) mergeRunsRow(r *table.Row, hall string) {
 	k := b.recorder
 	l := k.decodeRuns(r.Value)
-	b.relay.Frequent().Merge(l, time.Now())
+	b.relay.FrequentRuns().Merge(l, time.Now())
 	if hall == b.settings.Hall {
 		k.setRunsWritten(r.Revision, l)
 	}
@@ -51,7 +51,7 @@
 // writeRuns writes the row of completed requests if it is due.
 func (b *Box) writeRuns(ctx context.Context) {
 	k := b.recorder
-	l, revision := k.runsDue(b.relay.Frequent(), b.stopping.Load(), time.Now())
+	l, revision := k.runsDue(b.relay.FrequentRuns(), b.stopping.Load(), time.Now())
 	if len(l) == 0 {
 		return
 	}
