--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -84,7 +84,7 @@
 	stallTimeout          time.Duration
 	tracker               *placement.Tracker
 	view                  *resource.View
-	recordings            sync.WaitGroup // outcomes being recorded
+	recordings            sync.WaitGroup // outcomes being recorded in the background
 	requests              sync.WaitGroup // requests in progress
 }
 
@@ -154,7 +154,7 @@
 }
 
 // Abort cancels the requests in progress and waits for them to end. Outcomes that are not recorded by
-// then are not recorded.
+// then are lost.
 func (d *Deliverer) Abort() error {
 	d.mutex.Lock()
 	d.closing = true
@@ -180,7 +180,7 @@
 }
 
 // Generate handles q and returns when it has ended. The type of the error, such as fail.NotRun,
-// fail.Interrupted or fail.Unknown, tells the client whether the request ran.
+// fail.Interrupted or fail.Unknown, shows whether the request ran.
 func (d *Deliverer) Generate(ctx context.Context, q *Request, sink Sink) error {
 	if err := d.admit(q.Work.Workspace); err != nil {
 		return d.recordEnd(err)
@@ -277,8 +277,8 @@
 	return err
 }
 
-// recordInBackground calls record until it succeeds, the key turns out to be held by another attempt,
-// recordTimeout has passed or the deliverer stops waiting.
+// recordInBackground calls record until it succeeds, it returns fail.Conflict because another attempt
+// holds the key, recordTimeout has passed or d.ctx is cancelled.
 func (d *Deliverer) recordInBackground(record func(ctx context.Context) error) {
 	until := time.Now().Add(recordTimeout)
 	d.recordings.Go(func() {
--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -210,7 +210,7 @@
 }
 
 // TestClientReturns checks that a client that reconnects receives the generation from the token after
-// the last one that it saw, and that another workspace cannot resume it.
+// the last one that it received, and that another workspace cannot resume it.
 func TestClientReturns(t *testing.T) {
 	withRig(t, func(t *testing.T, r *rig) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/delivery/forwarder.go
+++ b/internal/delivery/forwarder.go
@@ -125,7 +125,7 @@
 }
 
 // reopen opens the stream at the next token. It fails if the generation was cancelled, if the upstream
-// does not know it or if the upstream cannot be reached until lostAt. cause is the error that ended
+// does not know it or if no attempt succeeds until lostAt. cause is the error that ended
 // the previous stream.
 func (f *forwarder) reopen(lostAt time.Time, cause error) error {
 	d := f.session.deliverer
--- a/internal/delivery/key_test.go
+++ b/internal/delivery/key_test.go
@@ -99,7 +99,7 @@
 	})
 }
 
-// TestBoxKilledBetweenWriteAndSend checks that a repeat is told that the outcome is unknown if the key is
+// TestBoxKilledBetweenWriteAndSend checks that a repeat fails with an unknown outcome if the key is
 // claimed but its generation was never started, because the box was killed in between.
 func TestBoxKilledBetweenWriteAndSend(t *testing.T) {
 	withRig(t, func(t *testing.T, r *rig) {
--- a/internal/delivery/relay_test.go
+++ b/internal/delivery/relay_test.go
@@ -30,7 +30,8 @@
 	return &http.Response{Body: io.NopCloser(bytes.NewReader(b)), Header: make(http.Header), StatusCode: http.StatusOK}, nil
 }
 
-// newReplayDeliverer returns a deliverer whose engine sends n tokens without delay, and a request to it.
+// newReplayDeliverer returns a deliverer whose engine sends n tokens without delay, and a request for
+// them.
 func newReplayDeliverer(n int) (*Deliverer, *Request) {
 	var b []byte
 	for i := range n {
--- a/internal/delivery/rig_test.go
+++ b/internal/delivery/rig_test.go
@@ -43,7 +43,7 @@
 	metrics   *metric.Set
 	mutex     sync.Mutex // guards lines
 	platform  *fakeplatform.Platform
-	lines     strings.Builder // what the clients did and saw
+	lines     strings.Builder // the transcript: what the clients sent and received
 	t         *testing.T
 	tracker   *placement.Tracker
 	view      *resource.View
@@ -106,7 +106,7 @@
 	fmt.Fprintf(&r.lines, format+"\n", arguments...)
 }
 
-// transcript returns what the clients did and saw so far.
+// transcript returns what the clients have sent and received so far.
 func (r *rig) transcript() string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/delivery/session.go
+++ b/internal/delivery/session.go
@@ -313,7 +313,7 @@
 }
 
 // recordRejection records the back-off that an upstream requested when it rejected the request, or a
-// rejection without back-off if it accepts no new work. It records nothing if the upstream found the
+// rejection without back-off if the upstream is leaving. It records nothing if the upstream found the
 // request invalid or could not be reached.
 func (s *session) recordRejection(u *resource.Upstream, err error) {
 	if t := fail.RetryAt(err); !t.IsZero() {
@@ -368,8 +368,8 @@
 	return fail.WithRetryAt(fail.Wrap(fail.Unavailable, p, "resume_failed", err), time.Now().Add(time.Second))
 }
 
-// tableError returns the error of a request that cannot run because a call of the platform's table
-// failed with err. It is of type fail.NotRun, except that a conflict is returned as is.
+// tableError returns the error of a request that cannot run because a call to the platform's table
+// failed with err. It is of type fail.NotRun, except that a conflict is returned unchanged.
 func tableError(err error) error {
 	if err == nil || errorx.IsOfType(err, fail.Conflict) {
 		return err
--- a/internal/delivery/stage.go
+++ b/internal/delivery/stage.go
@@ -6,7 +6,7 @@
 	"github.com/linetiller/linetiller/internal/fail"
 )
 
-// stage tells whether a request may have run. It changes from stageNotRun to stageSent before the first
+// stage records whether a request may have run. It changes from stageNotRun to stageSent before the first
 // byte is sent to an upstream, and back only if it is certain that this upstream ran nothing.
 type stage string
 
@@ -15,8 +15,8 @@
 	stageSent   stage = "sent"
 )
 
-// correctError returns err with the type that applies in this stage after the given number of delivered
-// tokens. In particular, it never returns fail.NotRun for a request that may have run.
+// correctError returns err with the type that applies in this stage, given how many tokens were
+// delivered. In particular, it never returns fail.NotRun for a request that may have run.
 func (s stage) correctError(err error, deliveredTokens int) error {
 	p := fail.Origin{Peer: fail.Peer(err), Step: fail.Step(err)}
 	if s == stageNotRun {
--- a/internal/health/backoffs.go
+++ b/internal/health/backoffs.go
@@ -14,8 +14,8 @@
 // requests. Without them, choices by load would favour an upstream that rejects everything, because
 // it is never busy.
 //
-// A back-off applies to one instance of an upstream and lasts until its end, whatever the upstream
-// answers meanwhile.
+// A back-off applies to one instance of an upstream and lasts for the requested period, whatever the
+// upstream answers meanwhile.
 //
 // If an upstream rejects requests without a back-off period, this box avoids it for a period that
 // doubles with each consecutive rejection, but only while other upstreams are available.
@@ -37,7 +37,7 @@
 // backoff is the back-off that an upstream instance requested.
 type backoff struct {
 	startedAtMS int64 // start time of the instance, in Unix milliseconds
-	probed      bool  // whether the one request that may be sent regardless has been
+	probed      bool  // whether the one request that may be sent during the back-off was sent
 	until       time.Time
 }
 
@@ -189,7 +189,7 @@
 		return time.Time{}
 	}
 	if u := r.view.Upstream(name); u != nil && u.Spec.StartedAtMS != x.startedAtMS {
-		return time.Time{} // the instance that requested the back-off is gone
+		return time.Time{} // the instance that requested the back-off has ended
 	}
 	return x.until
 }
--- a/internal/health/cold_test.go
+++ b/internal/health/cold_test.go
@@ -8,8 +8,8 @@
 )
 
 // TestColdUpstreamGetsItsShare sends bursts of calls to two cold upstreams, of which one warms up
-// later. A cold upstream gets at most two requests per second from this box. The other calls are
-// refused while no upstream is warm.
+// later. A cold upstream must get at most two requests per second from this box, and the other calls
+// must be refused while no upstream is warm.
 func TestColdUpstreamGetsItsShare(t *testing.T) {
 	h, now := New("a"), time.Now()
 	h.ColdRateLimit = func(*resource.Upstream) int { return 2 }
--- a/internal/health/tracker.go
+++ b/internal/health/tracker.go
@@ -20,7 +20,7 @@
 }
 
 // Tracker holds what this box has observed of upstreams with its own requests. These observations
-// take precedence over what others report. It is safe for concurrent use.
+// take precedence over what other boxes report. It is safe for concurrent use.
 type Tracker struct {
 	// ColdRateLimit returns how many requests per second this box may send to an upstream while
 	// the upstream is cold. It can be replaced before first use; the default sets no limit.
--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Allocator grants permits to send requests to rate-limited upstreams. Each upstream has one box
-// that grants its permits to all boxes, which keeps the total within the upstream's limit. An
-// Allocator holds one token bucket per upstream, reads no clock and is safe for concurrent use. It
+// Allocator grants permits to send requests to rate-limited upstreams. For each upstream, one box is
+// the allocator that grants permits to all boxes, which keeps the total within the upstream's limit.
+// An Allocator holds one token bucket per upstream, reads no clock and is safe for concurrent use. It
 // takes no other lock while it holds its own.
 type Allocator struct {
 	buckets map[string]*bucket
@@ -25,13 +25,12 @@
 	// sum could overload the upstream.
 	coldPermitShare = 0.5
 	// Retries of boxes that got no permit are spread over minRetrySpread, or over retrySpreadPerBox
-	// times the number of boxes if that is longer. Without the spread every box would ask the
-	// allocating box again each time a permit becomes available.
+	// times the number of boxes if that is longer. Without the spread every box would send
+	// the allocator another request each time a permit becomes available.
 	minRetrySpread    = 500 * time.Millisecond
 	retrySpreadPerBox = 10 * time.Millisecond
-	// FallbackShare is the share of a limit that a box grants while it stands in for the box that
-	// should allocate the permits. That box is believed to be serving but did not answer, so both
-	// may be granting permits.
+	// FallbackShare is the share of a limit that a box grants while it replaces an allocator that did
+	// not answer. The allocator may still be running, so that both may be granting permits.
 	FallbackShare = 0.25
 	// permitTTL is how long a permit is valid.
 	permitTTL = 200 * time.Millisecond
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -9,12 +9,12 @@
 type bucket struct {
 	refilledAt  time.Time // last refill
 	startedAtMS int64     // start time of the upstream instance, in Unix milliseconds
-	lastRetryAt time.Time // latest retry time given to a box that got no permit
+	lastRetryAt time.Time // latest retry time given to a box that was refused a permit
 	tokens      float64   // negative if permits were granted in advance
 }
 
-// nextRetryAt returns when a box that gets no permit should ask again, if the next permit becomes
-// available at next. Successive boxes get retry times one permit apart. Once these exceed the
+// nextRetryAt returns when a box that gets no permit should send another request, if the next permit
+// becomes available at next. Successive boxes get retry times one permit apart. Once these exceed the
 // spread, the times are drawn at random from it.
 func (b *bucket) nextRetryAt(next time.Time, rate float64, boxes int) time.Time {
 	at := b.lastRetryAt.Add(durationOf(1 / rate))
--- a/internal/ratelimit/change.go
+++ b/internal/ratelimit/change.go
@@ -4,7 +4,7 @@
 type Change struct {
 	After     Limit
 	Before    Limit
-	HasBefore bool // whether a limit was known before; if not, Before is zero
+	HasBefore bool // whether a limit was known before the change; if not, Before is zero
 }
 
 // NeedsAnnouncement reports whether the change must be sent to all boxes: a limit is new or was
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -10,8 +10,8 @@
 // the upstream has announced a limit or is cold. Limiter is safe for concurrent use. Its own lock
 // and that of its limits are never held together.
 type Limiter struct {
-	// RequestPermits requests permits from the box that allocates those of the upstream. It must be
-	// set before the Limiter is used.
+	// RequestPermits requests permits from the upstream's allocator. It must be set before the Limiter
+	// is used.
 	RequestPermits func(ctx context.Context, q *PermitRequest) (*Grant, error)
 
 	limits *Limits
@@ -28,15 +28,15 @@
 	permits        int       // granted and unused
 	refusedUntil   time.Time // no permit is available before this time
 	windowDemand   int       // permits wanted since windowStart
-	previousDemand int       // permits wanted in the window before; a window lasts permitTTL or longer
+	previousDemand int       // permits wanted in the previous window; a window lasts permitTTL or longer
 	windowStart    time.Time
 	permitsUntil   time.Time // when the unused permits expire
 }
 
 const (
-	// errorBackoff is how long no permit is requested after no box answered a request.
+	// errorBackoff is how long no permit is requested after a request that no box answered.
 	errorBackoff = 100 * time.Millisecond
-	// minBackoff is the shortest time without permit requests after one was refused.
+	// minBackoff is the shortest time between a refusal and the next permit request.
 	minBackoff = 5 * time.Millisecond
 )
 
@@ -55,7 +55,7 @@
 	return func(q *PermitRequest) { q.WaitUntil = t }
 }
 
-// EvictIdle removes the state of upstreams for which no permit was wanted lately.
+// EvictIdle removes the state of upstreams for which no permit was wanted within idleTTL.
 func (m *Limiter) EvictIdle(now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -150,7 +150,7 @@
 }
 
 // takeGranted takes a permit that this box already holds and reports whether there was one. If not, it
-// returns how many to request: as many as were wanted in the window before, at least 1.
+// returns how many to request: as many as were wanted in the previous window, at least 1.
 func (m *Limiter) takeGranted(u Upstream, now time.Time) (ok bool, want int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/ratelimit/permitrequest.go
+++ b/internal/ratelimit/permitrequest.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// PermitRequest is a request for permits, sent to the box that allocates those of the upstream.
+// PermitRequest is a request for permits, sent to the upstream's allocator.
 type PermitRequest struct {
 	ColdRate  float64   `cbor:"6,keyasint,omitempty"` // requests per second that the upstream sustains while cold; 0 if it is not cold
-	NoForward bool      `cbor:"1,keyasint,omitempty"` // do not forward to the allocating box: this request was forwarded already, or that box does not answer
+	NoForward bool      `cbor:"1,keyasint,omitempty"` // do not forward to the allocator: this request was forwarded already, or the allocator does not answer
 	Limit     Limit     `cbor:"2,keyasint"`           // as the requesting box knows it; ReportedAt is zero if the upstream has none
 	Urgent    bool      `cbor:"3,keyasint,omitempty"` // the upstream request fails without a permit, because no other upstream can take it
 	WaitUntil time.Time `cbor:"4,keyasint,omitzero"`  // a permit that becomes valid by then is accepted; zero if only an immediate one is
@@ -16,7 +16,7 @@
 type Grant struct {
 	Count   int       `cbor:"1,keyasint,omitempty"` // permits granted; 0 if refused
 	From    time.Time `cbor:"2,keyasint,omitzero"`  // start of the permits' validity
-	RetryAt time.Time `cbor:"3,keyasint,omitzero"`  // when to ask again, if refused
+	RetryAt time.Time `cbor:"3,keyasint,omitzero"`  // when to send another request, if refused
 	Until   time.Time `cbor:"4,keyasint,omitzero"`  // end of the permits' validity
 }
 
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -18,8 +18,8 @@
 	upstream *resource.Upstream
 }
 
-// assign chooses an upstream for w and takes a permit to send to it. Upstreams that asked for
-// back-off are left out; where a permit is denied, it chooses again.
+// assign chooses an upstream for w and takes a permit to send to it. It avoids upstreams that asked
+// for back-off. If the permit is refused, it chooses again.
 func (e *exchange) assign(ctx context.Context, w *policy.Work) (*assignment, error) {
 	if err := e.quarantineError(); err != nil {
 		return nil, err
@@ -122,7 +122,7 @@
 	return &assignment{end: x.health.Begin(u.Name), upstream: u}, nil
 }
 
-// release removes the request from the counts of the upstream; ended says that the
+// release removes the request from the counts of the upstream; ended is whether the
 // generation ran to completion there.
 func (t *assignment) release(x *Relay, ended bool) {
 	if t.end != nil {
--- a/internal/relay/crash.go
+++ b/internal/relay/crash.go
@@ -16,13 +16,13 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// crashCheckWait bounds how long a request waits for the check whether its upstream has crashed. A
-// machine on which the process has ended refuses a connection within milliseconds; one that is cut
-// off from the network does not answer at all.
+// crashCheckWait bounds how long a request waits for the crash check of its upstream. A machine on
+// which the upstream's process has ended refuses a connection within milliseconds; one that is cut off
+// from the network does not answer at all.
 const crashCheckWait = 50 * time.Millisecond
 
-// disconnectCheckDelay is the time between a caller's disconnect and the check whether the upstream
-// of its request has crashed: an upstream that had begun to run a poison request has crashed by then.
+// disconnectCheckDelay is the time between a caller's disconnect and the crash check of the upstream of
+// its request. An upstream that had begun to run a poison request has crashed by then.
 const disconnectCheckDelay = 500 * time.Millisecond
 
 // A running stream clears a suspect with the same fingerprint if, between clearanceDelay and twice
@@ -63,8 +63,8 @@
 	}
 }
 
-// checkCrashAfterDisconnect schedules a crash check for an upstream whose caller disconnected before
-// the answer began: the upstream may have started to run the request.
+// checkCrashAfterDisconnect schedules a crash check of the upstream if the caller has disconnected. It
+// is called for requests whose answer had not begun: the upstream may have started to run them.
 func (e *exchange) checkCrashAfterDisconnect(u *resource.Upstream) {
 	if e.callerCtx.Err() == nil {
 		return
@@ -77,7 +77,7 @@
 	})
 }
 
-// confirmCrash asks the upstream's machine whether the process has ended. If so, it records the crash
+// confirmCrash checks with the upstream's machine whether the process has ended. If so, it records the crash
 // with the suspect s and announces it to the other boxes; otherwise it counts the crash as ignored.
 func (e *exchange) confirmCrash(ctx context.Context, u *resource.Upstream, at time.Time, s policy.Suspect) {
 	x := e.relay
@@ -112,8 +112,8 @@
 	event.CrashNotCounted.Log(x.log, "request", e.request.ID, "upstream", u.Name, "reason", reason, "asked", e.fingerprint().String())
 }
 
-// ignoredReason returns why the upstream of a broken request need not be checked for a crash, or ""
-// if it must be checked.
+// ignoredReason returns the reason for which the upstream of a broken request need not be checked for a
+// crash, or "" if it must be checked.
 func (e *exchange) ignoredReason(u *resource.Upstream, now time.Time) string {
 	v := e.relay.view.Upstream(u.Name)
 	switch {
@@ -138,9 +138,9 @@
 	return fail.New(fail.Unknown, e.serviceOrigin(), reasonQuarantined, "request quarantined: %d upstreams crashed while running fingerprint %s", x.quarantine.CrashCount(e.fingerprint(), now), e.fingerprint())
 }
 
-// recordCompleted records that the request completed. If it was suspected of crashes, it is cleared and
-// the other boxes are told: a popular request is often running when an upstream crashes, whatever
-// the cause, and becomes a suspect each time.
+// recordCompleted records that the request completed. If the request was suspected of crashes, it is
+// cleared, and the clearance is announced to the other boxes. A popular request is often running when
+// an upstream crashes, whatever the cause, and becomes a suspect each time.
 func (e *exchange) recordCompleted() {
 	x, p := e.relay, e.fingerprint()
 	x.completedRuns.Record(p, time.Now())
@@ -163,8 +163,8 @@
 	x.AnnounceCrashes(l)
 }
 
-// clearCrashes clears a request of suspicion because it completed at the box from, "" for this one.
-// It reports whether the request was suspected of crashes.
+// clearCrashes clears a request of the crashes that it is suspected of, because it completed at the
+// box named by from, or at this one if from is "". It reports whether the request was a suspect.
 func (x *Relay) clearCrashes(p policy.Fingerprint, from string) bool {
 	if !x.quarantine.Clear(p) {
 		return false
@@ -173,7 +173,8 @@
 	return true
 }
 
-// clearSuspects clears those suspects of a crash for which this box has evidence, and announces them.
+// clearSuspects clears those suspects of a crash that did not cause it as far as this box can see, and
+// announces the clearances.
 func (x *Relay) clearSuspects(c *policy.Crash) {
 	for _, s := range c.Suspects {
 		if !s.Cleared && (x.completedSinceLastCrash(s.Fingerprint, c.At) || x.hasStreamAhead(&s)) && x.clearCrashes(s.Fingerprint, "") {
@@ -182,7 +183,14 @@
 	}
 }
 
-// hasStreamAhead reports whether a stream of the same request runs at this box that is more than
+// completedSinceLastCrash reports whether the request p completed at this box after the last crash
+// before the time at for which it was a suspect.
+func (x *Relay) completedSinceLastCrash(p policy.Fingerprint, at time.Time) bool {
+	t := x.completedRuns.LastRunAt(p, time.Now())
+	return !t.IsZero() && t.After(x.quarantine.LastCrashBefore(p, at))
+}
+
+// hasStreamAhead reports whether this box has a stream of the same request that is more than
 // clearanceLeadEvents events ahead of the suspect's.
 func (x *Relay) hasStreamAhead(s *policy.Suspect) bool {
 	x.mutex.Lock()
@@ -196,8 +204,8 @@
 	return false
 }
 
-// markClearancesUsed records which completed runs have cleared a request of a crash, so that the same
-// run does not clear it of another one.
+// markClearancesUsed records which completed runs have cleared a request of a crash. A run clears its
+// request of one crash only.
 func (x *Relay) markClearancesUsed(l []policy.Crash) {
 	now := time.Now()
 	for _, c := range l {
@@ -225,11 +233,11 @@
 	})
 }
 
-// scheduleClearance clears, after a random delay, the suspects for which this box has evidence: it
-// served the request since the previous crash, or one of its streams of the request is further on
-// than the run that crashed. This protects popular requests, which run at every upstream of a rack
-// that loses power. The delay is random so that most boxes learn of a clearance before they would
-// announce it themselves.
+// scheduleClearance clears, after a random delay, the suspects that did not cause the crash as far as
+// this box can see: the request has completed here since the previous crash, or one of its streams
+// here is ahead of the run that crashed. This protects popular requests, which run at every upstream of a rack that loses
+// power. The delay is random so that most boxes learn of a clearance before they would announce it
+// themselves.
 func (x *Relay) scheduleClearance(l []policy.Crash) {
 	x.runAfter(clearanceDelay+rand.N(clearanceDelay), func() {
 		for _, c := range l {
@@ -238,13 +246,6 @@
 	})
 }
 
-// completedSinceLastCrash reports whether this box served the request p after the last crash before at
-// of which it was a suspect.
-func (x *Relay) completedSinceLastCrash(p policy.Fingerprint, at time.Time) bool {
-	t := x.completedRuns.LastRunAt(p, time.Now())
-	return !t.IsZero() && t.After(x.quarantine.LastCrashBefore(p, at))
-}
-
 // FingerprintOf returns a hash of the request's method, host, target and body.
 func FingerprintOf(q *Request) policy.Fingerprint {
 	h := xxhash.New()
--- a/internal/relay/crash_test.go
+++ b/internal/relay/crash_test.go
@@ -116,7 +116,7 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			withRig(t, 4, 0, func(t *testing.T, r *rig) {
-				for i := range 3 { // the same request each time, but for its id
+				for i := range 3 { // the same request each time, except for its id
 					time.AfterFunc(500*time.Millisecond, func() { x.fault(r, fmt.Sprint("u", i+1)) })
 					_, _ = r.readStream(generationRequest(t.Context(), "/checks/x", fmt.Sprint("id-", i), 400), nil)
 					time.Sleep(time.Second)
@@ -133,7 +133,7 @@
 // Callers that retry must be served: engines that fail together do not fail because of a request.
 func TestRackIsLost(t *testing.T) {
 	withRig(t, 8, 0, func(t *testing.T, r *rig) {
-		var firstEngine, next atomic.Int32 // places are given at the engines from this one on, in turn
+		var firstEngine, next atomic.Int32 // Place assigns the engines from number firstEngine on in turn
 		firstEngine.Store(1)
 		r.relay.Place = func(context.Context, *policy.Work, map[string]bool) (*placement.Place, error) {
 			n := firstEngine.Load()
@@ -187,8 +187,9 @@
 }
 
 // TestStreamThatIsBehindDoesNotVouch crashes upstreams at the twentieth event of streams of one
-// request, while other streams of it have fewer events. A stream may clear a suspect only if it is
-// ahead of it; otherwise a request that crashes its upstreams late would never be quarantined.
+// request, while its other streams have fewer events. A stream may clear the request of a crash only
+// if it has passed the event at which the upstream crashed; otherwise a request that crashes its
+// upstreams late would never be quarantined.
 func TestStreamThatIsBehindDoesNotVouch(t *testing.T) {
 	withRig(t, 12, 0, func(t *testing.T, r *rig) {
 		var next atomic.Int32
@@ -273,9 +274,10 @@
 	})
 }
 
-// TestServedRequestIsNotQuarantinedByChance crashes two upstreams, for another reason, while they run
-// a call that completed before. Such a call used to be refused from then on, so that no run could
-// clear it. After further crashes without a completed run in between it must be quarantined.
+// TestServedRequestIsNotQuarantinedByChance guards against the quarantine of a call that completed
+// before and runs at two upstreams that crash for another reason: a call that is refused has no runs
+// that could clear it. After further crashes without a completed run in between it must be
+// quarantined.
 func TestServedRequestIsNotQuarantinedByChance(t *testing.T) {
 	withRig(t, 0, 6, func(t *testing.T, r *rig) {
 		var crashing atomic.Bool
@@ -301,7 +303,7 @@
 			t.Fatalf("before: got status %d, want 200", got)
 		}
 		crashing.Store(true)
-		call() // at two upstreams
+		call() // crashes two upstreams
 		crashing.Store(false)
 		if got := call(); got != http.StatusOK {
 			t.Errorf("after two crashes: got status %d, want 200", got)
--- a/internal/relay/deliver.go
+++ b/internal/relay/deliver.go
@@ -73,8 +73,9 @@
 	return false, e.writeAnswer(w)
 }
 
-// writeAnswer writes a buffered answer to the caller. It returns an error instead for a
-// status that means that the request did not run, where the upstream did not say so itself.
+// writeAnswer writes a buffered answer to the caller. If the answer's status implies that the request
+// was not run, it returns an error instead: such a status is only forwarded if the upstream has
+// stated explicitly that the request was not run.
 func (e *exchange) writeAnswer(a *bufferedAnswer) error {
 	if impliesNotRun(a.Status) {
 		p := fail.Origin{Peer: "upstream " + e.upstreamName(), Step: "read answer"}
@@ -96,8 +97,8 @@
 	}
 }
 
-// impliesNotRun reports whether a caller may conclude from a status that the request did
-// not run.
+// impliesNotRun reports whether callers may conclude from a status that the request was not
+// run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
--- a/internal/relay/evacuation_test.go
+++ b/internal/relay/evacuation_test.go
@@ -71,8 +71,9 @@
 	})
 }
 
-// TestEvacuationIsLookedAtJustBeforeTheSend has an evacuation become known between the choice of
-// an upstream and the send, as after the box's process was suspended: nothing may be sent.
+// TestEvacuationIsLookedAtJustBeforeTheSend guards against sending a request to a hall whose
+// evacuation became known between the choice of the upstream and the send, as happens if the box's
+// process is suspended in between.
 func TestEvacuationIsLookedAtJustBeforeTheSend(t *testing.T) {
 	withRig(t, 1, 1, func(t *testing.T, r *rig) {
 		r.refreshViews = func() { r.evacuate(false) }
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -40,12 +40,12 @@
 	workspace         *resource.Workspace
 }
 
-// maxSends bounds how often a request is sent, also if every upstream says that it did
+// maxSends bounds how often a request is sent, even if every upstream says that it did
 // not run it.
 const maxSends = 4
 
-// admit looks up the request's route, workspace and service and sets its deadline, or
-// returns why the request is refused.
+// admit looks up the request's route, workspace and service and sets its deadline. It returns
+// an error if the request is refused.
 func (e *exchange) admit() error {
 	x, q := e.relay, e.request
 	if !x.HasConfiguration() {
@@ -82,9 +82,9 @@
 	return nil
 }
 
-// finalError turns the error of the last attempt into the one that the caller gets: an
-// error that says "not run" becomes an unknown outcome if an earlier attempt may have run
-// the request. If a fallback answer is kept, it writes that answer instead.
+// finalError returns the error for the caller, given that of the last attempt. An error that
+// says "not run" becomes an unknown outcome if an earlier attempt may have run the request. If
+// there is a fallback answer, finalError writes that to the caller instead.
 func (e *exchange) finalError(ctx context.Context, err error) error {
 	if err == nil {
 		return nil
@@ -118,8 +118,8 @@
 	return e.route.Priority
 }
 
-// readLastEventID reads after which event the caller wants its stream to continue. It
-// ignores the id on routes whose streams may not be resumed: the caller gets the stream
+// readLastEventID reads the id of the event after which the caller wants its stream to continue.
+// On routes whose streams may not be resumed it ignores the id, and the caller gets the stream
 // from the beginning.
 func (e *exchange) readLastEventID() error {
 	id := e.request.LastEventID
@@ -140,7 +140,8 @@
 	return e.route.Name
 }
 
-// run relays the request until an answer was written, or returns why there is none.
+// run relays the request, with retries, until an answer is written to the caller. It returns an
+// error if none was, or only a part of one.
 func (e *exchange) run() error {
 	if err := e.admit(); err != nil {
 		return err
@@ -181,7 +182,8 @@
 }
 
 // unknownError returns the error for a request whose route or key is unknown. While the view is stale
-// the error invites the caller to retry: the box may not have received the route or key yet.
+// the error is one after which the caller may retry: the box may not have received the route or key
+// yet.
 func (e *exchange) unknownError(err error) error {
 	age := e.relay.ViewAge()
 	if age < configuration.ViewStaleAfter {
--- a/internal/relay/failure.go
+++ b/internal/relay/failure.go
@@ -27,8 +27,8 @@
 // been running the request.
 var errDeadline = fail.Unknown.NewSubtype("deadline")
 
-// writeFailure writes the answer to a request that failed. Where the caller has a part of
-// another answer already, it aborts the connection.
+// writeFailure writes the answer to a request that failed with err. If the caller has already
+// received part of an answer, it aborts the connection instead.
 func (e *exchange) writeFailure(err error) {
 	if e.callerCtx.Err() != nil || e.status != 0 {
 		// The caller has disconnected, or has received part of an answer, which must not look complete.
--- a/internal/relay/gone_test.go
+++ b/internal/relay/gone_test.go
@@ -31,8 +31,8 @@
 		{"a silent service", func(r *rig) { r.setFaults("s", routed.Faults{Silent: true}) }, repeatableCall, 300 * time.Millisecond},
 		{"a service that fails", func(r *rig) { r.setFaults("s", routed.Faults{Status: http.StatusInternalServerError}) }, repeatableCall, time.Millisecond},
 		{"a silent engine", func(r *rig) { r.setFaults("u", routed.Faults{Silent: true}) }, func(ctx context.Context) *http.Request { return planRequest(ctx, "id", 400) }, 300 * time.Millisecond},
-		{"a stream that is taken up", func(r *rig) { r.setFaults("u", routed.Faults{CutAfter: 10}) }, func(ctx context.Context) *http.Request { return checkRequest(ctx, 2000) }, 700 * time.Millisecond},
-		{"a mute stream", func(r *rig) { r.setFaults("u", routed.Faults{StallAfter: 5}) }, func(ctx context.Context) *http.Request { return checkRequest(ctx, 2000) }, 1500 * time.Millisecond},
+		{"a stream that is resumed", func(r *rig) { r.setFaults("u", routed.Faults{CutAfter: 10}) }, func(ctx context.Context) *http.Request { return checkRequest(ctx, 2000) }, 700 * time.Millisecond},
+		{"a stream that stalls", func(r *rig) { r.setFaults("u", routed.Faults{StallAfter: 5}) }, func(ctx context.Context) *http.Request { return checkRequest(ctx, 2000) }, 1500 * time.Millisecond},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			withRig(t, 2, 2, func(t *testing.T, r *rig) {
@@ -85,7 +85,7 @@
 	return n
 }
 
-// setFaults sets the faults of all upstreams of a kind, the first letter of their names.
+// setFaults sets the faults of all upstreams of a kind, which is the first letter of their names.
 func (r *rig) setFaults(kind string, f routed.Faults) {
 	for n, e := range r.engines {
 		if n[:1] == kind {
--- a/internal/relay/leaving_test.go
+++ b/internal/relay/leaving_test.go
@@ -38,13 +38,13 @@
 // TestLeavingRelayRefusesWhatOutlastsIt checks that a leaving relay accepts streams that are
 // expected to complete well before it cuts its streams off, and refuses longer ones at once, as
 // not run. If it is the only one in its hall, it accepts all that are expected to complete in
-// time, and the others are told to retry when the balancer will send them elsewhere.
+// time, and the callers of the others get the time from which the balancer sends them elsewhere.
 func TestLeavingRelayRefusesWhatOutlastsIt(t *testing.T) {
 	for _, x := range []struct {
-		others bool
-		tokens int
-		status int
-		again  string // Retry-After of a refusal
+		others     bool
+		tokens     int
+		status     int
+		retryAfter string // Retry-After of a refusal
 	}{
 		{true, 40, http.StatusOK, ""},
 		{true, 600, http.StatusServiceUnavailable, "0"},
@@ -54,7 +54,7 @@
 		{false, 2000, http.StatusServiceUnavailable, "3"},
 	} {
 		withRig(t, 1, 0, func(t *testing.T, r *rig) {
-			for i := range 3 { // to learn the pace: 8 ms per token
+			for i := range 3 { // so that the relay learns the pace of 8 ms per token
 				if s, err := r.readStream(planRequest(t.Context(), fmt.Sprint("before-", i), 200), nil); err != nil || !s.complete {
 					t.Fatalf("before: got %+v %v, want a complete stream", s, err)
 				}
@@ -62,8 +62,8 @@
 			r.relay.HasOtherBoxes = func() bool { return x.others }
 			r.relay.EndStreamsBy(time.Now().Add(7500*time.Millisecond), time.Now().Add(3*time.Second))
 			w, _, err := r.do(planRequest(t.Context(), "id", x.tokens))
-			if err != nil || w.StatusCode != x.status || w.Header.Get("Retry-After") != x.again {
-				t.Errorf("%d tokens, others %v: got %v %v, want %d and Retry-After %q", x.tokens, x.others, w, err, x.status, x.again)
+			if err != nil || w.StatusCode != x.status || w.Header.Get("Retry-After") != x.retryAfter {
+				t.Errorf("%d tokens, others %v: got %v %v, want %d and Retry-After %q", x.tokens, x.others, w, err, x.status, x.retryAfter)
 			}
 			if got := r.startedRuns("id"); x.status != http.StatusOK && got != 0 {
 				t.Errorf("%d tokens: runs of a refused stream: got %d, want none", x.tokens, got)
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// maxPermitRefusals is the number of permits that may be denied to one request, at one upstream after
+	// maxPermitRefusals is the number of permits that may be refused to one request, at one upstream after
 	// another, before it avoids all rate-limited upstreams.
 	maxPermitRefusals = 2
 	// permitTimeout bounds the wait for the answer to a permit request while there may be other upstreams.
 	permitTimeout = 100 * time.Millisecond
-	// permitTolerance is how much later than the end of the wait a permit may still be taken.
+	// permitTolerance is how long after the end of the wait a permit is still accepted.
 	permitTolerance = 10 * time.Millisecond
 )
 
@@ -34,7 +34,8 @@
 	return x.logLimitChange(x.limiter.Limits().Record(l, time.Now()), from)
 }
 
-// logLimitChange logs a change of a limit, if c is one worth logging, and returns c.
+// logLimitChange logs a change of a limit if it must be announced, lifts the limit or changes the rate.
+// It returns c.
 func (x *Relay) logLimitChange(c *ratelimit.Change, from string) *ratelimit.Change {
 	switch {
 	case c == nil:
@@ -46,8 +47,8 @@
 	return c
 }
 
-// observeLimit records and announces what an upstream's answer says about its rate limit. An answer
-// from the upstream itself without a limit lifts the one known before.
+// observeLimit records and announces what an upstream's answer says about its rate limit. If the
+// answer is from the upstream itself and names no limit, the previous limit is lifted.
 func (x *Relay) observeLimit(u *resource.Upstream, a *Answer) {
 	if a.EchoMismatch {
 		return
@@ -99,8 +100,8 @@
 // available now. If no upstream is left, it returns the time until which it is worth waiting for a
 // permit, or an error if none becomes available before the request would be late.
 //
-// Retries, and requests to which maxPermitRefusals permits were denied, avoid all rate-limited
-// upstreams while there are others: permits are left to first attempts.
+// Retries, and requests to which maxPermitRefusals permits were refused, avoid all rate-limited
+// upstreams while there are others, so that the permits are left to first attempts.
 func (e *exchange) avoidUnpermitted(l []*resource.Upstream, avoid map[string]bool, refusals int, now time.Time) (map[string]bool, time.Time, error) {
 	x := e.relay
 	if x.limiter.Limits().Empty() && e.service.Spec.Engine != nil { // cold engines are limited by their owners
@@ -124,8 +125,8 @@
 	return avoidRefused(avoid, refused, until), until, nil
 }
 
-// permitWaitDeadline returns until when the request may wait for a permit: for half of the time left
-// until its target latency is exceeded.
+// permitWaitDeadline returns the time until which the request may wait for a permit: half of what is
+// left of its target latency.
 func (e *exchange) permitWaitDeadline(now time.Time) time.Time {
 	d := e.route.Spec.LatencyTarget.Duration()
 	if d <= 0 || e.status != 0 {
@@ -155,7 +156,8 @@
 	return x.countPermit(x.limiter.Take(ctx, v, ratelimit.WaitUntil(waitUntil)))
 }
 
-// takeResumePermit takes an urgent permit for a run that was stopped for a move and is lost without one.
+// takeResumePermit takes an urgent permit to resume a run that was stopped for a move. Without one the
+// run would be lost.
 func (e *exchange) takeResumePermit(ctx context.Context, u *resource.Upstream) bool {
 	x, now := e.relay, time.Now()
 	v := x.limiterUpstream(u, now)
@@ -175,8 +177,8 @@
 	return granted
 }
 
-// limiterUpstream describes an upstream to the limiter. Only plain services get a limit while they are
-// cold: for a cold engine its owner decides.
+// limiterUpstream describes an upstream to the limiter. Only upstreams of plain services are limited
+// by permits while they are cold; a cold engine is limited by its owner.
 func (x *Relay) limiterUpstream(u *resource.Upstream, now time.Time) ratelimit.Upstream {
 	v := ratelimit.Upstream{StartedAtMS: u.Spec.StartedAtMS, Name: u.Name}
 	if u.Engine() == nil && u.Cold(now) {
@@ -186,7 +188,7 @@
 }
 
 // refusedPermits returns the usable upstreams of the list l for which no permit is available, with the
-// time at which to ask again. free reports whether there are other usable upstreams.
+// time of the next permit request. free reports whether there are other usable upstreams.
 func (x *Relay) refusedPermits(l []*resource.Upstream, avoid map[string]bool, now time.Time) (refused map[string]time.Time, free bool) {
 	for _, u := range l {
 		if avoid[u.Name] || !u.AcceptsWork(now) {
@@ -205,7 +207,8 @@
 	return refused, free
 }
 
-// avoidRefused returns avoid with those refused upstreams added whose permits come only after until.
+// avoidRefused returns avoid with those refused upstreams added for which no permit becomes available by
+// until.
 func avoidRefused(avoid map[string]bool, refused map[string]time.Time, until time.Time) map[string]bool {
 	all := make(map[string]bool, len(avoid)+len(refused))
 	maps.Copy(all, avoid)
@@ -217,8 +220,8 @@
 	return all
 }
 
-// localAllocator returns a limiter's Ask function that allocates permits in this process, for a box that is
-// the only one to send to the upstreams.
+// localAllocator returns a function for Limiter.RequestPermits that allocates permits in this process,
+// for a box that is the only one to send to the upstreams.
 func localAllocator() func(context.Context, *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
 	a := ratelimit.NewAllocator()
 	return func(_ context.Context, q *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
--- a/internal/relay/migration.go
+++ b/internal/relay/migration.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	// targetSlotTimeout bounds the wait for the turn at a target engine: a copy takes
+	// targetSlotTimeout bounds the wait for a move slot of a target engine: a copy takes
 	// about 190 ms, and another engine may be free.
 	targetSlotTimeout = 40 * time.Millisecond
-	// maxTargetSlotAttempts bounds the number of target engines whose turn a move waits for.
+	// maxTargetSlotAttempts bounds the number of target engines whose move slot a move waits for.
 	maxTargetSlotAttempts = 3
-	// copyTimeout bounds one copy: an engine leaves about two seconds after its notice.
+	// copyTimeout bounds one copy: an engine shuts down about two seconds after its notice.
 	copyTimeout = 3 * time.Second
 	// maxMoveAttempts bounds the number of target engines that a move tries.
 	maxMoveAttempts = 4
@@ -61,6 +61,32 @@
 	}
 }
 
+// acquireTargetSlot acquires a move slot of the target engine, or of another engine if the wait
+// takes longer than targetSlotTimeout. It returns the engine, or nil if none is left. If all
+// attempts time out, it returns an engine without a slot: the copy may then be delayed by another
+// copy to that engine, which is better than waiting any longer here.
+func (s *stream) acquireTargetSlot(ctx context.Context, m *move, to *resource.Upstream, avoid map[string]bool, r *policy.Run) (at *resource.Upstream, release func()) {
+	x := s.exchange.relay
+	busy := maps.Clone(avoid)
+	for range maxTargetSlotAttempts {
+		if to == nil {
+			break
+		}
+		slotCtx, cancel := context.WithTimeout(ctx, targetSlotTimeout)
+		release, err := x.AcquireMoveSlot(slotCtx, to, true, r)
+		cancel()
+		if err == nil {
+			return to, release
+		}
+		busy[to.Name] = true
+		m.releaseReservation(x)
+		if to = s.reserveMoveTarget(ctx, m, busy); to == nil {
+			to = s.reserveMoveTarget(ctx, m, avoid)
+		}
+	}
+	return to, func() {}
+}
+
 // copyTo copies the memory of the generation to one engine while it runs, then stops it at the
 // source and copies the rest.
 func (s *stream) copyTo(ctx context.Context, m *move, to *resource.Upstream, avoid map[string]bool) error {
@@ -100,8 +126,8 @@
 	return nil
 }
 
-// finishMove cleans up after a move that failed with err, so that another one can start, and
-// logs the failure unless the stream has ended. It does nothing if err is nil.
+// finishMove does nothing if err is nil. Otherwise it cleans up after the failed move, so that
+// another one can start, and logs the failure unless the stream has ended.
 func (s *stream) finishMove(m *move, err error) {
 	x := s.exchange.relay
 	if err == nil {
@@ -122,8 +148,8 @@
 	event.MoveFailed.Log(x.log, "request", s.exchange.request.ID, "from", m.from.Name, "reason", fail.Reason(err), "step", fail.Step(err), "error", err.Error())
 }
 
-// remainingWork describes the rest of the generation, to be run at another engine: the
-// tokens made so far count as prompt.
+// remainingWork describes the rest of the generation, to be run at another engine. The
+// tokens produced so far count as part of the prompt.
 func (s *stream) remainingWork() *policy.Work {
 	w := s.exchange.work()
 	s.mutex.Lock()
@@ -161,7 +187,7 @@
 	return to
 }
 
-// runMove performs a move, up to the copy from which the stream is resumed.
+// runMove performs a move, up to the last copy. The stream is then resumed from that copy.
 func (s *stream) runMove(ctx context.Context, m *move) error {
 	select {
 	case <-s.firstEvent:
@@ -173,7 +199,7 @@
 	r := s.currentRun()
 	s.mutex.Unlock()
 	avoid := map[string]bool{m.from.Name: true}
-	to := s.reserveMoveTarget(ctx, m, avoid) // in advance: the turn may have to be waited for
+	to := s.reserveMoveTarget(ctx, m, avoid) // before the slot is acquired, since that may take a while
 	release, err := x.AcquireMoveSlot(ctx, m.from, false, r)
 	if err != nil {
 		return err
@@ -199,6 +225,7 @@
 }
 
 // startMove starts a move in the background, unless one is under way or the stream is closed.
+// entryRemoved says that the engine is no longer listed; it is only logged.
 func (s *stream) startMove(entryRemoved bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -226,32 +253,6 @@
 	})
 }
 
-// acquireTargetSlot takes the turn at the target engine, or at another engine if the wait
-// takes longer than targetSlotTimeout. It returns the engine, or nil if none is left. If all
-// attempts time out it returns an engine without a turn: the copy may then have to wait for
-// another one, which is better than waiting any longer here.
-func (s *stream) acquireTargetSlot(ctx context.Context, m *move, to *resource.Upstream, avoid map[string]bool, r *policy.Run) (at *resource.Upstream, release func()) {
-	x := s.exchange.relay
-	busy := maps.Clone(avoid)
-	for range maxTargetSlotAttempts {
-		if to == nil {
-			break
-		}
-		slotCtx, cancel := context.WithTimeout(ctx, targetSlotTimeout)
-		release, err := x.AcquireMoveSlot(slotCtx, to, true, r)
-		cancel()
-		if err == nil {
-			return to, release
-		}
-		busy[to.Name] = true
-		m.releaseReservation(x)
-		if to = s.reserveMoveTarget(ctx, m, busy); to == nil {
-			to = s.reserveMoveTarget(ctx, m, avoid)
-		}
-	}
-	return to, func() {}
-}
-
 // withdrawCopy releases the copy at a target engine that no longer accepts new work, while
 // the generation still runs at its source. It always returns an error, for the failed attempt.
 func (s *stream) withdrawCopy(ctx context.Context, m *move, c *Copy, avoid map[string]bool) error {
@@ -277,7 +278,7 @@
 }
 
 // reservationSuffix returns a suffix for the id of a generation that was moved or run again, so
-// that its reservation differs from the one at the engine before.
+// that its reservation differs from the one at the previous engine.
 func reservationSuffix(reassignments int) string {
 	return "+" + string(rune('1'+reassignments%9))
 }
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -20,19 +20,20 @@
 	mutex   sync.Mutex // guards the fields below until done is closed
 	copy    *Copy      // the latest copy, nil if there is none
 	running *placement.Generation
-	stopped bool // the source was told to stop the generation
+	stopped bool // the source was ordered to stop the generation
 	to      *resource.Upstream
 }
 
 // moveWaitTimeout bounds the wait for a move to finish after the source's stream has
-// ended: callers disconnect after a pause of two seconds or more.
+// ended: callers disconnect if a stream pauses for two seconds or more.
 const moveWaitTimeout = 2 * time.Second
 
 // releaseTimeout bounds the call that releases a copy. It runs in the background.
 const releaseTimeout = 2 * time.Second
 
-// abandon releases what a move holds, in the background and once the move has ended,
-// because its generation is complete or its caller has disconnected.
+// abandon releases the copy and the reservation of a move that is no longer needed, because its
+// generation is complete or its caller has disconnected. It does so in the background, once the
+// move has ended.
 func (m *move) abandon(x *Relay) {
 	x.workers.Go(func() {
 		<-m.done
@@ -68,7 +69,7 @@
 	m.running, m.to = nil, nil
 }
 
-// sourceStopped reports whether the source was told to stop the generation.
+// sourceStopped reports whether the source was ordered to stop the generation.
 func (m *move) sourceStopped() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -173,7 +173,7 @@
 			if err != nil || !s.complete || s.events != events {
 				t.Errorf("notice at event %d: got %+v %v, want %d events and an end", at, s, err, events)
 			}
-			time.Sleep(time.Second) // until the last order to stop is answered
+			time.Sleep(time.Second) // lets the last order to stop be answered
 		})
 	}
 }
--- a/internal/relay/pace.go
+++ b/internal/relay/pace.go
@@ -15,8 +15,8 @@
 }
 
 const (
-	// expectedTimeToFirstToken is the assumed time to the first token: 0.5 s is the median at the
-	// users' sites.
+	// expectedTimeToFirstToken is the time that a stream is expected to take to its first token.
+	// The median is 0.5 s.
 	expectedTimeToFirstToken = 500 * time.Millisecond
 	// paceWeight is the weight of the latest stream in the moving average.
 	paceWeight = 0.1
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -36,20 +36,20 @@
 	AnnounceClearance func(p policy.Fingerprint)
 	// AnnounceCrashes announces crashes of upstreams, with their suspects, to the other boxes.
 	AnnounceCrashes func(l []policy.Crash)
-	// RefreshViews refreshes the box's views if its process was suspended since they were read.
+	// RefreshViews refreshes the box's views if its process was suspended after they were read.
 	RefreshViews func(ctx context.Context)
 	// ChooseLocally chooses an engine without reserving a place at its owner.
 	ChooseLocally func(w *policy.Work, avoid map[string]bool) *resource.Upstream
 	// AnnounceLimit announces to the other boxes that an upstream's answer has changed its rate limit.
 	AnnounceLimit func(c *ratelimit.Change)
-	// RecordLeaving records an upstream's shutdown notice that came with its answer. By default
-	// it is recorded at this box only.
+	// RecordLeaving records an upstream's shutdown notice, which came with one of its answers. By
+	// default it is recorded at this box only.
 	RecordLeaving func(u *resource.Upstream)
 	// HasOtherBoxes reports whether other boxes of the hall accept requests.
 	HasOtherBoxes func() bool
 	// Place reserves a place for a generation at an engine that is not in avoid.
 	Place func(ctx context.Context, w *policy.Work, avoid map[string]bool) (*placement.Place, error)
-	// AcquireMoveSlot waits for the turn to move a generation.
+	// AcquireMoveSlot waits for a move slot of an upstream.
 	AcquireMoveSlot MoveSlotFunc
 	// Upstreams are the calls to engines and services.
 	Upstreams UpstreamCalls
@@ -92,10 +92,10 @@
 const (
 	// evictionInterval is the interval at which expired health and rate-limit records are removed.
 	evictionInterval = 10 * time.Second
-	// streamLengthMargin is the factor applied to a stream's expected duration when a leaving box
-	// decides whether to accept it: callers' estimates are right only at the median, and a refused
-	// caller is served by another box a moment later. If the hall has no other box, a caller that
-	// retries at once reaches this one again, and soleBoxLengthMargin applies.
+	// streamLengthMargin is the factor by which a leaving box multiplies a stream's expected
+	// duration when it decides whether to accept the stream: callers' estimates are right only at the
+	// median, and another box serves a refused caller a moment later. If the hall has no other box, a
+	// caller that retries at once reaches this one again, and soleBoxLengthMargin applies.
 	streamLengthMargin  = 3
 	soleBoxLengthMargin = 1
 	// refusedRetryDelay is the time after which a refused caller may retry if no better one is known.
@@ -154,8 +154,8 @@
 	return func(x *Relay) { x.limiter = m }
 }
 
-// WithBackoffs shares the back-off times that upstreams have asked this box for with the other
-// components that send to them.
+// WithBackoffs sets the record of the back-offs that upstreams have requested, to share it with other
+// senders of this box. By default, the relay has its own.
 func WithBackoffs(r *health.Backoffs) Option {
 	return func(x *Relay) { x.backoffs = r }
 }
@@ -166,8 +166,9 @@
 	return x.Close()
 }
 
-// ClearCompleted clears suspects of crashes that completed at other boxes, according to the stored
-// records of frequent requests, and announces that. The records outlive restarts of those boxes.
+// ClearCompleted clears suspects of crashes that have completed at other boxes, according to the
+// stored records of frequent requests, and announces the clearances. The records outlive restarts of
+// those boxes.
 func (x *Relay) ClearCompleted() {
 	now := time.Now()
 	l := x.quarantine.ClearCompleted(func(p policy.Fingerprint) time.Time { return x.frequentRuns.LastRunAt(p, now) })
@@ -191,11 +192,14 @@
 	return nil
 }
 
-// EndStreamsBy says that the box is leaving: its streams will be cut off at end, and the
-// balancer will have stopped sending callers to it at left. From now on the relay refuses
-// streams that are unlikely to complete before end, so that their callers can go to another
-// box before anything has run. It still accepts other requests, since the balancer may have
-// no other box for them.
+// CompletedRuns returns this box's records of requests that completed.
+func (x *Relay) CompletedRuns() *policy.CompletedRuns { return x.completedRuns }
+
+// EndStreamsBy informs the relay that the box is leaving: its streams will be cut off at
+// streamsEnd, and the balancer will have stopped sending callers to it at trafficEnd. From now on
+// the relay refuses streams that are unlikely to complete before streamsEnd, so that their callers
+// can go to another box before anything has run. It still accepts other requests, since the
+// balancer may have no other box for them.
 func (x *Relay) EndStreamsBy(streamsEnd, trafficEnd time.Time) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
@@ -220,15 +224,16 @@
 // Quarantine returns this box's records of crashes and quarantined requests.
 func (x *Relay) Quarantine() *policy.Quarantine { return x.quarantine }
 
-// RecordClearances records that requests completed at the box from, which clears them of crashes.
+// RecordClearances records that requests completed at the box named by from, which clears them of
+// crashes.
 func (x *Relay) RecordClearances(l []policy.Fingerprint, from string) {
 	for _, p := range l {
 		x.clearCrashes(p, from)
 	}
 }
 
-// RecordCrashes records crashes that the box from has announced, "" for this one, and reports whether
-// any of them was not known yet.
+// RecordCrashes records crashes that the box named by from has announced, or this one if from is "".
+// It reports whether any of them was not known yet.
 func (x *Relay) RecordCrashes(l []policy.Crash, from string) bool {
 	now := time.Now()
 	quarantined, anyNew := x.quarantine.Record(l, now)
@@ -243,7 +248,7 @@
 	return anyNew
 }
 
-// Run starts moves away from upstreams that leave and removes expired records, until the
+// Run starts moves away from upstreams that are leaving and removes expired records, until the
 // context is cancelled.
 func (x *Relay) Run(ctx context.Context) {
 	t := time.NewTicker(evictionInterval)
@@ -262,7 +267,7 @@
 	}
 }
 
-// Serve relays q and writes its answer to w. The context is to be cancelled when the caller
+// Serve relays q and writes its answer to w. The context must be cancelled when the caller
 // disconnects. Serve panics with http.ErrAbortHandler if the answer could not be completed.
 func (x *Relay) Serve(ctx context.Context, w http.ResponseWriter, q *Request) {
 	e := &exchange{callerCtx: ctx, relay: x, request: q, writer: w}
@@ -277,9 +282,6 @@
 	}
 }
 
-// CompletedRuns returns this box's records of requests that completed.
-func (x *Relay) CompletedRuns() *policy.CompletedRuns { return x.completedRuns }
-
 // SetRetryBudget changes the parameters of the retry budget; see WithRetryBudget.
 func (x *Relay) SetRetryBudget(ratio float64, extra float64, window time.Duration) {
 	x.retryBudget.Configure(ratio, extra, window)
@@ -305,7 +307,7 @@
 }
 
 // checkStreamFits returns an error if this box is leaving and a stream of that many tokens is
-// unlikely to complete before.
+// unlikely to complete before streams are cut off.
 func (x *Relay) checkStreamFits(tokens int, now time.Time) error {
 	x.mutex.Lock()
 	streamsEnd, trafficEnd := x.streamsEndAt, x.trafficEndsAt
@@ -334,8 +336,9 @@
 	x.workers.Done()
 }
 
-// expectedRemaining returns the expected number of tokens still to come after made tokens:
-// from the caller's hint until that is reached, then from the lengths learned.
+// expectedRemaining returns the expected number of tokens that a generation will still produce: up
+// to the caller's hint or, once it has produced that many, an estimate from the lengths of earlier
+// generations.
 func (x *Relay) expectedRemaining(w *policy.Work, produced int) int {
 	if produced < w.Hint {
 		return w.Hint - produced
@@ -400,7 +403,7 @@
 }
 
 // leavingError returns the error for a request that is refused because the box is leaving. Its
-// caller may retry at the time again, to reach another box.
+// caller may retry at retryAt, to reach another box.
 func leavingError(retryAt time.Time) error {
 	return fail.WithRetryAt(fail.New(fail.NotRun, clientOrigin("accept"), "box_leaving", "this box is leaving"), retryAt)
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -84,8 +84,8 @@
 	})
 }
 
-// TestUnknownConfigurationIsNoRefusalForGood checks that a box without a configuration
-// tells callers to retry, and does not say that a route or key does not exist.
+// TestUnknownConfigurationIsNoRefusalForGood checks that a box without a configuration answers
+// with 503 and a retry time, and does not say that a route or key does not exist.
 func TestUnknownConfigurationIsNoRefusalForGood(t *testing.T) {
 	withRig(t, 0, 1, func(t *testing.T, r *rig) {
 		x := relay.New(resource.NewView(), placement.NewTracker(func(*policy.Load) {}), policy.NewLengths(), "a", r.metrics, slog.New(slog.DiscardHandler))
@@ -125,9 +125,9 @@
 		{"too many", routed.Faults{RefuseStatus: 429}, 503, 503, 0, 0},
 		{"a failure", routed.Faults{Status: 500}, 500, 500, 1, 2},
 		{"the caller's fault", routed.Faults{Status: 400}, 400, 400, 1, 1},
-		{"a promise that the upstream did not make", routed.Faults{Status: 503}, 502, 502, 1, 2},
+		{"503 without the header that says not run", routed.Faults{Status: 503}, 502, 502, 1, 2},
 		{"another request's answer", routed.Faults{WrongRequestID: true}, 502, 502, 1, 2},
-		{"an answer without a mark", routed.Faults{OmitStamp: true}, 502, 502, 1, 2},
+		{"an answer without a server stamp", routed.Faults{OmitStamp: true}, 502, 502, 1, 2},
 		{"silence", routed.Faults{Silent: true}, 504, 504, 0, 0},
 	} {
 		t.Run(x.name, func(t *testing.T) {
@@ -179,8 +179,8 @@
 	})
 }
 
-// TestUnreachableUpstreamCostsNothing checks that an upstream which accepts no connections is
-// skipped, and that this is not charged to the retry budget.
+// TestUnreachableUpstreamCostsNothing checks that requests which were sent to an upstream that accepts
+// no connections are sent to another one, and that this is not charged to the retry budget.
 func TestUnreachableUpstreamCostsNothing(t *testing.T) {
 	withRig(t, 0, 2, func(t *testing.T, r *rig) {
 		r.link.SetDown("s1", true)
@@ -231,7 +231,7 @@
 	})
 }
 
-// unreachableThreshold is the number of failed connections after which an upstream counts as out of reach.
+// unreachableThreshold is the number of failed connections after which an upstream counts as unreachable.
 const unreachableThreshold = 5
 
 // TestBudgetBoundsTries sends many requests that fail at every upstream, and checks that the
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -10,7 +10,7 @@
 type Request struct {
 	Arrived   time.Time
 	Body      []byte
-	Deadline  time.Time // until when the caller waits; zero if it did not say
+	Deadline  time.Time // time until which the caller waits; zero if unknown
 	Header    http.Header
 	Host      string // the Host header as the caller sent it, with its port if it has one
 	ID        string // chosen by the caller, a new one for each of its attempts
@@ -21,7 +21,7 @@
 
 	// The fields below are set for generations only.
 	Hint         int    // the caller's estimate of the number of output tokens; 0 if there is none
-	LastEventID  string // id of the last event that the caller has, "" if it asks for all events
+	LastEventID  string // id of the last event that the caller has, "" if it wants all events
 	MaxTokens    int    // maximum number of output tokens
 	Model        string
 	PrefixKey    uint64 // cache key of the first part of the prompt; 0 if there is none
--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -42,23 +42,23 @@
 		return err
 	}
 	for _, x := range []struct {
-		name   string
-		rests  string
-		status int
-		rest   time.Duration
-		send   func(r *rig, i int) error
+		name     string
+		upstream string
+		status   int
+		backoff  time.Duration
+		send     func(r *rig, i int) error
 	}{
 		{"a plain service", "s1", http.StatusServiceUnavailable, 3 * time.Second, call},
-		{"a plain service that says too many", "s1", http.StatusTooManyRequests, 3 * time.Second, call},
+		{"a plain service that answers 429", "s1", http.StatusTooManyRequests, 3 * time.Second, call},
 		{"an engine", "u1", http.StatusServiceUnavailable, 3 * time.Second, stream},
-		{"longer than evidence is kept", "s1", http.StatusServiceUnavailable, 70 * time.Second, call},
+		{"longer than statistics are kept", "s1", http.StatusServiceUnavailable, 70 * time.Second, call},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			withRig(t, 2, 2, func(t *testing.T, r *rig) {
-				r.engines[x.rests].SetFaults(routed.Faults{RefuseStatus: x.status, RetryAfter: x.rest})
+				r.engines[x.upstream].SetFaults(routed.Faults{RefuseStatus: x.status, RetryAfter: x.backoff})
 				var g sync.WaitGroup
 				began, i := time.Now(), 0
-				for ; time.Since(began) < x.rest; i++ {
+				for ; time.Since(began) < x.backoff; i++ {
 					number := i
 					g.Go(func() {
 						if err := x.send(r, number); err != nil {
@@ -68,22 +68,22 @@
 					time.Sleep(pace)
 				}
 				g.Wait()
-				for _, l := range r.engines[x.rests].NoticeViolations(oneBox, 0) {
+				for _, l := range r.engines[x.upstream].NoticeViolations(oneBox, 0) {
 					t.Error(l)
 				}
-				if got := len(r.engines[x.rests].Arrivals()); got == 0 {
+				if got := len(r.engines[x.upstream].Arrivals()); got == 0 {
 					t.Error("requests at the upstream that asks for back-off: got 0, want at least 1")
 				}
-				r.engines[x.rests].SetFaults(routed.Faults{})
+				r.engines[x.upstream].SetFaults(routed.Faults{})
 				time.Sleep(time.Second)
-				before := len(r.engines[x.rests].Arrivals())
+				before := len(r.engines[x.upstream].Arrivals())
 				for range 50 {
 					if err := x.send(r, i); err != nil {
 						t.Errorf("request %d, after the back-off: %v", i, err)
 					}
 					i++
 				}
-				if got := len(r.engines[x.rests].Arrivals()) - before; got == 0 {
+				if got := len(r.engines[x.upstream].Arrivals()) - before; got == 0 {
 					t.Error("requests at the upstream after its back-off: got 0, want some")
 				}
 			})
@@ -193,9 +193,9 @@
 	})
 }
 
-// TestEngineThatTurnsAllAwayGetsLittle checks the same for engines, where the one that rejects all
-// requests would be chosen first: it must be tried only now and then, and again once all others
-// reject requests.
+// TestEngineThatTurnsAllAwayGetsLittle guards against preferring an engine that rejects every request,
+// which would otherwise be chosen first. It must be tried only now and then, and be used again once
+// all other engines reject requests.
 func TestEngineThatTurnsAllAwayGetsLittle(t *testing.T) {
 	withRig(t, 2, 0, func(t *testing.T, r *rig) {
 		r.engines["u1"].SetFaults(routed.Faults{RefuseStatus: http.StatusServiceUnavailable})
@@ -254,7 +254,7 @@
 		time.Sleep(time.Second)
 		r.list("u1", "llm", true)
 		r.list("u2", "llm", true)
-		time.Sleep(500 * time.Millisecond) // by now both are copied and the orders to stop are under way
+		time.Sleep(500 * time.Millisecond) // by now both runs are copied, and the orders to stop them are under way
 		r.engines["u3"].SetFaults(routed.Faults{RefuseStatus: http.StatusServiceUnavailable, RetryAfter: 5 * time.Second})
 		send("asker")
 		g.Wait()
--- a/internal/relay/resume.go
+++ b/internal/relay/resume.go
@@ -14,12 +14,12 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// evacuatedResumeGrace is how long after this box learned of the evacuation of a hall a run
-// may still be resumed at an engine there, if it was stopped for a move before: copying the
-// rest of its memory takes about 10 ms, and the run would be lost otherwise.
+// evacuatedResumeGrace is how long a run that was stopped for a move may still be resumed at an
+// engine of an evacuated hall, from when this box learned of the evacuation. Copying the rest of
+// the run's memory takes about 10 ms, and the run would be lost otherwise.
 const evacuatedResumeGrace = 500 * time.Millisecond
 
-// abandonMove abandons the move that is under way or finished but not used, if there is one.
+// abandonMove abandons the stream's move, if there is one, whether it is under way or has ended.
 func (s *stream) abandonMove() {
 	s.mutex.Lock()
 	m := s.move
@@ -56,7 +56,8 @@
 }
 
 // failOver continues a stream that broke off with cause: from the copy that a move made, or
-// by running the generation again if the route allows it. Its error is final.
+// by running the generation again if the route allows it. An error means that the stream cannot be
+// continued.
 func (s *stream) failOver(ctx context.Context, cause error) (*Answer, error) {
 	a, err := s.resumeFromMove(ctx, cause)
 	if err == nil || s.exchange.route.Spec.RetryPolicy != resource.RetryResume {
@@ -66,7 +67,7 @@
 }
 
 // reassign records that the generation runs at another upstream from now on, under a new
-// reservation id, and releases the assignment to the one before.
+// reservation id, and releases the previous assignment.
 func (s *stream) reassign(t *assignment) {
 	s.mutex.Lock()
 	old := s.assignment
@@ -77,7 +78,7 @@
 }
 
 // recordMoved records that the generation was resumed at u, from the copy that m made. u is the
-// target of the move, or its source if the target did not take the run.
+// target of the move, or its source if the target did not accept the run.
 func (s *stream) recordMoved(m *move, u *resource.Upstream) {
 	x := s.exchange.relay
 	s.mutex.Lock()
@@ -99,7 +100,8 @@
 }
 
 // rerun runs the generation again, to continue after the last event that the caller has, at
-// one upstream after another while the route and the retry budget allow it. Its error is final.
+// one upstream after another while the route and the retry budget allow it. An error means that the
+// stream cannot be continued.
 func (s *stream) rerun(ctx context.Context, cause error) (*Answer, error) {
 	e := s.exchange
 	s.abandonMove()
@@ -143,8 +145,8 @@
 }
 
 // resumeCandidates returns the engines that hold the memory of a moved run, in the order in which
-// to try them. Once the source was told to stop, it is a candidate too: it comes first if the
-// target asked for back-off, and the run is then moved again from there.
+// to try them. A source that was ordered to stop the run is a candidate, too. It comes first if the
+// target asked for back-off; the run is then moved from the source again.
 func (s *stream) resumeCandidates(m *move) []*resource.Upstream {
 	x := s.exchange.relay
 	switch {
@@ -183,8 +185,8 @@
 	return a, nil
 }
 
-// resumeMoved resumes the run at the first of the engines that have its memory which
-// accepts it, and returns the answer with the rest of the stream.
+// resumeMoved resumes the run at the first of the resumeCandidates that accepts it, and returns the
+// answer with the rest of the stream.
 func (s *stream) resumeMoved(ctx context.Context, m *move) (*Answer, error) {
 	e := s.exchange
 	r := &Resume{Handle: m.copy.Handle, Source: m.from.HostPort()}
--- a/internal/relay/resume_test.go
+++ b/internal/relay/resume_test.go
@@ -85,7 +85,7 @@
 		{"the engine fails", -1, func(r *rig) {
 			r.engines["u1"].SetFaults(routed.Faults{Status: http.StatusInternalServerError})
 		}, "u2"},
-		{"the engine's answer has no mark", -1, func(r *rig) {
+		{"the engine's answer has no server stamp", -1, func(r *rig) {
 			r.engines["u1"].SetFaults(routed.Faults{OmitStamp: true})
 		}, "u2"},
 		{"the engine leaves and goes before its run was copied", 10, func(r *rig) {
@@ -177,8 +177,8 @@
 }
 
 // TestEachRunHasAnIDOfItsOwn has two engines break off a stream and a third one refuse it, and
-// checks that each of the four runs asks for its place under an id of its own: the end of one
-// run must not be taken for the end of the next.
+// checks that each of the four runs requests its place under an id of its own: otherwise the end of
+// one run could be taken for the end of the next.
 func TestEachRunHasAnIDOfItsOwn(t *testing.T) {
 	withRig(t, 4, 0, func(t *testing.T, r *rig) {
 		for _, n := range []string{"u1", "u2"} {
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -41,10 +41,10 @@
 	if a.NotRun {
 		// An upstream that rejects every request is never busy, so that least-loaded selection would
 		// send it the most. Unless it asks for back-off, its rejections therefore count as failures.
-		rejectsAll := impliesNotRun(a.Status) && a.Backoff == 0 // and not because of a fault in the request
+		rejectsAll := impliesNotRun(a.Status) && a.Backoff == 0 // with any other status the request itself is at fault
 		x.health.RecordAnswer(u.Name, rejectsAll, a.Load, now)
 		if rejectsAll && u.Engine() != nil {
-			x.backoffs.RecordRejection(u.Name, now) // its owner would take it for idle
+			x.backoffs.RecordRejection(u.Name, now) // otherwise its owner would take it for idle
 		}
 		event.UpstreamRefused.Log(x.log, "request", e.request.ID, "upstream", u.Name, "status", a.Status, "rest_ms", a.Backoff.Milliseconds())
 		return fail.WithRetryAt(fail.New(fail.NotRun, p, "upstream_refused", "status %d, request not run", a.Status), e.retryAt(now))
@@ -80,8 +80,8 @@
 	event.RequestPlaced.Log(e.relay.log, l...)
 }
 
-// recordLeaving records a shutdown notice in the answer of an upstream, so that it gets no
-// new requests. While the store is unavailable, the answer may be the only notice.
+// recordLeaving records the shutdown notice in an answer of an upstream, so that the upstream gets
+// no new requests. While the store is unavailable, there may be no other notice.
 func (e *exchange) recordLeaving(u *resource.Upstream) {
 	x := e.relay
 	x.metrics.Count(metric.UpstreamNotices, "word", noticeLeaving)
@@ -90,8 +90,9 @@
 	x.RecordLeaving(u)
 }
 
-// retryAt returns when a caller that was refused by an upstream may retry: soon if another
-// upstream may accept the request, otherwise when the first back-off ends.
+// retryAt returns when a caller whose request an upstream rejected may retry: after
+// refusedRetryDelay, or when the first back-off ends if all upstreams have asked for back-off until
+// later.
 func (e *exchange) retryAt(now time.Time) time.Time {
 	t := now.Add(refusedRetryDelay)
 	if at := fail.RetryAt(e.relay.backoffs.AllBackingOffError(e.upstreams(), e.serviceOrigin(), now)); at.After(t) {
@@ -141,8 +142,8 @@
 }
 
 // withFirstEventTimeout returns a context that is cancelled after firstEventTimeout, unless the
-// returned function is called before. It does so only for streams that may be resumed: giving up
-// on others early gains nothing.
+// returned function is called before. Streams that may not be resumed have no such timeout: they
+// cannot be run elsewhere.
 func (e *exchange) withFirstEventTimeout(ctx context.Context) (context.Context, func()) {
 	if e.route.Spec.RetryPolicy != resource.RetryResume {
 		return ctx, func() {}
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -41,11 +41,11 @@
 	// eventWriteTimeout bounds the write of one event to the caller.
 	eventWriteTimeout = 10 * time.Second
 	// firstEventTimeout is how long a stream that may be resumed waits for its first event
-	// before it is run elsewhere: 99 % arrive within 2 s under load.
+	// before it is run elsewhere: under load, 99 % of first events arrive within 2 s.
 	firstEventTimeout = 2 * time.Second
 	// nextEventTimeout is the same between two events, which arrive every 30 to 60 ms. It is longer
-	// than an engine pauses to read a long prompt, and shorter than the 2 s after which callers
-	// disconnect.
+	// than the pause of an engine that prefills a long prompt, and shorter than the 2 s after which
+	// callers disconnect.
 	nextEventTimeout = time.Second
 )
 
@@ -85,7 +85,7 @@
 	return fail.New(fail.Interrupted, s.upstreamOrigin("read stream"), "stream_gap", "event id %q does not follow %d", id, last)
 }
 
-// close ends the stream and releases what it holds.
+// close ends the stream and releases its assignment and its move.
 func (s *stream) close() {
 	x := s.exchange.relay
 	x.mutex.Lock()
@@ -104,7 +104,7 @@
 	}
 }
 
-// currentRun describes the generation in its current state, for a move; the caller holds the mutex.
+// currentRun describes the generation in its current state, for a move. The caller holds the mutex.
 func (s *stream) currentRun() *policy.Run {
 	e := s.exchange
 	w := e.work()
@@ -115,7 +115,7 @@
 }
 
 // eventTimeout returns how long to wait for the next event. For a stream that may not be resumed
-// that is until the request's deadline: giving up early gains nothing.
+// that is until the request's deadline, since it cannot be run elsewhere.
 func (s *stream) eventTimeout() time.Duration {
 	e := s.exchange
 	switch {
@@ -165,11 +165,12 @@
 	}
 }
 
-// isComplete reports whether a stream whose answer ends now is complete: it has events,
-// unless the caller may have had all of them before, and the run was not stopped for a move.
-// The answer of a stopped run is cut off, so that the end of a self-delimiting answer is that
-// of the run. For other answers it waits for the move: the order to stop may have come after
-// the run's end, which the response to the order shows.
+// isComplete reports whether a stream whose answer has just ended without an error is complete. A
+// stream without events is incomplete, unless the caller resumed it and may have had all events
+// before. A stream whose run was stopped for a move is incomplete, too. An engine cuts off the answer
+// of a stopped run, so that a self-delimiting answer which ends properly is that of a completed run.
+// For other answers isComplete waits for the move to end: the response to the order to stop shows
+// whether the run had completed before the order arrived.
 func (s *stream) isComplete(ctx context.Context, a *Answer) bool {
 	s.mutex.Lock()
 	m, events := s.move, s.events
@@ -218,8 +219,8 @@
 	}
 }
 
-// run forwards the stream to its end, failing over from one upstream to another. retry
-// reports whether another upstream may be tried from the beginning.
+// run forwards the stream to its end and fails over to other upstreams if it breaks. retry reports
+// whether the request may be sent to another upstream from the beginning.
 func (s *stream) run(ctx context.Context, a *Answer) (retry bool, err error) {
 	if a.Status != http.StatusOK {
 		return s.exchange.deliver(ctx, a)
@@ -230,7 +231,7 @@
 		if err == nil {
 			s.finished = true
 			s.exchange.recordCompleted()
-			s.writeHeader(a) // not written yet if the caller had all events before
+			s.writeHeader(a) // no event has written it if the caller had all of them before
 			return false, nil
 		}
 		if ctx.Err() != nil || fail.Reason(err) == reasonCallerDisconnected {
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -17,12 +17,12 @@
 	Header         http.Header   // the fields to forward
 	Leaving        bool          // the upstream says that it is about to shut down and accepts no new work
 	Length         int64         // of the body in bytes, -1 if unknown
-	Limit          *float64      // requests a second that the upstream accepts from all boxes together; nil if it names no limit
+	Limit          *float64      // requests per second that the upstream accepts from all boxes together; nil if it names no limit
 	LimitError     error         // why the limit that the upstream names cannot be used; nil if it can
 	Load           *health.Load  // nil if not reported
 	NotRun         bool          // the upstream says that it did not run the request
 	EchoMismatch   bool          // the answer names another request than the one that was sent
-	Backoff        time.Duration // how long this box is to send nothing, as an upstream asks that rejects the request; 0 for none
+	Backoff        time.Duration // how long this box should send nothing to the upstream, which has rejected the request; 0 for no back-off
 	Stamped        bool          // the answer carries a server stamp, so that it comes from the upstream itself
 	Status         int
 }
@@ -42,7 +42,7 @@
 	Workspace   string
 }
 
-// Resume identifies the copy from which a generation is resumed that another engine has begun.
+// Resume identifies the copy from which an engine resumes a generation that another engine has begun.
 type Resume struct {
 	Handle string // of the copy of the generation's memory
 	Source string // IP:port of the engine that made the copy
@@ -54,11 +54,11 @@
 	// false if that cannot be determined.
 	ProcessEnded func(ctx context.Context, u *resource.Upstream) bool
 	// Migrate copies the memory of the run of the request id from one engine to
-	// another. If last is set, it also stops the run at the source. It returns
+	// another. If stop is set, it also stops the run at the source. It returns
 	// fail.NotFound if there is no such run, fail.Conflict if another copy of it is
 	// under way, and fail.Unavailable if the target has no room or cannot be reached.
 	// If a copy is returned with an error, its memory is still at the source.
-	Migrate func(ctx context.Context, from, to *resource.Upstream, id string, last bool) (*Copy, error)
+	Migrate func(ctx context.Context, from, to *resource.Upstream, id string, stop bool) (*Copy, error)
 	// Release releases a copy that the engine from has made.
 	Release func(ctx context.Context, from *resource.Upstream, handle string) error
 	// Send sends a request and returns the answer once its header has arrived. A
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -52,13 +52,13 @@
 type Router struct {
 	// Do sends one request to an upstream. It must be set before the first call.
 	Do func(r *http.Request) (*http.Response, error)
-	// Backoffs records until when upstreams asked this box to send no requests. It may be shared
-	// with other senders.
+	// Backoffs records the back-offs that upstreams have requested. It may be shared with other
+	// senders of this box.
 	Backoffs *health.Backoffs
 
 	keys       *requestkey.Keys
 	metrics    *metric.Set
-	mutex      sync.Mutex     // guards active and retries
+	mutex      sync.Mutex     // guards inProgress and retries
 	inProgress map[string]int // by upstream: calls in progress
 	retries    *policy.RetryBudget
 	view       *resource.View
@@ -67,8 +67,8 @@
 const (
 	maxAnswerBytes = 8 << 20
 	maxTries       = 3
-	// tableRetryDelay is when callers may retry while request keys cannot be claimed. It also
-	// bounds how long the outcome of a call is being recorded.
+	// tableRetryDelay is the delay after which callers may retry while request keys cannot be
+	// claimed. It also bounds the time to record the outcome of a call.
 	tableRetryDelay = 5 * time.Second
 )
 
