--- a/assemble.go
+++ b/assemble.go
@@ -62,9 +62,9 @@
 	b.owners.BackedOff = func(n string) bool { return !b.backoffs.Until(n, time.Now()).IsZero() }
 	b.owners.ReadLoad = b.readLoad
 
-	b.reserved = placement.NewReserved(b.view, b.members, lengths, b.metrics, seed)
-	b.reserved.AskLocal = b.owners.Ask
-	b.reserved.Call = b.requestPlacement
+	b.reserved = placement.NewReserver(b.view, b.members, lengths, b.metrics, seed)
+	b.reserved.RequestLocal = b.owners.RequestPlace
+	b.reserved.RequestRemote = b.requestPlacement
 	b.tracker = placement.NewTracker(b.recordLoad)
 	b.tracker.Send = b.sendProgress
 
@@ -143,7 +143,7 @@
 	}
 	b.relay.AnnounceCrashes = b.announceCrashes
 	b.relay.RefreshViews = b.refreshAfterPause
-	b.relay.ChooseLocally = b.reserved.Guess
+	b.relay.ChooseLocally = b.reserved.ChooseLocally
 	b.relay.AnnounceLimit = b.announceLimit
 	b.relay.RecordLeaving = func(u *resource.Upstream) { b.announceLeaving(u, "its answer") }
 	b.relay.Place = b.reserved.Place
--- a/handle.go
+++ b/handle.go
@@ -46,7 +46,7 @@
 	}
 	switch q.Kind {
 	case box.KindPlacement:
-		b.owners.Ask(ctx, q.Placement, send)
+		b.owners.RequestPlace(ctx, q.Placement, send)
 	case box.KindListUnavailable, box.KindLeaving, box.KindReportCompleted:
 		b.recordAnnouncement(q)
 		_ = send(&box.Reply{})
@@ -68,7 +68,7 @@
 	case box.KindMoveSlot:
 		b.handleMoveSlot(ctx, q.MoveSlot, send)
 	case box.KindProgress:
-		_ = send(b.owners.Update(q.Progress))
+		_ = send(b.owners.RecordProgress(q.Progress))
 	default:
 		_ = send(&box.Reply{Error: "bad_message"})
 	}
--- a/internal/box/clock.go
+++ b/internal/box/clock.go
@@ -77,7 +77,7 @@
 func shiftCrashes(l []policy.Crash, by time.Duration) {
 	for i := range l {
 		shift(&l[i].At, by)
-		shift(&l[i].LastReturnAt, by)
+		shift(&l[i].LastResentAt, by)
 	}
 }
 
--- a/internal/box/clock_test.go
+++ b/internal/box/clock_test.go
@@ -22,7 +22,7 @@
 	}
 	q = &Request{SentAt: there, Crashes: []policy.Crash{{At: there.Add(-time.Minute)}}}
 	q.Shift(here)
-	if got, want := here.Sub(q.Crashes[0].At), time.Minute; got != want || !q.Crashes[0].LastReturnAt.IsZero() {
+	if got, want := here.Sub(q.Crashes[0].At), time.Minute; got != want || !q.Crashes[0].LastResentAt.IsZero() {
 		t.Errorf("age of a crash: got %s, want %s", got, want)
 	}
 	q = &Request{SentAt: there, CompletedRuns: []policy.CompletedRun{{At: there.Add(-time.Minute)}}}
@@ -30,10 +30,10 @@
 	if got, want := here.Sub(q.CompletedRuns[0].At), time.Minute; got != want {
 		t.Errorf("age of a run: got %s, want %s", got, want)
 	}
-	r := &Reply{SentAt: there, Answer: &policy.Answer{}, Crashes: []policy.Crash{{At: there, LastReturnAt: there}}, Load: &policy.Load{AsOf: there}}
+	r := &Reply{SentAt: there, Answer: &policy.Answer{}, Crashes: []policy.Crash{{At: there, LastResentAt: there}}, Load: &policy.Load{AsOf: there}}
 	r.Shift(here)
-	if got := r.Crashes[0]; !got.At.Equal(here) || !got.LastReturnAt.Equal(here) {
-		t.Errorf("crash: got at %s, last return at %s, want %s", got.At, got.LastReturnAt, here)
+	if got := r.Crashes[0]; !got.At.Equal(here) || !got.LastResentAt.Equal(here) {
+		t.Errorf("crash: got at %s, last return at %s, want %s", got.At, got.LastResentAt, here)
 	}
 	if got := r.Load.AsOf; !got.Equal(here) {
 		t.Errorf("load as of: got %s, want %s", got, here)
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -52,16 +52,16 @@
 	}
 }
 
-// CountRequest counts a request for a service.
-func (b *Budget) CountRequest(service string, now time.Time) {
+// RecordRequest counts a request for a service.
+func (b *Budget) RecordRequest(service string, now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	s := b.windowOf(service, now)
 	s.requests[s.newest%slotCount]++
 }
 
-// CountRetry counts a retry that must be made even if the budget is exhausted.
-func (b *Budget) CountRetry(service string, now time.Time) {
+// RecordRetry counts a retry that must be made even if the budget is exhausted.
+func (b *Budget) RecordRetry(service string, now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	s := b.windowOf(service, now)
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -14,7 +14,7 @@
 	for i := range 4000 {
 		now, n := start.Add(time.Duration(i)*step), 0
 		if i%4 == 0 && (i < 1500 || i > 3000) { // callers pause for a window and a half
-			b.CountRequest("s", now)
+			b.RecordRequest("s", now)
 			n = 1
 		}
 		requests = append(requests, n)
@@ -49,7 +49,7 @@
 func TestSpentTriesCount(t *testing.T) {
 	b, now := New(0, 10, 10*time.Second, func() int { return 1 }), time.Unix(1000, 0)
 	for range 7 {
-		b.CountRetry("s", now)
+		b.RecordRetry("s", now)
 	}
 	if b.Take("s", now) {
 		t.Error("after all seven usable retries: got one more, want none")
--- a/internal/delivery/session.go
+++ b/internal/delivery/session.go
@@ -127,7 +127,7 @@
 	}
 	if t := s.deliverer.backoffs.Until(u.Name, time.Now()); !t.IsZero() {
 		s.avoid[u.Name] = true
-		return nil, fail.WithRetryAt(fail.New(fail.NotRun, origin, string(policy.ReasonResting), "the upstream asked for back-off"), t)
+		return nil, fail.WithRetryAt(fail.New(fail.NotRun, origin, string(policy.ReasonBackOff), "the upstream asked for back-off"), t)
 	}
 	if p.Stale(time.Now()) {
 		return nil, fail.WithRetryAt(fail.New(fail.NotRun, origin, "stale_place", "the reserved place has expired"), time.Now())
--- a/internal/explain/reason.go
+++ b/internal/explain/reason.go
@@ -57,5 +57,5 @@
 	policy.ShortageReport:  "the engine to take new work",
 	policy.ShortageStalled: "generations at the engine that stood still",
 	policy.ShortageStarts:  "the engine to bear another start",
-	policy.ShortageTurn:    "its turn, behind other work",
+	policy.ShortageRank:    "its turn, behind other work",
 }
--- a/internal/health/backoffs.go
+++ b/internal/health/backoffs.go
@@ -80,7 +80,7 @@
 	if earliest.IsZero() {
 		return nil
 	}
-	return fail.WithRetryAt(fail.New(fail.NotRun, p, string(policy.ReasonResting), "every upstream has requested back-off"), earliest)
+	return fail.WithRetryAt(fail.New(fail.NotRun, p, string(policy.ReasonBackOff), "every upstream has requested back-off"), earliest)
 }
 
 // Avoid returns the upstreams not to choose from l: those in avoid, those that requested back-off,
--- a/internal/measure/boxes.go
+++ b/internal/measure/boxes.go
@@ -28,7 +28,7 @@
 			s.route(r)
 			return
 		}
-		a, l := e.owner.Ask(&r.work, s.now), e.owner.Load(s.now)
+		a, l := e.owner.RequestPlace(&r.work, s.now), e.owner.Load(s.now)
 		s.after(messageDelay, func() {
 			r.box.router.UpdateLoad(l)
 			s.handleAnswer(r, e, a)
--- a/internal/ownership/assign.go
+++ b/internal/ownership/assign.go
@@ -11,7 +11,7 @@
 // considers alive.
 func (o *Owners) Owns(u *resource.Upstream) bool {
 	s := o.members.Self()
-	return policy.First(u.Name, o.members.Alive(u.Spec.Hall)) == s.Name
+	return policy.HighestRanked(u.Name, o.members.Alive(u.Spec.Hall)) == s.Name
 }
 
 // assign recomputes which upstreams this box owns, if the boxes or the configuration have
@@ -29,7 +29,7 @@
 	for _, u := range o.view.Upstreams(func(u *resource.Upstream) bool {
 		return u.Spec.Type == resource.UpstreamEngine && u.Spec.Hall == s.Hall
 	}) {
-		if alive.First(u.Name) == s.Name {
+		if alive.HighestRanked(u.Name) == s.Name {
 			o.getOrCreate(u.Name)
 		}
 	}
--- a/internal/ownership/cold_test.go
+++ b/internal/ownership/cold_test.go
@@ -38,10 +38,10 @@
 					WithColdStartLimits(ColdStartLimits{Overage: 1, Slack: 2}))
 				o.ReadLoad = func(context.Context, string) (*upstream.Load, error) { return &upstream.Load{AsOf: time.Now()}, nil }
 				run, stop := context.WithCancel(t.Context())
-				ran := make(chan struct{})
+				done := make(chan struct{})
 				go func() {
 					o.Run(run)
-					close(ran)
+					close(done)
 				}()
 				time.Sleep(x.age)
 				applyChange(v, 1, resource.SourceUpstreams, resource.KindUpstream, "u1",
@@ -51,7 +51,7 @@
 				started := make(chan string, 20)
 				for i := range 20 {
 					w := policy.Work{Arrived: time.Now(), Deadline: time.Now().Add(time.Minute), ID: fmt.Sprint(i), MaxTokens: 10, Model: "llm/m", Prompt: 10}
-					go o.Ask(ctx, &box.PlacementRequest{Upstream: "u1", Work: w}, func(r *box.Reply) error {
+					go o.RequestPlace(ctx, &box.PlacementRequest{Upstream: "u1", Work: w}, func(r *box.Reply) error {
 						if r.Answer.Verdict == policy.VerdictStart {
 							started <- w.ID
 						}
@@ -61,7 +61,7 @@
 				<-ctx.Done()
 				synctest.Wait()
 				stop()
-				<-ran
+				<-done
 				if got := len(started); got != x.want {
 					t.Errorf("started: got %d, want %d", got, x.want)
 				}
--- a/internal/ownership/evacuation_test.go
+++ b/internal/ownership/evacuation_test.go
@@ -34,25 +34,25 @@
 		o := New(v, member.NewTable(box.Member{Hall: "a", Name: "box-1", State: box.StateServing}), policy.NewLengths(), metric.NewSet(), slog.New(slog.DiscardHandler))
 		o.ReadLoad = func(context.Context, string) (*upstream.Load, error) { return &upstream.Load{AsOf: time.Now()}, nil }
 		ctx, cancel := context.WithCancel(t.Context())
-		ran := make(chan struct{})
+		done := make(chan struct{})
 		go func() {
 			o.Run(ctx)
-			close(ran)
+			close(done)
 		}()
 		time.Sleep(5 * time.Second)
-		ask := func(id string) chan *policy.Answer {
+		request := func(id string) chan *policy.Answer {
 			c := make(chan *policy.Answer, 4)
 			w := policy.Work{Arrived: time.Now(), Deadline: time.Now().Add(time.Minute), ID: id, MaxTokens: 100, Model: "m", Prompt: 3000}
-			go o.Ask(ctx, &box.PlacementRequest{Upstream: "u1", Work: w}, func(r *box.Reply) error {
+			go o.RequestPlace(ctx, &box.PlacementRequest{Upstream: "u1", Work: w}, func(r *box.Reply) error {
 				c <- r.Answer
 				return nil
 			})
 			return c
 		}
-		if a := <-ask("first"); a.Verdict != policy.VerdictStart {
+		if a := <-request("first"); a.Verdict != policy.VerdictStart {
 			t.Fatalf("first request: got %+v, want a place", a)
 		}
-		queued := ask("waits")
+		queued := request("waits")
 		if a := <-queued; a.Verdict != policy.VerdictQueue {
 			t.Fatalf("second request: got %+v, want it queued", a)
 		}
@@ -61,20 +61,20 @@
 		if a := <-queued; a.Reason != policy.ReasonEvacuated || !a.RetryAt.After(began) {
 			t.Errorf("queued request: got %+v, want a refusal with a retry time", a)
 		}
-		if got, most := time.Since(began), assignInterval+2*tickInterval; got > most {
-			t.Errorf("queued request: refused after %v, want at most %v", got, most)
+		if got, limit := time.Since(began), assignInterval+2*tickInterval; got > limit {
+			t.Errorf("queued request: refused after %v, want at most %v", got, limit)
 		}
-		if a := <-ask("new"); a.Reason != policy.ReasonEvacuated {
+		if a := <-request("new"); a.Reason != policy.ReasonEvacuated {
 			t.Errorf("new request: got %+v, want a refusal", a)
 		}
 		applyChange(v, 3, resource.SourceEvacuations, resource.KindEvacuation, "e", `{"hall":"a"}`, true)
 		time.Sleep(time.Second)
-		o.Update(&box.ProgressReport{Upstream: "u1", Items: []box.GenerationProgress{{Released: true, ID: "first"}}})
-		if a := <-ask("back"); a.Verdict != policy.VerdictStart {
+		o.RecordProgress(&box.ProgressReport{Upstream: "u1", Items: []box.GenerationProgress{{Released: true, ID: "first"}}})
+		if a := <-request("back"); a.Verdict != policy.VerdictStart {
 			t.Errorf("after the evacuation is withdrawn: got %+v, want a place", fmt.Sprint(a))
 		}
 		cancel()
-		<-ran
+		<-done
 	})
 }
 
@@ -90,27 +90,27 @@
 		v := resource.NewView()
 		applyChange(v, 1, resource.SourceUpstreams, resource.KindUpstream, "u1", `{"address":"http://u1","hall":"a","models":["m"],"kvTokens":4000,"maxBatch":8,"type":"engine"}`, false)
 		o := New(v, member.NewTable(box.Member{Hall: "a", Name: "box-1", State: box.StateServing}), policy.NewLengths(), metric.NewSet(), slog.New(slog.DiscardHandler))
-		ask := func(id string) policy.Answer {
+		request := func(id string) policy.Answer {
 			var a policy.Answer
 			w := policy.Work{Arrived: time.Now(), Deadline: time.Now().Add(time.Minute), ID: id, MaxTokens: 10, Model: "m", Prompt: 10}
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			o.Ask(ctx, &box.PlacementRequest{Upstream: "u1", Work: w}, func(r *box.Reply) error {
+			o.RequestPlace(ctx, &box.PlacementRequest{Upstream: "u1", Work: w}, func(r *box.Reply) error {
 				a = *r.Answer
 				cancel()
 				return nil
 			})
 			return a
 		}
-		if a := ask("before"); a.Reason == policy.ReasonEvacuated {
+		if a := request("before"); a.Reason == policy.ReasonEvacuated {
 			t.Fatalf("before: got %+v, want no refusal for an evacuation", a)
 		}
 		applyChange(v, 2, resource.SourceEvacuations, resource.KindEvacuation, "e", `{"hall":"a"}`, false)
-		if a := ask("evacuated"); a.Reason != policy.ReasonEvacuated {
+		if a := request("evacuated"); a.Reason != policy.ReasonEvacuated {
 			t.Errorf("evacuated: got %+v, want a refusal", a)
 		}
 		applyChange(v, 3, resource.SourceEvacuations, resource.KindEvacuation, "e", `{"hall":"a"}`, true)
-		if a := ask("withdrawn"); a.Reason == policy.ReasonEvacuated {
+		if a := request("withdrawn"); a.Reason == policy.ReasonEvacuated {
 			t.Errorf("withdrawn: got %+v, want no refusal for an evacuation", a)
 		}
 	})
--- a/internal/ownership/moveturns_test.go
+++ b/internal/ownership/moveturns_test.go
@@ -15,8 +15,8 @@
 // then the others, those with most tokens left first.
 func TestTurnsGoOneByOneInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var turns MoveTurns
-		release, err := turns.Acquire(t.Context(), "u", false, &policy.Run{ID: "holder"})
+		var slots MoveSlots
+		release, err := slots.Acquire(t.Context(), "u", false, &policy.Run{ID: "holder"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -29,7 +29,7 @@
 			{ID: "less-urgent", Priority: 8, Left: 900, Tokens: 10},
 		} {
 			go func() {
-				release, err := turns.Acquire(t.Context(), "u", false, &r)
+				release, err := slots.Acquire(t.Context(), "u", false, &r)
 				if err != nil {
 					t.Error(err)
 					return
@@ -43,7 +43,7 @@
 		if len(got) != 0 {
 			t.Errorf("turns granted while one is held: got %d, want none", len(got))
 		}
-		other, err := turns.Acquire(t.Context(), "u", true, &policy.Run{ID: "arrives"})
+		other, err := slots.Acquire(t.Context(), "u", true, &policy.Run{ID: "arrives"})
 		if err != nil {
 			t.Errorf("incoming turn: got error %v, want it granted while the outgoing one is held", err)
 		}
@@ -62,12 +62,12 @@
 // afterwards, twice: the turn must go to the next run that still waits, and no queue may remain.
 func TestTurnsPassThoseWhoGiveUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var turns MoveTurns
-		release, _ := turns.Acquire(t.Context(), "u", false, &policy.Run{ID: "holder"})
+		var slots MoveSlots
+		release, _ := slots.Acquire(t.Context(), "u", false, &policy.Run{ID: "holder"})
 		ctx, cancel := context.WithCancel(t.Context())
 		for i := range 3 {
 			go func() {
-				if _, err := turns.Acquire(ctx, "u", false, &policy.Run{ID: fmt.Sprint(i), Priority: 9}); err == nil {
+				if _, err := slots.Acquire(ctx, "u", false, &policy.Run{ID: fmt.Sprint(i), Priority: 9}); err == nil {
 					t.Error("got a turn after its context was cancelled, want an error")
 				}
 			}()
@@ -77,13 +77,13 @@
 		synctest.Wait()
 		release()
 		release()
-		last, err := turns.Acquire(t.Context(), "u", false, &policy.Run{ID: "last"})
+		last, err := slots.Acquire(t.Context(), "u", false, &policy.Run{ID: "last"})
 		if err != nil {
 			t.Fatal(err)
 		}
 		last()
-		if len(turns.queues) != 0 {
-			t.Errorf("queues left: got %d, want none", len(turns.queues))
+		if len(slots.queues) != 0 {
+			t.Errorf("queues left: got %d, want none", len(slots.queues))
 		}
 	})
 }
--- a/internal/ownership/ownedupstream.go
+++ b/internal/ownership/ownedupstream.go
@@ -49,9 +49,9 @@
 	}, time.Now())
 }
 
-// beginReport reports whether the upstream's load report is due, and if so marks it as being
-// read. Each call that returns true must be followed by endReport.
-func (x *ownedUpstream) beginReport(now time.Time, interval time.Duration) bool {
+// beginReportRead reports whether the upstream's load report is due, and if so marks it as being
+// read. Each call that returns true must be followed by endReportRead.
+func (x *ownedUpstream) beginReportRead(now time.Time, interval time.Duration) bool {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	if x.readingReport || now.Sub(x.reportReadAt) < interval {
@@ -62,8 +62,8 @@
 	return true
 }
 
-// endReport marks the load report as no longer being read.
-func (x *ownedUpstream) endReport() {
+// endReportRead marks the load report as no longer being read.
+func (x *ownedUpstream) endReportRead() {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	x.readingReport = false
@@ -104,9 +104,9 @@
 	}
 }
 
-// reportFailed counts a failed read of the load report, and returns the number of consecutive
+// countReportFailure counts a failed read of the load report, and returns the number of consecutive
 // failures.
-func (x *ownedUpstream) reportFailed() int {
+func (x *ownedUpstream) countReportFailure() int {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	x.reportFailures++
--- a/internal/ownership/owners.go
+++ b/internal/ownership/owners.go
@@ -113,10 +113,10 @@
 	return func(o *Owners) { o.reportInterval = d }
 }
 
-// Ask answers a request for a place: immediately, and if the work is queued, a second time when
+// RequestPlace answers a request for a place: immediately, and if the work is queued, a second time when
 // it gets a place or is refused. It returns after the final answer or when ctx ends. Work whose
 // caller has disconnected is removed from the queue.
-func (o *Owners) Ask(ctx context.Context, a *box.PlacementRequest, answer func(*box.Reply) error) {
+func (o *Owners) RequestPlace(ctx context.Context, a *box.PlacementRequest, answer func(*box.Reply) error) {
 	x := o.getOrCreate(a.Upstream)
 	if x == nil {
 		_ = answer(&box.Reply{Answer: refusal(a, policy.ReasonNoUpstream), Revisions: o.view.Revisions()})
@@ -125,7 +125,7 @@
 	now := time.Now()
 	x.mutex.Lock()
 	x.applyEntry(o.view.Upstream(a.Upstream)) // at least as recent as the view of the asking box
-	v := x.owner.Ask(&a.Work, now)
+	v := x.owner.RequestPlace(&a.Work, now)
 	var c chan policy.Answer
 	if v.Verdict == policy.VerdictQueue {
 		c = make(chan policy.Answer, 1)
@@ -187,10 +187,10 @@
 	o.refuseAllWaiting()
 }
 
-// Update records the progress of generations at an upstream. The reply holds its load and the
+// RecordProgress records the progress of generations at an upstream. The reply holds its load and the
 // IDs of generations that the owner does not know; the caller is to send the work of these again
 // in full.
-func (o *Owners) Update(u *box.ProgressReport) *box.Reply {
+func (o *Owners) RecordProgress(u *box.ProgressReport) *box.Reply {
 	x := o.getOrCreate(u.Upstream)
 	if x == nil {
 		return &box.Reply{Revisions: o.view.Revisions()}
@@ -239,7 +239,7 @@
 				return
 			}
 		}
-		if x.beginReport(now, o.currentReportInterval()) {
+		if x.beginReportRead(now, o.currentReportInterval()) {
 			select {
 			case reports <- x:
 			case <-ctx.Done():
@@ -294,7 +294,7 @@
 func (o *Owners) refuseAllWaiting() {
 	for _, x := range o.list() {
 		x.mutex.Lock()
-		x.refuseWaiting(policy.ReasonMoved)
+		x.refuseWaiting(policy.ReasonOwnerChanged)
 		x.mutex.Unlock()
 	}
 }
@@ -320,7 +320,7 @@
 func (o *Owners) tick(x *ownedUpstream) {
 	x.mutex.Lock()
 	if !x.assigned {
-		x.refuseWaiting(policy.ReasonMoved)
+		x.refuseWaiting(policy.ReasonOwnerChanged)
 	}
 	x.grantNext(time.Now())
 	unused := !x.assigned && x.owner.Running() == 0 && len(x.waiters) == 0
--- a/internal/ownership/reports.go
+++ b/internal/ownership/reports.go
@@ -11,7 +11,7 @@
 
 // readReport reads and applies an upstream's load report.
 func (o *Owners) readReport(ctx context.Context, x *ownedUpstream) {
-	defer x.endReport()
+	defer x.endReportRead()
 	u := o.view.Upstream(x.owner.Upstream)
 	if u == nil || (o.BackedOff != nil && o.BackedOff(u.Name)) {
 		return
@@ -24,7 +24,7 @@
 		o.OnLeaving(u)
 	}
 	if err != nil {
-		if x.reportFailed() == 1 && ctx.Err() == nil {
+		if x.countReportFailure() == 1 && ctx.Err() == nil {
 			event.ReportMissing.Log(o.log, "upstream", u.Name, "error", err.Error())
 		}
 		o.metrics.Add(metric.UpstreamReportErrors, 1)
--- a/internal/placement/reserved.go
+++ b/internal/placement/reserved.go
@@ -18,13 +18,13 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// Reserved reserves a place with the owner of an upstream before anything is sent to the
+// Reserver reserves a place with the owner of an upstream before anything is sent to the
 // upstream. It is safe for concurrent use.
-type Reserved struct {
-	// AskLocal asks the owner of an upstream on this box. It must be set before Place is called.
-	AskLocal func(ctx context.Context, a *box.PlacementRequest, answer func(*box.Reply) error)
-	// Call asks the owner of an upstream on another box. It must be set before Place is called.
-	Call func(ctx context.Context, owner string, a *box.PlacementRequest, answer func(*box.Reply) error) error
+type Reserver struct {
+	// RequestLocal asks the owner of an upstream on this box. It must be set before Place is called.
+	RequestLocal func(ctx context.Context, a *box.PlacementRequest, answer func(*box.Reply) error)
+	// RequestRemote asks the owner of an upstream on another box. It must be set before Place is called.
+	RequestRemote func(ctx context.Context, owner string, a *box.PlacementRequest, answer func(*box.Reply) error) error
 
 	candidates *candidateCache
 	loadAge    *metrics.Histogram
@@ -39,26 +39,26 @@
 // rerouteInterval is how often queued work checks for a better upstream.
 const rerouteInterval = time.Second
 
-// NewReserved returns a Reserved for the upstreams in v.
-func NewReserved(v *resource.View, m *member.Table, l *policy.Lengths, s *metric.Set, seed uint64) *Reserved {
-	return &Reserved{candidates: newCandidateCache(v, m), loadAge: s.Histogram(metric.LoadAge), members: m, metrics: s, prompts: policy.NewPrompts(), router: policy.NewRouter(l, seed), view: v}
+// NewReserver returns a Reserved for the upstreams in v.
+func NewReserver(v *resource.View, m *member.Table, l *policy.Lengths, s *metric.Set, seed uint64) *Reserver {
+	return &Reserver{candidates: newCandidateCache(v, m), loadAge: s.Histogram(metric.LoadAge), members: m, metrics: s, prompts: policy.NewPrompts(), router: policy.NewRouter(l, seed), view: v}
 }
 
-// Guess returns the upstream that seems best for w without asking its owner, or nil. It is meant
+// ChooseLocally returns the upstream that seems best for w without asking its owner, or nil. It is meant
 // for work that should run even if no place could be reserved.
-func (p *Reserved) Guess(w *policy.Work, avoid map[string]bool) *resource.Upstream {
+func (p *Reserver) ChooseLocally(w *policy.Work, avoid map[string]bool) *resource.Upstream {
 	return p.view.Upstream(p.route(w, avoid))
 }
 
 // Place reserves a place for w at an upstream that is not in avoid. Its errors are of kind
 // fail.NotRun: nothing was sent to any upstream.
-func (p *Reserved) Place(ctx context.Context, w *policy.Work, avoid map[string]bool) (*Place, error) {
+func (p *Reserver) Place(ctx context.Context, w *policy.Work, avoid map[string]bool) (*Place, error) {
 	ctx, cancel := context.WithDeadline(ctx, waitDeadline(w))
 	defer cancel()
 	if !w.Moved {
 		w.Large = p.observePrompt(w)
 	}
-	s := &search{placement: p, queued: make(map[string]bool), skip: make(map[string]bool, len(avoid)), work: w}
+	s := &search{reserver: p, queued: make(map[string]bool), skip: make(map[string]bool, len(avoid)), work: w}
 	for n := range avoid {
 		s.skip[n] = true
 	}
@@ -71,7 +71,7 @@
 }
 
 // RecordLoad records the load of an upstream as reported by its owner; nil is ignored.
-func (p *Reserved) RecordLoad(l *policy.Load) {
+func (p *Reserver) RecordLoad(l *policy.Load) {
 	if l == nil {
 		return
 	}
@@ -80,14 +80,14 @@
 	p.router.UpdateLoad(*l)
 }
 
-// ask asks u's owner for a place and returns its final answer. While w is queued it waits for at
+// requestPlace asks u's owner for a place and returns its final answer. While w is queued it waits for at
 // most the given time, after which it returns errQueued, or until a much better upstream is
 // known, in which case it returns a rerouteError.
-func (p *Reserved) ask(ctx context.Context, u *resource.Upstream, w *policy.Work, wait time.Duration) (*policy.Answer, error) {
-	owner := policy.First(u.Name, p.members.Alive(u.Spec.Hall))
-	place := fail.Origin{Peer: "box " + owner, Step: "ask"}
+func (p *Reserver) requestPlace(ctx context.Context, u *resource.Upstream, w *policy.Work, wait time.Duration) (*policy.Answer, error) {
+	owner := policy.HighestRanked(u.Name, p.members.Alive(u.Spec.Hall))
+	origin := fail.Origin{Peer: "box " + owner, Step: "ask"}
 	if owner == "" {
-		return nil, fail.New(fail.NotRun, place, "no_owner", "no box is known in hall %q", u.Spec.Hall)
+		return nil, fail.New(fail.NotRun, origin, "no_owner", "no box is known in hall %q", u.Spec.Hall)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -109,7 +109,7 @@
 				return nil, errQueued
 			}
 		case err := <-failed:
-			return p.drainReplies(ctx, err, replies, owner, began, place)
+			return p.drainReplies(ctx, err, replies, owner, began, origin)
 		case <-t.C:
 			if to := p.betterUpstream(w, u.Name); to != "" {
 				return nil, rerouteError{to}
@@ -127,8 +127,8 @@
 // backOff counts a retry and waits before the next request, for a time that depends on the
 // number of consecutive failures; err is the last of them, or nil if the upstream has another
 // owner now.
-func (p *Reserved) backOff(ctx context.Context, failures int, err error) {
-	r := string(policy.ReasonMoved)
+func (p *Reserver) backOff(ctx context.Context, failures int, err error) {
+	r := string(policy.ReasonOwnerChanged)
 	if err != nil {
 		r = fail.Reason(err)
 	}
@@ -141,21 +141,21 @@
 
 // betterUpstream returns an upstream that is much better for w than the one where it is queued,
 // or "".
-func (p *Reserved) betterUpstream(w *policy.Work, at string) string {
+func (p *Reserver) betterUpstream(w *policy.Work, current string) string {
 	now := time.Now()
 	c := p.candidates.get(w, now)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.router.BetterUpstream(w, at, c, now)
+	return p.router.BetterUpstream(w, current, c, now)
 }
 
 // chooseUpstream returns the upstream to ask for a place, or nil if none of those left has an
 // owner that can be asked. It returns an error if no upstream is left.
-func (p *Reserved) chooseUpstream(w *policy.Work, skip map[string]bool, next string) (*resource.Upstream, error) {
+func (p *Reserver) chooseUpstream(w *policy.Work, skip map[string]bool, next string) (*resource.Upstream, error) {
 	if next == "" {
 		next = p.route(w, skip)
 	}
-	if next == "" && !p.upstreamLeft(w, skip) {
+	if next == "" && !p.hasUpstream(w, skip) {
 		return nil, fail.WithRetryAt(fail.New(fail.NotRun, fail.Origin{Peer: "upstreams", Step: "choose"},
 			string(p.unavailableReason(w)), "no upstream takes new work for model %q", w.Model), time.Now().Add(time.Second))
 	}
@@ -165,7 +165,7 @@
 // drainReplies returns the final answer if it is still buffered in replies after the exchange
 // has ended, or else the exchange's error. Without an answer it also marks the owner as failed,
 // unless the owner is this box or ctx has ended.
-func (p *Reserved) drainReplies(ctx context.Context, err error, replies <-chan *box.Reply, owner string, began time.Time, place fail.Origin) (*policy.Answer, error) {
+func (p *Reserver) drainReplies(ctx context.Context, err error, replies <-chan *box.Reply, owner string, began time.Time, origin fail.Origin) (*policy.Answer, error) {
 	for {
 		select {
 		case r := <-replies:
@@ -179,15 +179,15 @@
 			p.members.RecordFailure(owner, began, time.Now())
 		}
 		if err == nil {
-			err = fail.New(fail.Unavailable, place, "owner_lost", "the owner ended the call without a final answer")
+			err = fail.New(fail.Unavailable, origin, "owner_lost", "the owner ended the call without a final answer")
 		}
 		return nil, err
 	}
 }
 
 // exchange sends one request for a place and forwards the replies until the last.
-func (p *Reserved) exchange(ctx context.Context, owner string, a *box.PlacementRequest, replies chan<- *box.Reply) error {
-	pass := func(r *box.Reply) error {
+func (p *Reserver) exchange(ctx context.Context, owner string, a *box.PlacementRequest, replies chan<- *box.Reply) error {
+	forward := func(r *box.Reply) error {
 		select {
 		case replies <- r:
 			return nil
@@ -196,15 +196,15 @@
 		}
 	}
 	if owner == p.members.Self().Name {
-		p.AskLocal(ctx, a, pass)
+		p.RequestLocal(ctx, a, forward)
 		return nil
 	}
-	return p.Call(ctx, owner, a, pass)
+	return p.RequestRemote(ctx, owner, a, forward)
 }
 
 // finalAnswer records the load in a reply and returns its answer, or nil if the work is queued,
 // so that another answer follows.
-func (p *Reserved) finalAnswer(r *box.Reply) *policy.Answer {
+func (p *Reserver) finalAnswer(r *box.Reply) *policy.Answer {
 	p.RecordLoad(r.Load)
 	if r.Answer == nil || r.Answer.Verdict == policy.VerdictQueue {
 		return nil
@@ -214,7 +214,7 @@
 
 // observePrompt records the size of the prompt of w, and reports whether it is large for its
 // kind of work.
-func (p *Reserved) observePrompt(w *policy.Work) bool {
+func (p *Reserver) observePrompt(w *policy.Work) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.prompts.Observe(w)
@@ -240,7 +240,7 @@
 
 // route returns the name of the upstream to ask for a place, or "" if all candidates are in
 // skip.
-func (p *Reserved) route(w *policy.Work, skip map[string]bool) string {
+func (p *Reserver) route(w *policy.Work, skip map[string]bool) string {
 	now := time.Now()
 	c := p.candidates.get(w, now)
 	p.mutex.Lock()
@@ -253,7 +253,7 @@
 }
 
 // unavailableReason returns why no upstream accepts w.
-func (p *Reserved) unavailableReason(w *policy.Work) policy.Reason {
+func (p *Reserver) unavailableReason(w *policy.Work) policy.Reason {
 	for _, u := range p.view.UpstreamsOfModel(w.Model) {
 		if u.Evacuated() {
 			return policy.ReasonEvacuated
@@ -262,8 +262,8 @@
 	return policy.ReasonNoUpstream
 }
 
-// upstreamLeft reports whether any upstream outside skip serves w's model and accepts new work.
-func (p *Reserved) upstreamLeft(w *policy.Work, skip map[string]bool) bool {
+// hasUpstream reports whether any upstream outside skip serves w's model and accepts new work.
+func (p *Reserver) hasUpstream(w *policy.Work, skip map[string]bool) bool {
 	now := time.Now()
 	for _, u := range p.view.UpstreamsOfModel(w.Model) {
 		if u.AcceptsWork(now) && !skip[u.Name] {
@@ -275,10 +275,10 @@
 
 // waitError returns the error for work that got no place before its deadline or before its
 // caller disconnected.
-func (p *Reserved) waitError(ctx context.Context, w *policy.Work) error {
-	place := fail.Origin{Peer: "upstreams", Step: "wait for a place"}
+func (p *Reserver) waitError(ctx context.Context, w *policy.Work) error {
+	origin := fail.Origin{Peer: "upstreams", Step: "wait for a place"}
 	if time.Now().Before(waitDeadline(w)) {
-		return fail.Wrap(fail.NotRun, place, "caller_gone", ctx.Err())
+		return fail.Wrap(fail.NotRun, origin, "caller_gone", ctx.Err())
 	}
-	return fail.WithRetryAt(fail.New(fail.NotRun, place, string(policy.ReasonDeadline), "the deadline passed while waiting for a place"), time.Now())
+	return fail.WithRetryAt(fail.New(fail.NotRun, origin, string(policy.ReasonDeadline), "the deadline passed while waiting for a place"), time.Now())
 }
--- a/internal/placement/reserved_test.go
+++ b/internal/placement/reserved_test.go
@@ -15,10 +15,10 @@
 	for _, n := range []int{45, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			v, m := testView(n, 300)
-			p := NewReserved(v, m, policy.NewLengths(), metric.NewSet(), 1)
+			p := NewReserver(v, m, policy.NewLengths(), metric.NewSet(), 1)
 			w := &policy.Work{Arrived: time.Now(), Deadline: time.Now().Add(time.Minute), ID: "x", MaxTokens: 400, Model: "m", Prefix: 7, Prompt: 3000, Workspace: "w"}
 			for b.Loop() {
-				p.Guess(w, nil)
+				p.ChooseLocally(w, nil)
 			}
 		})
 	}
@@ -28,7 +28,7 @@
 // each.
 func BenchmarkPlan(b *testing.B) {
 	v, m := testView(45, 75)
-	p := NewReserved(v, m, policy.NewLengths(), metric.NewSet(), 1)
+	p := NewReserver(v, m, policy.NewLengths(), metric.NewSet(), 1)
 	var runs []policy.Run
 	for i := range 24 {
 		runs = append(runs, policy.Run{ID: fmt.Sprint(i), Left: 40 * (i % 7), Tokens: 3000 + 100*(i%11)})
@@ -38,7 +38,7 @@
 		l := slices.Clone(runs)
 		slices.SortFunc(l, func(x, y policy.Run) int { return policy.CompareRuns(&x, &y, 10*time.Millisecond) })
 		for range l {
-			p.Guess(w, nil)
+			p.ChooseLocally(w, nil)
 		}
 	}
 }
--- a/internal/placement/search.go
+++ b/internal/placement/search.go
@@ -18,7 +18,7 @@
 	failures        int       // consecutive requests for a place that no owner answered
 	unansweredSince time.Time // when the first of them failed
 	preferred       string    // the upstream to ask next, if a better one is known
-	placement       *Reserved
+	reserver        *Reserver
 	queued          map[string]bool // upstreams that would queue the work, in this round
 	rounds          int             // waits in the queue of one upstream that ended without a place
 	refusals        int             // upstreams that refused, except for an evacuation
@@ -34,14 +34,14 @@
 	// refused in the end wait until they disconnect.
 	maxRefusals      = 3
 	maxRefusalsLarge = 6
-	// maxProbes and maxProbesAway are how many upstreams are probed, in any hall and then in
+	// maxProbes and maxProbesOtherHalls are how many upstreams are probed, in any hall and then in
 	// other halls, before the work waits in the queue of one; a probe takes 3 ms. Limits of 4
 	// and 4 cost 0.012 of the worth of overloaded benchmark days (mean of three). Later rounds,
 	// of which there are many when all engines are full, probe fewer.
-	maxProbes          = 8
-	maxProbesAway      = 8
-	maxProbesLater     = 2
-	maxProbesAwayLater = 2
+	maxProbes                = 8
+	maxProbesOtherHalls      = 8
+	maxLaterProbes           = 2
+	maxLaterProbesOtherHalls = 2
 	// initialQueueWait is how long work waits in the queue of one upstream before it probes
 	// others again. Places become free elsewhere meanwhile: with 80 streams ending per second,
 	// one ends every 12 ms. Probing again is worth 0.016 of overloaded benchmark days and 0.040
@@ -65,7 +65,7 @@
 // request a probe. Upstreams that would queue the work are passed over until the limits of
 // probes are reached.
 func (s *search) choose() (u *resource.Upstream, wait time.Duration, err error) {
-	p := s.placement
+	p := s.reserver
 	next := s.preferred
 	s.preferred = ""
 	anyHall, otherHalls := s.probeLimits()
@@ -85,9 +85,9 @@
 // halls.
 func (s *search) probeLimits() (anyHall, otherHalls int) {
 	if s.rounds > 0 {
-		return maxProbesLater, maxProbesAwayLater
+		return maxLaterProbes, maxLaterProbesOtherHalls
 	}
-	return maxProbes, maxProbesAway
+	return maxProbes, maxProbesOtherHalls
 }
 
 // nextProbe returns the next upstream to probe, at which the work might start at once, or nil.
@@ -95,7 +95,7 @@
 // a run there ends if the halls are disconnected, but work that is queued starts late. A run
 // that is being moved is limited to the first anyHall.
 func (s *search) nextProbe(anyHall int) *resource.Upstream {
-	p, w := s.placement, s.work
+	p, w := s.reserver, s.work
 	exclude := maps.Clone(s.skip)
 	maps.Copy(exclude, s.queued)
 	if len(s.queued) < anyHall {
@@ -116,14 +116,14 @@
 // step asks one upstream for a place. If it returns neither a place nor an error, the search
 // continues.
 func (s *search) step(ctx context.Context) (*Place, error) {
-	p := s.placement
+	p := s.reserver
 	u, wait, err := s.choose()
 	if err != nil {
 		return nil, err
 	}
 	var a *policy.Answer
 	if u != nil {
-		a, err = p.ask(ctx, u, s.work, wait)
+		a, err = p.requestPlace(ctx, u, s.work, wait)
 	}
 	var m rerouteError
 	switch {
@@ -138,7 +138,7 @@
 		return nil, p.waitError(ctx, s.work)
 	case a != nil && a.Verdict == policy.VerdictStart:
 		return &Place{GrantedAt: time.Now(), Upstream: u}, nil
-	case a != nil && a.Reason != policy.ReasonMoved:
+	case a != nil && a.Reason != policy.ReasonOwnerChanged:
 		return nil, s.handleRefusal(u, a)
 	}
 	return nil, s.handleFailure(ctx, err)
@@ -174,7 +174,7 @@
 	if time.Since(s.unansweredSince) > ownerTimeout {
 		return noOwnerError(s.work, err)
 	}
-	s.placement.backOff(ctx, s.failures, err)
+	s.reserver.backOff(ctx, s.failures, err)
 	return nil
 }
 
@@ -186,7 +186,7 @@
 		s.refusals++
 	}
 	s.unansweredSince, s.failures = time.Time{}, 0
-	if s.refusals >= s.refusalLimit() || !s.placement.upstreamLeft(s.work, s.skip) {
+	if s.refusals >= s.refusalLimit() || !s.reserver.hasUpstream(s.work, s.skip) {
 		return refusalError(u.Name, a)
 	}
 	return nil
--- a/internal/placement/search_test.go
+++ b/internal/placement/search_test.go
@@ -18,12 +18,12 @@
 // newFullHalls returns a Reserved with 60 engines in three halls. The engines of the halls named
 // are full and queue all work; the others start it. asked returns the number of requests for
 // places by hall.
-func newFullHalls(full ...string) (p *Reserved, asked func() map[string]int) {
+func newFullHalls(full ...string) (p *Reserver, requestCounts func() map[string]int) {
 	v, m := testView(60, 6)
-	p = NewReserved(v, m, policy.NewLengths(), metric.NewSet(), 1)
+	p = NewReserver(v, m, policy.NewLengths(), metric.NewSet(), 1)
 	var mutex sync.Mutex // a cancelled request may still be in progress
 	counts := make(map[string]int)
-	asked = func() map[string]int {
+	requestCounts = func() map[string]int {
 		mutex.Lock()
 		defer mutex.Unlock()
 		return maps.Clone(counts)
@@ -40,12 +40,12 @@
 		_ = answer(&box.Reply{Answer: &policy.Answer{ID: a.Work.ID, Verdict: policy.VerdictQueue}})
 		<-ctx.Done()
 	}
-	p.AskLocal = answer
-	p.Call = func(ctx context.Context, _ string, a *box.PlacementRequest, f func(*box.Reply) error) error {
+	p.RequestLocal = answer
+	p.RequestRemote = func(ctx context.Context, _ string, a *box.PlacementRequest, f func(*box.Reply) error) error {
 		answer(ctx, a, f)
 		return ctx.Err()
 	}
-	return p, asked
+	return p, requestCounts
 }
 
 // TestFullHallIsLeftBeforeWorkWaits guards against work that waits in the queue of its own hall
@@ -54,7 +54,7 @@
 // halls are disconnected.
 func TestFullHallIsLeftBeforeWorkWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, asked := newFullHalls("h0")
+		p, requestCounts := newFullHalls("h0")
 		for range 20 {
 			began := time.Now()
 			w := &policy.Work{Arrived: began, Deadline: began.Add(time.Minute), FirstBy: began.Add(7 * time.Second), ID: "id", MaxTokens: 400, Model: "m", Prompt: 3000}
@@ -63,8 +63,8 @@
 				t.Fatalf("got %+v %v, want a place in another hall", v, err)
 			}
 		}
-		if got, most := asked()["h0"], 20*maxProbes; got > most {
-			t.Errorf("requests in the full hall: got %d, want at most %d", got, most)
+		if got, limit := requestCounts()["h0"], 20*maxProbes; got > limit {
+			t.Errorf("requests in the full hall: got %d, want at most %d", got, limit)
 		}
 	})
 }
@@ -87,13 +87,13 @@
 			_ = f(&box.Reply{Answer: &policy.Answer{ID: a.Work.ID, Verdict: policy.VerdictStart}})
 			return true
 		}
-		local, call := p.AskLocal, p.Call
-		p.AskLocal = func(ctx context.Context, a *box.PlacementRequest, f func(*box.Reply) error) {
+		local, call := p.RequestLocal, p.RequestRemote
+		p.RequestLocal = func(ctx context.Context, a *box.PlacementRequest, f func(*box.Reply) error) {
 			if !startIfFree(a, f) {
 				local(ctx, a, f)
 			}
 		}
-		p.Call = func(ctx context.Context, o string, a *box.PlacementRequest, f func(*box.Reply) error) error {
+		p.RequestRemote = func(ctx context.Context, o string, a *box.PlacementRequest, f func(*box.Reply) error) error {
 			if startIfFree(a, f) {
 				return nil
 			}
@@ -114,19 +114,19 @@
 // each hall are probed before the work waits in a queue.
 func TestWorkWaitsWhereAllHallsAreFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, asked := newFullHalls("h0", "h1", "h2")
+		p, requestCounts := newFullHalls("h0", "h1", "h2")
 		began := time.Now()
 		w := &policy.Work{Arrived: began, Deadline: began.Add(time.Minute), FirstBy: began.Add(initialQueueWait), ID: "id", MaxTokens: 400, Model: "m", Prompt: 750}
 		if v, err := p.Place(t.Context(), w, nil); err == nil {
 			t.Fatalf("got %+v, want no place", v)
 		}
 		total := 0
-		counts := asked()
+		counts := requestCounts()
 		for n := range maps.Values(counts) {
 			total += n
 		}
-		if most := maxProbes + maxProbesAway + 1; total > most || counts["h0"] == 0 || counts["h1"]+counts["h2"] == 0 {
-			t.Errorf("requests by hall: got %v, want some in the hall of the work and in the others, and at most %d", counts, most)
+		if limit := maxProbes + maxProbesOtherHalls + 1; total > limit || counts["h0"] == 0 || counts["h1"]+counts["h2"] == 0 {
+			t.Errorf("requests by hall: got %v, want some in the hall of the work and in the others, and at most %d", counts, limit)
 		}
 	})
 }
@@ -149,8 +149,8 @@
 			}
 			_ = f(&box.Reply{Answer: v})
 		}
-		p.AskLocal = answer
-		p.Call = func(ctx context.Context, _ string, a *box.PlacementRequest, f func(*box.Reply) error) error {
+		p.RequestLocal = answer
+		p.RequestRemote = func(ctx context.Context, _ string, a *box.PlacementRequest, f func(*box.Reply) error) error {
 			answer(ctx, a, f)
 			return nil
 		}
@@ -159,8 +159,8 @@
 			began := time.Now()
 			w := &policy.Work{Arrived: began, Deadline: began.Add(time.Minute), ID: "id", MaxTokens: 400, Model: "m", Prompt: 1000 + i%10*200}
 			_, err := p.Place(t.Context(), w, nil)
-			if got, most := time.Since(began), 40*time.Millisecond; got > most {
-				t.Errorf("answer: got it after %v, want it within %v", got, most)
+			if got, limit := time.Since(began), 40*time.Millisecond; got > limit {
+				t.Errorf("answer: got it after %v, want it within %v", got, limit)
 			}
 			if w.Large {
 				large++
@@ -169,8 +169,8 @@
 				}
 			}
 		}
-		if least := 55 * large / 100; large < 50 || placed < least {
-			t.Errorf("large prompts with a place: got %d of %d, want at least %d", placed, large, least)
+		if minimum := 55 * large / 100; large < 50 || placed < minimum {
+			t.Errorf("large prompts with a place: got %d of %d, want at least %d", placed, large, minimum)
 		}
 	})
 }
--- a/internal/placement/surge_test.go
+++ b/internal/placement/surge_test.go
@@ -39,18 +39,18 @@
 
 // surgeRoute describes the requests of one route.
 type surgeRoute struct {
-	name                string
-	perSecond           float64 // outside of the surge
-	prompt, promptSigma float64 // mean in tokens, and the standard deviation of the logarithm
-	output              float64 // mean in tokens
-	priority            int
-	deadline, patience  time.Duration
-	target              time.Duration
+	name                      string
+	perSecond                 float64 // outside of the surge
+	prompt, promptSigma       float64 // mean in tokens, and the standard deviation of the logarithm
+	output                    float64 // mean in tokens
+	priority                  int
+	deadline, firstTokenLimit time.Duration
+	target                    time.Duration
 }
 
 var surgeRoutes = []surgeRoute{
-	{name: "plan", perSecond: 9.4, prompt: 3080, promptSigma: 0.35, output: 740, priority: 9, deadline: 39 * time.Second, patience: 7200 * time.Millisecond, target: 1800 * time.Millisecond},
-	{name: "check", perSecond: 18.2, prompt: 2550, promptSigma: 0.5, output: 10, priority: 8, deadline: 6 * time.Second, patience: 6 * time.Second, target: 1500 * time.Millisecond},
+	{name: "plan", perSecond: 9.4, prompt: 3080, promptSigma: 0.35, output: 740, priority: 9, deadline: 39 * time.Second, firstTokenLimit: 7200 * time.Millisecond, target: 1800 * time.Millisecond},
+	{name: "check", perSecond: 18.2, prompt: 2550, promptSigma: 0.5, output: 10, priority: 8, deadline: 6 * time.Second, firstTokenLimit: 6 * time.Second, target: 1500 * time.Millisecond},
 }
 
 // surgeRequest is one request and its outcome.
@@ -76,7 +76,7 @@
 type surge struct {
 	requests  []*surgeRequest
 	engines   map[string]*surgeEngine
-	placement *Reserved
+	placement *Reserver
 	random    *rand.Rand
 }
 
@@ -100,21 +100,21 @@
 			scheduler: engine.NewScheduler(surgeEngineSettings), waiters: make(map[string]chan policy.Answer),
 		}
 	}
-	c.placement = NewReserved(v, m, l, metric.NewSet(), seed)
-	c.placement.AskLocal = c.ask
-	c.placement.Call = func(ctx context.Context, _ string, a *box.PlacementRequest, answer func(*box.Reply) error) error {
-		c.ask(ctx, a, answer)
+	c.placement = NewReserver(v, m, l, metric.NewSet(), seed)
+	c.placement.RequestLocal = c.requestPlace
+	c.placement.RequestRemote = func(ctx context.Context, _ string, a *box.PlacementRequest, answer func(*box.Reply) error) error {
+		c.requestPlace(ctx, a, answer)
 		return ctx.Err()
 	}
 	return c
 }
 
-// ask answers a request for a place as the engine's owner, with 1.5 ms of latency each way.
-func (c *surge) ask(ctx context.Context, a *box.PlacementRequest, answer func(*box.Reply) error) {
+// requestPlace answers a request for a place as the engine's owner, with 1.5 ms of latency each way.
+func (c *surge) requestPlace(ctx context.Context, a *box.PlacementRequest, answer func(*box.Reply) error) {
 	time.Sleep(1500 * time.Microsecond)
 	e := c.engines[a.Upstream]
 	e.mutex.Lock()
-	v := e.owner.Ask(&a.Work, time.Now())
+	v := e.owner.RequestPlace(&a.Work, time.Now())
 	var granted chan policy.Answer
 	if v.Verdict == policy.VerdictQueue {
 		granted = make(chan policy.Answer, 1)
@@ -188,7 +188,7 @@
 	for try := range 2 {
 		now := time.Now()
 		w := &policy.Work{
-			Arrived: now, Deadline: began.Add(x.route.deadline), FirstBy: now.Add(x.route.patience), ID: fmt.Sprint(id, "-", try), Kind: x.route.name, MaxTokens: 1760,
+			Arrived: now, Deadline: began.Add(x.route.deadline), FirstBy: now.Add(x.route.firstTokenLimit), ID: fmt.Sprint(id, "-", try), Kind: x.route.name, MaxTokens: 1760,
 			Model: "m", Prompt: x.prompt, RoutePriority: x.route.priority, TargetAt: now.Add(x.route.target),
 		}
 		p, err := c.placement.Place(ctx, w, nil)
--- a/internal/placement/tracker.go
+++ b/internal/placement/tracker.go
@@ -33,9 +33,9 @@
 }
 
 const (
-	sendTimeout    = 2 * time.Second        // of one update, including the second one for unknown generations
-	updateInterval = 500 * time.Millisecond // between updates of all running generations
-	updateWorkers  = 8                      // updates sent concurrently
+	progressTimeout  = 2 * time.Second        // of one update, including the second one for unknown generations
+	progressInterval = 500 * time.Millisecond // between updates of all running generations
+	progressWorkers  = 8                      // updates sent concurrently
 )
 
 // NewTracker returns a tracker that passes the loads in the replies of owners to recordLoad.
@@ -65,9 +65,9 @@
 	t.wakeRun()
 }
 
-// FirstToken reports that a generation has its first token. The owner is told at once: the
+// RecordFirstToken reports that a generation has its first token. The owner is told at once: the
 // prompt has been read, so that the upstream can read others.
-func (t *Tracker) FirstToken(r *Generation) {
+func (t *Tracker) RecordFirstToken(r *Generation) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.running[r.work.ID] != r {
@@ -78,18 +78,18 @@
 }
 
 // Run sends updates until the context ends: first tokens and ended generations at once, all
-// running generations every updateInterval.
+// running generations every progressInterval.
 func (t *Tracker) Run(ctx context.Context) {
 	var g sync.WaitGroup
-	updates := make(chan *box.ProgressReport)
-	for range updateWorkers {
+	reports := make(chan *box.ProgressReport)
+	for range progressWorkers {
 		g.Go(func() {
-			for u := range updates {
+			for u := range reports {
 				t.send(ctx, u)
 			}
 		})
 	}
-	k := time.NewTicker(updateInterval)
+	k := time.NewTicker(progressInterval)
 	defer k.Stop()
 	for ctx.Err() == nil {
 		all := false
@@ -100,10 +100,10 @@
 		case <-t.wake:
 		}
 		for _, u := range t.collect(all) {
-			updates <- u
+			reports <- u
 		}
 	}
-	close(updates)
+	close(reports)
 	g.Wait()
 }
 
@@ -168,7 +168,7 @@
 // send sends an update, and a second one with the full work of the generations that the owner
 // did not know.
 func (t *Tracker) send(ctx context.Context, u *box.ProgressReport) {
-	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
+	ctx, cancel := context.WithTimeout(ctx, progressTimeout)
 	defer cancel()
 	r, err := t.Send(ctx, u)
 	if err != nil {
--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -111,7 +111,7 @@
 // token of e would be late. A single prompt is always let through.
 func (o *Owner) prefillLimitReached(e *entry) bool {
 	n := prefillTokens(e.work)
-	return n > 0 && o.capacity.MaxPrefillTokens > 0 && o.prefilling > 0 && o.prefilling+n > o.capacity.MaxPrefillTokens
+	return n > 0 && o.capacity.MaxPrefillTokens > 0 && o.prefillingTokens > 0 && o.prefillingTokens+n > o.capacity.MaxPrefillTokens
 }
 
 // promoteUrgent requeues urgent work ahead of its cost class, ordered by its latest start.
@@ -123,21 +123,21 @@
 
 // refusal returns a refusal if e can not be queued, or else an Answer without a verdict.
 func (o *Owner) refusal(e *entry, now time.Time) Answer {
-	no := func(r Reason, at time.Time) Answer {
+	refuse := func(r Reason, at time.Time) Answer {
 		return Answer{ID: e.work.ID, Reason: r, RetryAt: at, Verdict: VerdictRefuse}
 	}
 	wait := o.queue.costBefore(e.order)
 	switch {
 	case o.closedReason() != "":
-		return no(o.closedReason(), ClosedRetryAt(o.closedReason(), now))
+		return refuse(o.closedReason(), ClosedRetryAt(o.closedReason(), now))
 	case e.work.Prompt+1 > o.capacity.KVTokens:
-		return no(ReasonTooLarge, time.Time{})
+		return refuse(ReasonTooLarge, time.Time{})
 	case !e.work.Deadline.After(now):
-		return no(ReasonDeadline, now)
+		return refuse(ReasonDeadline, now)
 	case o.queue.len() >= o.maxQueued:
-		return no(ReasonQueueFull, now.Add(seconds(o.queue.totalCost())))
+		return refuse(ReasonQueueFull, now.Add(seconds(o.queue.totalCost())))
 	case wait > 0 && now.Add(seconds(wait)).After(e.latestStart):
-		return no(ReasonDeadline, now.Add(seconds(wait)))
+		return refuse(ReasonDeadline, now.Add(seconds(wait)))
 	}
 	return Answer{}
 }
@@ -146,7 +146,7 @@
 func (o *Owner) refuseQueued(e *entry, now time.Time) Answer {
 	a := Answer{ID: e.work.ID, Reason: ReasonDeadline, ShortOf: o.shortage(e, now), Verdict: VerdictRefuse}
 	if o.queue.first() != e {
-		a.ShortOf = ShortageTurn
+		a.ShortOf = ShortageRank
 	}
 	if e.order.late && !now.After(e.latestStart) {
 		a.Reason = ReasonLate
@@ -168,7 +168,7 @@
 		return ShortageStarts
 	case len(o.running) == 0 && o.unaccountedTokens == 0:
 		return ""
-	case o.stalled > 0:
+	case o.stalledCount > 0:
 		return ShortageStalled
 	case float64(len(o.running)+1) > o.batchLimit:
 		return ShortageBatch
--- a/internal/policy/cold_test.go
+++ b/internal/policy/cold_test.go
@@ -9,7 +9,7 @@
 // TestColdShareIsKeptByAllBoxes checks for 1 to 300 boxes that their shares of a cold upstream add up to
 // at least one request a second and at most the upstream's capacity, of 5 or 42.5 a second.
 func TestColdShareIsKeptByAllBoxes(t *testing.T) {
-	for _, bears := range []float64{5, 42.5} {
+	for _, maxPerSecond := range []float64{5, 42.5} {
 		for n := 1; n <= 300; n++ {
 			boxes := make([]string, n)
 			for i := range boxes {
@@ -17,10 +17,10 @@
 			}
 			sum := 0
 			for _, b := range boxes {
-				sum += ColdShare("u", b, boxes, bears)
+				sum += ColdShare("u", b, boxes, maxPerSecond)
 			}
-			if got := float64(sum); got > bears || got < 1 {
-				t.Errorf("%d boxes, %v a second: got %v, want 1 to %v", n, bears, got, bears)
+			if got := float64(sum); got > maxPerSecond || got < 1 {
+				t.Errorf("%d boxes, %v a second: got %v, want 1 to %v", n, maxPerSecond, got, maxPerSecond)
 			}
 		}
 	}
@@ -41,7 +41,7 @@
 	for i := range 200 {
 		w := testWork(fmt.Sprint("crowd-", i))
 		w.Deadline = now.Add(time.Hour)
-		if a := o.Ask(w, now); a.Verdict == VerdictStart {
+		if a := o.RequestPlace(w, now); a.Verdict == VerdictStart {
 			start(w.ID, now)
 		}
 		if i == 100 {
--- a/internal/policy/completedruns.go
+++ b/internal/policy/completedruns.go
@@ -94,8 +94,8 @@
 
 // addUnreported adds runs to the next report; the lock is held.
 func (c *CompletedRuns) addUnreported(p Fingerprint, x runStats) {
-	old, known := c.unreported[p]
-	if !known && len(c.unreported) >= maxUnreported {
+	old, found := c.unreported[p]
+	if !found && len(c.unreported) >= maxUnreported {
 		return
 	}
 	if old.lastAt.After(x.lastAt) {
--- a/internal/policy/crash.go
+++ b/internal/policy/crash.go
@@ -13,7 +13,7 @@
 type Crash struct {
 	At           time.Time `cbor:"1,keyasint"`           // when the first box noticed it
 	StartedAtMS  int64     `cbor:"2,keyasint,omitempty"` // when that incarnation started, in Unix milliseconds; 0 if unknown
-	LastReturnAt time.Time `cbor:"5,keyasint,omitzero"`  // when a quarantined suspect was last sent again; it may lag by renewInterval
+	LastResentAt time.Time `cbor:"5,keyasint,omitzero"`  // when a quarantined suspect was last sent again; it may lag by renewInterval
 	Suspects     []Suspect `cbor:"3,keyasint,omitempty"`
 	Upstream     string    `cbor:"4,keyasint"`
 }
@@ -68,8 +68,8 @@
 // LastActivity returns when the crash last mattered: when it was noticed, or when a quarantined
 // suspect was last sent again.
 func (c *Crash) LastActivity() time.Time {
-	if c.LastReturnAt.After(c.At) {
-		return c.LastReturnAt
+	if c.LastResentAt.After(c.At) {
+		return c.LastResentAt
 	}
 	return c.At
 }
--- a/internal/policy/forecast.go
+++ b/internal/policy/forecast.go
@@ -30,8 +30,8 @@
 
 // peak returns the maximum over all horizons of the mean plus z standard deviations, with g added;
 // it is at least now.
-func (f *forecast) peak(g *forecast, now, z float64) float64 {
-	p := now
+func (f *forecast) peak(g *forecast, used, z float64) float64 {
+	p := used
 	for i := range f.mean {
 		m := f.mean[i] + g.mean[i]
 		p = max(p, m+z*math.Sqrt(f.variance[i]+g.variance[i]))
@@ -70,13 +70,13 @@
 	defer l.mutex.Unlock()
 	h := l.curve(k)
 	base := h.integral(age)
-	left := 0.0
+	remaining := 0.0
 	for b := bucketOf(age); b < buckets && bucketStart(b) < limit; b++ {
 		start := max(age, bucketStart(b))
 		width := float64(min(limit, bucketStart(b+1)) - start)
-		left += math.Exp(base-h.integral(start)-h.rate[b]*width/2) * width
+		remaining += math.Exp(base-h.integral(start)-h.rate[b]*width/2) * width
 	}
-	return left
+	return remaining
 }
 
 // forecastOf forecasts the memory of a generation with output lengths distributed as in h.
--- a/internal/policy/frequentruns.go
+++ b/internal/policy/frequentruns.go
@@ -110,11 +110,11 @@
 	if x.lastAt.After(now) {
 		x.lastAt = now // times from other boxes may be ahead of the local clock
 	}
-	old, known := f.runs[p]
+	old, found := f.runs[p]
 	if old.lastAt.After(x.lastAt) {
 		x.lastAt = old.lastAt
 	}
-	if !known && len(f.runs) >= maxFrequentRuns {
+	if !found && len(f.runs) >= maxFrequentRuns {
 		f.prune(now)
 	}
 	f.runs[p] = x
--- a/internal/policy/frequentruns_test.go
+++ b/internal/policy/frequentruns_test.go
@@ -58,7 +58,7 @@
 	const p, other = Fingerprint(1), Fingerprint(2)
 	now, f, q := time.Now(), NewFrequentRuns(), NewQuarantine()
 	f.Add([]CompletedRun{{now, p, 5}}, now)
-	clearServed := func(now time.Time) int {
+	clearCompleted := func(now time.Time) int {
 		l := q.ClearCompleted(func(p Fingerprint) time.Time { return f.LastRunAt(p, now) })
 		for _, c := range l {
 			for _, s := range c.Suspects {
@@ -70,18 +70,18 @@
 	for i, want := range []int{1, 0, 0} {
 		at := now.Add(time.Second + time.Duration(i)*(suspectTTL+time.Second))
 		q.Record([]Crash{crashOf("u", int64(i+1), at, p, other)}, at)
-		if got := clearServed(at); got != want {
+		if got := clearCompleted(at); got != want {
 			t.Errorf("crash %d: got %d cleared, want %d", i, got, want)
 		}
 	}
 	if got := f.Top(1, now); len(got) != 0 {
 		t.Errorf("most frequent: got %v, want none", got)
 	}
-	again := now.Add(8 * time.Minute)
-	f.Add([]CompletedRun{{again, p, 1}}, again)
-	at := again.Add(time.Second)
+	rerunAt := now.Add(8 * time.Minute)
+	f.Add([]CompletedRun{{rerunAt, p, 1}}, rerunAt)
+	at := rerunAt.Add(time.Second)
 	q.Record([]Crash{crashOf("u", 9, at, p, other)}, at)
-	if got, want := clearServed(at), 1; got != want {
+	if got, want := clearCompleted(at), 1; got != want {
 		t.Errorf("after another run: got %d cleared, want %d", got, want)
 	}
 }
--- a/internal/policy/large_test.go
+++ b/internal/policy/large_test.go
@@ -11,20 +11,20 @@
 func TestLargeWorkGoesFirstWhileItCanBeInTime(t *testing.T) {
 	o := newTestOwner()
 	fill(t, o, testStart)
-	ask := func(id string, change func(w *Work)) {
+	request := func(id string, change func(w *Work)) {
 		w := testWork(id)
 		w.TargetAt, w.Deadline = testStart.Add(2*time.Second), testStart.Add(time.Hour)
 		w.Workspace = id // otherwise the fair share would decide
 		change(w)
-		o.Ask(w, testStart)
+		o.RequestPlace(w, testStart)
 	}
-	ask("plan", func(w *Work) { w.RoutePriority = 9 })
-	ask("check", func(w *Work) { w.RoutePriority = 8 })
-	ask("large check", func(w *Work) { w.RoutePriority, w.Large, w.Prompt = 8, true, 400 })
-	ask("larger check", func(w *Work) { w.RoutePriority, w.Large, w.Prompt = 8, true, 900 })
-	ask("late large check", func(w *Work) { w.RoutePriority, w.Large, w.TargetAt = 8, true, testStart.Add(-time.Second) })
-	ask("large without a target", func(w *Work) { w.RoutePriority, w.Large, w.TargetAt = 7, true, time.Time{} })
-	ask("of a higher priority", func(w *Work) { w.Priority = 1 })
+	request("plan", func(w *Work) { w.RoutePriority = 9 })
+	request("check", func(w *Work) { w.RoutePriority = 8 })
+	request("large check", func(w *Work) { w.RoutePriority, w.Large, w.Prompt = 8, true, 400 })
+	request("larger check", func(w *Work) { w.RoutePriority, w.Large, w.Prompt = 8, true, 900 })
+	request("late large check", func(w *Work) { w.RoutePriority, w.Large, w.TargetAt = 8, true, testStart.Add(-time.Second) })
+	request("large without a target", func(w *Work) { w.RoutePriority, w.Large, w.TargetAt = 7, true, time.Time{} })
+	request("of a higher priority", func(w *Work) { w.Priority = 1 })
 	var got []string
 	for e := o.queue.first(); e != nil; e = o.queue.first() {
 		got = append(got, e.work.ID)
@@ -43,7 +43,7 @@
 	fill(t, o, testStart)
 	large := testWork("large")
 	large.Large, large.Prompt, large.TargetAt, large.Deadline = true, o.capacity.KVTokens/2, testStart.Add(time.Minute), testStart.Add(time.Hour)
-	if got := o.Ask(large, testStart).Verdict; got != VerdictQueue {
+	if got := o.RequestPlace(large, testStart).Verdict; got != VerdictQueue {
 		t.Fatalf("large work: got %s, want it queued", got)
 	}
 	ids := make([]string, 0, len(o.running))
@@ -57,7 +57,7 @@
 		o.SetReport(Report{AsOf: testStart, StepSeconds: 0.02}, testStart)
 		small := testWork("small-" + id)
 		small.TargetAt, small.Deadline = testStart.Add(time.Minute), testStart.Add(time.Hour)
-		if v := o.Ask(small, testStart).Verdict; v == VerdictStart && started == "" {
+		if v := o.RequestPlace(small, testStart).Verdict; v == VerdictStart && started == "" {
 			t.Fatalf("after %d ended generations: small work started, want the large work first", i+1)
 		}
 		for _, a := range o.Dispatch(testStart) {
--- a/internal/policy/late_test.go
+++ b/internal/policy/late_test.go
@@ -68,7 +68,7 @@
 				w.TargetAt = now.Add(crowdTarget)
 			}
 			arrived[w.ID] = now
-			switch a := o.Ask(w, now); a.Verdict {
+			switch a := o.RequestPlace(w, now); a.Verdict {
 			case VerdictStart:
 				start(w.ID, now)
 			case VerdictRefuse:
@@ -89,15 +89,15 @@
 
 // dropEnded finishes the runs that have ended and returns the others.
 func dropEnded[T any](o *Owner, l []T, ended func(T) bool, id func(T) string, now time.Time) []T {
-	var left []T
+	var remaining []T
 	for _, x := range l {
 		if ended(x) {
 			o.Finish(id(x), crowdOutput, true, now)
 			continue
 		}
-		left = append(left, x)
+		remaining = append(remaining, x)
 	}
-	return left
+	return remaining
 }
 
 // TestLateWorkYieldsUnderACrowd simulates a crowd of 200 streams. With targets, more of them are on time
@@ -108,8 +108,8 @@
 	if 100*with.onTime < 115*without.onTime {
 		t.Errorf("on time: got %d, want at least 15 percent more than %d", with.onTime, without.onTime)
 	}
-	if got, most := with.longestRefusedWait, crowdTarget+sweepInterval; got > most {
-		t.Errorf("longest wait of a refused stream: got %v, want at most %v", got, most)
+	if got, limit := with.longestRefusedWait, crowdTarget+sweepInterval; got > limit {
+		t.Errorf("longest wait of a refused stream: got %v, want at most %v", got, limit)
 	}
 	if got, want := with.onTime+with.late+with.refused, 200; got != want {
 		t.Errorf("answered streams: got %d, want %d", got, want)
@@ -123,7 +123,7 @@
 	fill(t, o, testStart)
 	w := testWork("late")
 	w.TargetAt, w.FirstBy, w.Deadline = testStart.Add(time.Second), testStart.Add(10*time.Second), testStart.Add(time.Minute)
-	if got := o.Ask(w, testStart).Verdict; got != VerdictQueue {
+	if got := o.RequestPlace(w, testStart).Verdict; got != VerdictQueue {
 		t.Fatalf("got %s, want it queued", got)
 	}
 	now := testStart.Add(3 * time.Second)
@@ -153,15 +153,15 @@
 	}
 	o := newTestOwner()
 	fill(t, o, testStart)
-	o.Ask(late(), testStart)
+	o.RequestPlace(late(), testStart)
 	w := testWork("in time")
 	w.TargetAt, w.Deadline = testStart.Add(5*time.Second), testStart.Add(time.Minute)
-	o.Ask(w, testStart)
+	o.RequestPlace(w, testStart)
 	if got := o.queue.first().work.ID; got != "in time" {
 		t.Errorf("first: got %q, want the work that can meet its target", got)
 	}
 	o.Cancel("late", testStart)
-	o.Ask(late(), testStart)
+	o.RequestPlace(late(), testStart)
 	if got := o.queue.first().work.ID; got != "in time" {
 		t.Errorf("first after the late work asked again: got %q, want the work that can meet its target", got)
 	}
--- a/internal/policy/owner.go
+++ b/internal/policy/owner.go
@@ -32,11 +32,11 @@
 	maxQueued         int
 	lastSequence      uint64 // of queue entries
 	queue             *queue
-	prefilling        int // prompt tokens of generations without a token
+	prefillingTokens  int // prompt tokens of generations without a token
 	report            Report
 	running           map[string]*runningWork // by id
 	shares            *shares
-	stalled           int         // number of stalled generations
+	stalledCount      int         // number of stalled generations
 	recentStarts      []time.Time // within the last second, if starts are limited
 	tune              Tuning
 	usedTokens        int       // by known generations
@@ -104,11 +104,11 @@
 	return func(o *Owner) { o.tune = t }
 }
 
-// Ask requests a place for w.
+// RequestPlace requests a place for w.
 //
 // It is idempotent: asking again about the same work gets the same verdict while that stands, so a
 // caller that lost an answer asks again.
-func (o *Owner) Ask(w *Work, now time.Time) Answer {
+func (o *Owner) RequestPlace(w *Work, now time.Time) Answer {
 	if r := o.running[w.ID]; r != nil {
 		r.expiresAt = now.Add(reservationTimeout)
 		return Answer{ID: w.ID, Verdict: VerdictStart}
@@ -190,7 +190,7 @@
 func (o *Owner) Load(now time.Time) Load {
 	l := Load{
 		AsOf: now, StartedAtMS: o.StartedAtMS, UsedTokens: o.usedTokens, Leaving: o.LeavingReported, PeakShare: o.peak(&forecast{}) / float64(o.capacity.KVTokens),
-		PrefillTokens: o.prefilling, Upstream: o.Upstream,
+		PrefillTokens: o.prefillingTokens, Upstream: o.Upstream,
 	}
 	if o.queue.len() == 0 {
 		return l
--- a/internal/policy/owner_refusal_test.go
+++ b/internal/policy/owner_refusal_test.go
@@ -13,12 +13,12 @@
 	for i := range 4000 {
 		w := testWork(fmt.Sprintf("wait-%d", i))
 		w.Deadline = testStart.Add(time.Hour)
-		o.Ask(w, testStart)
+		o.RequestPlace(w, testStart)
 	}
 	w := testWork("short of time")
 	w.Deadline = testStart.Add(time.Second)
 	w.Priority = -1
-	a := o.Ask(w, testStart)
+	a := o.RequestPlace(w, testStart)
 	if got, want := a.Verdict, VerdictRefuse; got != want {
 		t.Fatalf("verdict: got %s, want %s", got, want)
 	}
@@ -37,7 +37,7 @@
 	fill(t, o, testStart)
 	w := testWork("a")
 	w.Deadline = testStart.Add(40 * time.Second)
-	if got, want := o.Ask(w, testStart).Verdict, VerdictQueue; got != want {
+	if got, want := o.RequestPlace(w, testStart).Verdict, VerdictQueue; got != want {
 		t.Fatalf("verdict: got %s, want %s", got, want)
 	}
 	refusedAfter := time.Duration(0)
@@ -60,9 +60,9 @@
 func TestOwnerOfALeavingUpstreamRefusesAll(t *testing.T) {
 	o := newTestOwner()
 	n := fill(t, o, testStart)
-	o.Ask(testWork("waits"), testStart)
+	o.RequestPlace(testWork("waits"), testStart)
 	o.Leaving = true
-	if got, want := o.Ask(testWork("new"), testStart).Reason, ReasonLeaving; got != want {
+	if got, want := o.RequestPlace(testWork("new"), testStart).Reason, ReasonLeaving; got != want {
 		t.Errorf("new work: got %q, want %q", got, want)
 	}
 	a := o.Dispatch(testStart.Add(time.Second))
@@ -80,7 +80,7 @@
 	for i, p := range []int{0, 5, -3, 9, 5} {
 		w := testWork(fmt.Sprintf("p%d-%d", p, i))
 		w.Priority = p
-		o.Ask(w, testStart)
+		o.RequestPlace(w, testStart)
 	}
 	want := []string{"p9-3", "p5-1", "p5-4", "p0-0", "p-3-2"}
 	for _, id := range want {
@@ -106,7 +106,7 @@
 		if x.id == "late plan" {
 			w.TargetAt = testStart.Add(-time.Second)
 		}
-		o.Ask(w, testStart)
+		o.RequestPlace(w, testStart)
 	}
 	o.Dispatch(testStart.Add(sweepInterval))
 	var got []string
@@ -127,13 +127,13 @@
 	for i := range 100 {
 		w := testWork(fmt.Sprint("look-", i))
 		w.Workspace = "looks"
-		o.Ask(w, testStart)
+		o.RequestPlace(w, testStart)
 		o.Cancel(w.ID, testStart)
 	}
 	for _, n := range []string{"looks", "others"} {
 		w := testWork(n)
 		w.Workspace = n
-		o.Ask(w, testStart)
+		o.RequestPlace(w, testStart)
 	}
 	a, b := o.queue.byID["looks"].order.time, o.queue.byID["others"].order.time
 	if got := time.Duration(a - b).Abs(); got > time.Millisecond {
@@ -149,11 +149,11 @@
 	for i := range 500 {
 		w := testWork(fmt.Sprintf("large-%d", i))
 		w.Workspace = "large"
-		o.Ask(w, testStart)
+		o.RequestPlace(w, testStart)
 	}
 	w := testWork("small")
 	w.Workspace = "small"
-	o.Ask(w, testStart.Add(time.Second))
+	o.RequestPlace(w, testStart.Add(time.Second))
 	e := o.queue.byID["small"]
 	if got, want := o.queue.costBefore(e.order), 0.5*o.queue.totalCost(); got > want {
 		t.Errorf("backlog ahead of the small workspace: got %.1f s, want at most %.1f s", got, want)
@@ -180,11 +180,11 @@
 		for i := range x.waiting {
 			w := testWork(fmt.Sprintf("wait-%d", i))
 			w.Deadline = testStart.Add(time.Hour)
-			o.Ask(w, testStart)
+			o.RequestPlace(w, testStart)
 		}
 		w := testWork("impatient")
 		w.Deadline, w.FirstBy, w.Moved, w.Priority = testStart.Add(time.Hour), testStart.Add(7*time.Second), x.moved, -1
-		a := o.Ask(w, testStart)
+		a := o.RequestPlace(w, testStart)
 		if got := a.Verdict; got != x.want {
 			t.Errorf("%s: verdict: got %s, want %s", x.name, got, x.want)
 		}
--- a/internal/policy/owner_test.go
+++ b/internal/policy/owner_test.go
@@ -22,7 +22,7 @@
 	t.Helper()
 	for n := 0; ; n++ {
 		w := testWork(fmt.Sprintf("fill-%d", n))
-		switch a := o.Ask(w, now); a.Verdict {
+		switch a := o.RequestPlace(w, now); a.Verdict {
 		case VerdictStart:
 			o.Progress(w.ID, 1, now)
 		case VerdictQueue:
@@ -38,7 +38,7 @@
 	o := newTestOwner()
 	w := testWork("a")
 	for range 3 {
-		if got, want := o.Ask(w, testStart).Verdict, VerdictStart; got != want {
+		if got, want := o.RequestPlace(w, testStart).Verdict, VerdictStart; got != want {
 			t.Fatalf("verdict: got %s, want %s", got, want)
 		}
 	}
@@ -49,7 +49,7 @@
 
 func TestOwnerDropsReservationsThatWereNotUsed(t *testing.T) {
 	o := newTestOwner()
-	o.Ask(testWork("a"), testStart)
+	o.RequestPlace(testWork("a"), testStart)
 	o.Dispatch(testStart.Add(reservationTimeout + time.Millisecond))
 	if got, want := o.Running(), 0; got != want {
 		t.Errorf("reservations: got %d, want %d", got, want)
@@ -64,18 +64,18 @@
 func TestOwnerBoundsThePromptsThatAreRead(t *testing.T) {
 	o := NewOwner("u", Capacity{KVTokens: 30_000, MaxBatch: 32, MaxPrefillTokens: 7000}, NewLengths(), testStart)
 	o.SetReport(Report{AsOf: testStart, StepSeconds: 0.02}, testStart)
-	ask := func(id string, prompt int, moved bool, want Verdict) {
+	request := func(id string, prompt int, moved bool, want Verdict) {
 		t.Helper()
 		w := testWork(id)
 		w.Prompt, w.Moved = prompt, moved
-		if got := o.Ask(w, testStart).Verdict; got != want {
+		if got := o.RequestPlace(w, testStart).Verdict; got != want {
 			t.Errorf("%s: got %s, want %s", id, got, want)
 		}
 	}
-	ask("moved", 5000, true, VerdictStart)
-	ask("first", 5000, false, VerdictStart)
-	ask("moved too", 5000, true, VerdictStart)
-	ask("second", 3000, false, VerdictQueue)
+	request("moved", 5000, true, VerdictStart)
+	request("first", 5000, false, VerdictStart)
+	request("moved too", 5000, true, VerdictStart)
+	request("second", 3000, false, VerdictQueue)
 	o.Progress("moved", 1, testStart)
 	if got := o.Dispatch(testStart); len(got) != 0 {
 		t.Errorf("while the first prompt is prefilled: got %v, want no verdicts", got)
@@ -94,7 +94,7 @@
 // before its grace period has passed without one.
 func TestOwnerIsConservativeUntilItKnows(t *testing.T) {
 	o := NewOwner("u", Capacity{KVTokens: 10_000, MaxBatch: 32}, NewLengths(), testStart)
-	if got, want := o.Ask(testWork("a"), testStart).Verdict, VerdictQueue; got != want {
+	if got, want := o.RequestPlace(testWork("a"), testStart).Verdict, VerdictQueue; got != want {
 		t.Fatalf("verdict: got %s, want %s", got, want)
 	}
 	if got := o.Dispatch(testStart.Add(gracePeriod - time.Millisecond)); len(got) != 0 {
@@ -110,7 +110,7 @@
 func TestOwnerCountsWhatItDoesNotKnow(t *testing.T) {
 	o := NewOwner("u", Capacity{KVTokens: 10_000, MaxBatch: 32}, NewLengths(), testStart)
 	o.SetReport(Report{AsOf: testStart, Running: 10, StepSeconds: 0.02, UsedTokens: 9900}, testStart)
-	if got, want := o.Ask(testWork("a"), testStart).Verdict, VerdictQueue; got != want {
+	if got, want := o.RequestPlace(testWork("a"), testStart).Verdict, VerdictQueue; got != want {
 		t.Fatalf("at a full upstream: got %s, want %s", got, want)
 	}
 	for i := range 9 {
@@ -135,7 +135,7 @@
 	r := Report{AsOf: later, Running: n, StepSeconds: 0.02, UsedTokens: n * 101}
 	for _, o := range []*Owner{a, b} {
 		o.SetReport(r, later)
-		if got, want := o.Ask(testWork("late"), later).Verdict, VerdictQueue; got != want {
+		if got, want := o.RequestPlace(testWork("late"), later).Verdict, VerdictQueue; got != want {
 			t.Errorf("after the report: got %s, want %s", got, want)
 		}
 	}
@@ -143,11 +143,11 @@
 
 func TestOwnerStartsNothingWhileSomethingStalls(t *testing.T) {
 	o := newTestOwner()
-	o.Ask(testWork("a"), testStart)
+	o.RequestPlace(testWork("a"), testStart)
 	o.Progress("a", 5, testStart)
 	later := testStart.Add(2 * time.Second)
 	o.Progress("a", 5, later)
-	if got, want := o.Ask(testWork("b"), later).Verdict, VerdictQueue; got != want {
+	if got, want := o.RequestPlace(testWork("b"), later).Verdict, VerdictQueue; got != want {
 		t.Fatalf("while a stalls: got %s, want %s", got, want)
 	}
 	o.Progress("a", 6, later)
@@ -193,7 +193,7 @@
 		produced := make(map[string]int)
 		waiting := make(map[string]bool)
 		number := 0
-		take := func(a Answer) {
+		record := func(a Answer) {
 			switch a.Verdict {
 			case VerdictStart:
 				produced[a.ID] = 0
@@ -224,11 +224,11 @@
 				w.Prompt = rapid.IntRange(1, 3000).Draw(t, "prompt")
 				w.Kind = rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "kind")
 				idle := o.Running() == 0 && o.Queued() == 0
-				a := o.Ask(w, now)
+				a := o.RequestPlace(w, now)
 				if idle && a.Verdict != VerdictStart {
 					t.Fatalf("at an idle upstream: got %+v, want a start", a)
 				}
-				take(a)
+				record(a)
 			},
 			"progress": func(t *rapid.T) {
 				id := pick(t, produced)
@@ -243,7 +243,7 @@
 			"time": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
 				for _, a := range o.Dispatch(now) {
-					take(a)
+					record(a)
 				}
 				for id := range produced {
 					if !o.IsRunning(id) {
@@ -265,8 +265,8 @@
 				if got, want := o.Running(), len(produced); got != want {
 					t.Fatalf("running: got %d, want %d", got, want)
 				}
-				if o.stalled < 0 || o.stalled > o.Running() {
-					t.Fatalf("stalled: got %d of %d", o.stalled, o.Running())
+				if o.stalledCount < 0 || o.stalledCount > o.Running() {
+					t.Fatalf("stalled: got %d of %d", o.stalledCount, o.Running())
 				}
 			},
 		})
@@ -275,15 +275,15 @@
 
 // BenchmarkOwnerAsk measures a decision with 200 generations running and 10,000 queued.
 // BenchmarkOwnerAskQueue shows how its cost grows with the queue.
-func BenchmarkOwnerAsk(b *testing.B) { benchmarkAsk(b, 10_000) }
+func BenchmarkOwnerAsk(b *testing.B) { benchmarkRequestPlace(b, 10_000) }
 
 func BenchmarkOwnerAskQueue(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10_000, 100_000} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) { benchmarkAsk(b, n) })
+		b.Run(fmt.Sprint(n), func(b *testing.B) { benchmarkRequestPlace(b, n) })
 	}
 }
 
-func benchmarkAsk(b *testing.B, queued int) {
+func benchmarkRequestPlace(b *testing.B, queued int) {
 	o := NewOwner("u", Capacity{KVTokens: 400_000, MaxBatch: 200}, NewLengths(), testStart, WithMaxQueued(1<<20))
 	o.SetReport(Report{AsOf: testStart, StepSeconds: 0.02}, testStart)
 	for i := range 200 {
@@ -292,13 +292,13 @@
 	for i := range queued {
 		w := testWork(fmt.Sprintf("q%d", i))
 		w.Prompt, w.Workspace, w.Deadline = 100+i%1000, fmt.Sprint(i%100), testStart.Add(1000*time.Hour)
-		o.Ask(w, testStart)
+		o.RequestPlace(w, testStart)
 	}
 	w := testWork("asked")
 	w.Deadline = testStart.Add(1000 * time.Hour)
 	b.ReportAllocs()
 	for b.Loop() {
-		o.Ask(w, testStart)
+		o.RequestPlace(w, testStart)
 		o.Cancel("asked", testStart)
 	}
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -65,17 +65,17 @@
 
 // The reasons.
 const (
-	ReasonDeadline    Reason = "deadline"     // it can no longer meet its deadline
-	ReasonEvacuated   Reason = "evacuated"    // the upstream's hall is evacuated
-	ReasonLate        Reason = "late"         // it can no longer meet its target, and other queued work can
-	ReasonLeaving     Reason = "leaving"      // the upstream is leaving and takes no new work
-	ReasonLimited     Reason = "limited"      // the upstreams accept no more requests a second
-	ReasonMoved       Reason = "moved"        // the upstream has another owner now, which must be asked instead
-	ReasonNoUpstream  Reason = "no_upstream"  // no upstream runs the model
-	ReasonQueueFull   Reason = "queue_full"   // the queue is full
-	ReasonResting     Reason = "resting"      // the upstream asked this box to send nothing for some time
-	ReasonRetryBudget Reason = "retry_budget" // too many recent retries
-	ReasonTooLarge    Reason = "too_large"    // the prompt fits no upstream
+	ReasonDeadline     Reason = "deadline"     // it can no longer meet its deadline
+	ReasonEvacuated    Reason = "evacuated"    // the upstream's hall is evacuated
+	ReasonLate         Reason = "late"         // it can no longer meet its target, and other queued work can
+	ReasonLeaving      Reason = "leaving"      // the upstream is leaving and takes no new work
+	ReasonLimited      Reason = "limited"      // the upstreams accept no more requests a second
+	ReasonOwnerChanged Reason = "moved"        // the upstream has another owner now, which must be asked instead
+	ReasonNoUpstream   Reason = "no_upstream"  // no upstream runs the model
+	ReasonQueueFull    Reason = "queue_full"   // the queue is full
+	ReasonBackOff      Reason = "resting"      // the upstream asked this box to send nothing for some time
+	ReasonRetryBudget  Reason = "retry_budget" // too many recent retries
+	ReasonTooLarge     Reason = "too_large"    // the prompt fits no upstream
 )
 
 // Answer is an owner's answer about one piece of work.
@@ -98,7 +98,7 @@
 	ShortageReport  Shortage = "report"  // the upstream takes no new work, or its first report is still missing
 	ShortageStalled Shortage = "stalled" // generations at the upstream have stalled
 	ShortageStarts  Shortage = "starts"  // a cold engine could not handle more starts within this second
-	ShortageTurn    Shortage = "turn"    // other work precedes it
+	ShortageRank    Shortage = "turn"    // other work precedes it
 )
 
 // Load is an owner's description of its upstream, sent along with every answer.
--- a/internal/policy/prompts.go
+++ b/internal/policy/prompts.go
@@ -24,9 +24,9 @@
 	boundStep = 0.03
 	// meanWeight is the weight of a new prompt in the moving average.
 	meanWeight = 1.0 / 32
-	// The first minPromptsSeen prompts of a kind are never large. The bound then starts at
+	// The first minPromptsObserved prompts of a kind are never large. The bound then starts at
 	// initialBoundFactor times their mean.
-	minPromptsSeen     = 4
+	minPromptsObserved = 4
 	initialBoundFactor = 1.3
 )
 
@@ -54,7 +54,7 @@
 func (s *promptSizes) observe(tokens float64) bool {
 	s.count++
 	s.mean += (tokens - s.mean) * max(meanWeight, 1/float64(s.count))
-	if s.count <= minPromptsSeen {
+	if s.count <= minPromptsObserved {
 		s.bound = initialBoundFactor * s.mean
 		return false
 	}
--- a/internal/policy/prompts_test.go
+++ b/internal/policy/prompts_test.go
@@ -32,8 +32,8 @@
 		if got, want := float64(large)/n, largeShare; math.Abs(got-want) > 0.4*want {
 			t.Errorf("%s: share of large prompts: got %.3f, want about %.3f", x.name, got, want)
 		}
-		if got, least := sizes/float64(large), 1.3*all/n; got < least {
-			t.Errorf("%s: mean size of the large prompts: got %.0f, want at least %.0f", x.name, got, least)
+		if got, minimum := sizes/float64(large), 1.3*all/n; got < minimum {
+			t.Errorf("%s: mean size of the large prompts: got %.0f, want at least %.0f", x.name, got, minimum)
 		}
 	}
 }
--- a/internal/policy/quarantine.go
+++ b/internal/policy/quarantine.go
@@ -166,13 +166,13 @@
 
 // Missing returns the crashes that another box does not know, or knows differently. If there are too
 // many for one message, it returns those of quarantined requests and the newest ones.
-func (q *Quarantine) Missing(known []uint64, now time.Time) []Crash {
+func (q *Quarantine) Missing(knownHashes []uint64, now time.Time) []Crash {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.expire(now)
 	var l []Crash
 	for _, c := range q.crashes {
-		if len(c.Suspects) > 0 && !slices.Contains(known, c.hash()) {
+		if len(c.Suspects) > 0 && !slices.Contains(knownHashes, c.hash()) {
 			d := *c
 			d.Suspects = slices.Clone(c.Suspects)
 			l = append(l, d)
@@ -234,17 +234,17 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.expire(now)
-	before := make(map[Fingerprint]bool)
+	wasQuarantined := make(map[Fingerprint]bool)
 	for i := range l {
 		for _, s := range l[i].Suspects {
-			before[s.Fingerprint] = q.weight(s.Fingerprint) >= quarantineThreshold
+			wasQuarantined[s.Fingerprint] = q.weight(s.Fingerprint) >= quarantineThreshold
 		}
 	}
 	for i := range l {
 		changed = q.record(&l[i], now) || changed
 	}
 	q.expire(now)
-	for p, was := range before {
+	for p, was := range wasQuarantined {
 		if !was && q.weight(p) >= quarantineThreshold {
 			quarantined = append(quarantined, p)
 		}
@@ -263,7 +263,7 @@
 		return nil
 	}
 	for _, c := range q.bySuspect[p] {
-		c.LastReturnAt = now
+		c.LastResentAt = now
 	}
 	return q.crashesOf(p)
 }
@@ -349,15 +349,15 @@
 
 // expireSuspect drops the crashes of a request that are too old to count; the lock is held.
 func (q *Quarantine) expireSuspect(p Fingerprint, now time.Time) {
-	life := suspectTTL
+	ttl := suspectTTL
 	if q.weight(p) >= quarantineThreshold {
 		if now.Sub(q.lastActivity(p)) < quarantineTTL {
 			return
 		}
-		life = 0
+		ttl = 0
 	}
 	for _, c := range slices.Clone(q.bySuspect[p]) {
-		if now.Sub(c.At) >= life {
+		if now.Sub(c.At) >= ttl {
 			q.removeSuspect(p, c)
 		}
 	}
@@ -428,12 +428,12 @@
 		q.crashes = slices.Insert(q.crashes, i, c)
 	}
 	c := q.crashes[i]
-	if d.LastReturnAt.After(c.LastReturnAt) {
-		c.LastReturnAt = toMonotonic(d.LastReturnAt, now)
+	if d.LastResentAt.After(c.LastResentAt) {
+		c.LastResentAt = toMonotonic(d.LastResentAt, now)
 	}
 	for _, s := range d.Suspects {
-		if known := c.suspect(s.Fingerprint); known != nil {
-			changed = known.merge(&s) || changed
+		if existing := c.suspect(s.Fingerprint); existing != nil {
+			changed = existing.merge(&s) || changed
 			continue
 		}
 		changed = true
--- a/internal/policy/quarantine_model_test.go
+++ b/internal/policy/quarantine_model_test.go
@@ -18,7 +18,7 @@
 		boxes := []*Quarantine{NewQuarantine(), NewQuarantine(), NewQuarantine()}
 		box := rapid.IntRange(0, len(boxes)-1)
 		fingerprint := rapid.Custom(func(t *rapid.T) Fingerprint { return Fingerprint(rapid.IntRange(1, 4).Draw(t, "fingerprint")) })
-		ask := func(a, b int) {
+		fetchMissing := func(a, b int) {
 			boxes[a].Record(boxes[b].Missing(boxes[a].CrashHashes(now), now), now)
 		}
 		cleared := make(map[Fingerprint]bool)
@@ -34,7 +34,7 @@
 			case 2:
 				boxes[n].TakeTrial(fingerprint.Draw(t, "fingerprint"), now)
 			case 3:
-				ask(n, box.Draw(t, "other"))
+				fetchMissing(n, box.Draw(t, "other"))
 			default:
 				c := crashOf(fmt.Sprint("u-", i), int64(i), now, fingerprint.Draw(t, "fingerprint"))
 				for _, b := range boxes {
@@ -44,16 +44,16 @@
 				}
 			}
 		}
-		most := make(map[Fingerprint]int) // maximum number of crashes recorded at one box
+		maxCrashes := make(map[Fingerprint]int) // maximum number of crashes recorded at one box
 		for _, b := range boxes {
 			for p := Fingerprint(1); p <= 4; p++ {
-				most[p] = max(most[p], b.CrashCount(p, now))
+				maxCrashes[p] = max(maxCrashes[p], b.CrashCount(p, now))
 			}
 		}
 		for range 2 {
 			for a := range boxes {
 				for b := range boxes {
-					ask(a, b)
+					fetchMissing(a, b)
 				}
 			}
 		}
@@ -64,7 +64,7 @@
 			if got := b.Missing(boxes[0].CrashHashes(now), now); len(got) != 0 {
 				t.Errorf("box %d: got %d crashes missing at box 0, want none", i, len(got))
 			}
-			for p, n := range most {
+			for p, n := range maxCrashes {
 				if got, want := b.Quarantined(p, now), boxes[0].Quarantined(p, now); got != want {
 					t.Errorf("box %d: %v: got quarantined %v, want %v", i, p, got, want)
 				}
--- a/internal/policy/quarantine_test.go
+++ b/internal/policy/quarantine_test.go
@@ -62,8 +62,8 @@
 }
 
 // crashOf returns a crash with the given suspects.
-func crashOf(upstream string, born int64, at time.Time, l ...Fingerprint) Crash {
-	c := Crash{At: at, StartedAtMS: born, Upstream: upstream}
+func crashOf(upstream string, startedAtMS int64, at time.Time, l ...Fingerprint) Crash {
+	c := Crash{At: at, StartedAtMS: startedAtMS, Upstream: upstream}
 	for _, p := range l {
 		c.Suspects = append(c.Suspects, Suspect{Fingerprint: p})
 	}
@@ -212,10 +212,10 @@
 	const first, second = Fingerprint(1), Fingerprint(2)
 	now, q := time.Now(), NewQuarantine()
 	n := Fingerprint(10)
-	crash := func(p Fingerprint, with int) {
+	crash := func(p Fingerprint, others int) {
 		now = now.Add(time.Second)
 		c := crashOf(fmt.Sprint("u-", now.UnixNano()), 1, now, p)
-		for range with {
+		for range others {
 			n++
 			c.Suspects = append(c.Suspects, Suspect{Fingerprint: n})
 		}
--- a/internal/policy/rendezvous.go
+++ b/internal/policy/rendezvous.go
@@ -23,8 +23,8 @@
 	return r
 }
 
-// First returns the name that Rank puts first for key, or "" if there are no names.
-func (r *Rendezvous) First(key string) string {
+// HighestRanked returns the name that Rank puts first for key, or "" if there are no names.
+func (r *Rendezvous) HighestRanked(key string) string {
 	k := xxhash.Sum64String(key)
 	best, bestScore := "", uint64(0)
 	for i, h := range r.hashes {
@@ -36,8 +36,8 @@
 	return best
 }
 
-// First returns the name that Rank puts first, without sorting, or "" if there are no names.
-func First(key string, names []string) string {
+// HighestRanked returns the name that Rank puts first, without sorting, or "" if there are no names.
+func HighestRanked(key string, names []string) string {
 	k := xxhash.Sum64String(key)
 	best, bestScore := "", uint64(0)
 	for _, n := range names {
--- a/internal/policy/rendezvous_test.go
+++ b/internal/policy/rendezvous_test.go
@@ -16,17 +16,17 @@
 		names := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-c]{1,3}-[0-9]{1,2}`), 1, 20, rapid.ID[string]).Draw(t, "names")
 		key := rapid.String().Draw(t, "key")
 		want := Rank(key, names)
-		if got := First(key, names); got != want[0] {
+		if got := HighestRanked(key, names); got != want[0] {
 			t.Fatalf("First: got %q, want %q", got, want[0])
 		}
-		if got := NewRendezvous(names).First(key); got != want[0] {
+		if got := NewRendezvous(names).HighestRanked(key); got != want[0] {
 			t.Fatalf("Rendezvous: got %q, want %q", got, want[0])
 		}
-		gone := rapid.SampledFrom(names).Draw(t, "gone")
-		rest := slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == gone })
-		want = slices.DeleteFunc(want, func(n string) bool { return n == gone })
-		if got := Rank(key, rest); !slices.Equal(got, want) {
-			t.Fatalf("without %q: got %q, want %q", gone, got, want)
+		removed := rapid.SampledFrom(names).Draw(t, "gone")
+		remaining := slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == removed })
+		want = slices.DeleteFunc(want, func(n string) bool { return n == removed })
+		if got := Rank(key, remaining); !slices.Equal(got, want) {
+			t.Fatalf("without %q: got %q, want %q", removed, got, want)
 		}
 	})
 }
@@ -42,7 +42,7 @@
 	r := NewRendezvous(l)
 	count := make(map[string]float64)
 	for i := range keys {
-		count[r.First(fmt.Sprint("i-", i))]++
+		count[r.HighestRanked(fmt.Sprint("i-", i))]++
 	}
 	mean := float64(keys) / names
 	for _, n := range l {
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -60,9 +60,9 @@
 }
 
 // BetterUpstream returns an upstream at which w would wait much less than at the current one, or "".
-func (r *Router) BetterUpstream(w *Work, at string, c []Candidate, now time.Time) string {
-	here := r.loads[at]
-	if here == nil || now.Sub(r.lastMovedAt[at]) < moveInterval {
+func (r *Router) BetterUpstream(w *Work, current string, c []Candidate, now time.Time) string {
+	here := r.loads[current]
+	if here == nil || now.Sub(r.lastMovedAt[current]) < moveInterval {
 		return ""
 	}
 	class, _ := r.classify(w, c)
@@ -70,14 +70,14 @@
 	if ahead < minMoveGain {
 		return ""
 	}
-	best := r.Choose(w, c, now, func(n string) bool { return n != at && r.loads[n] != nil })
+	best := r.Choose(w, c, now, func(n string) bool { return n != current && r.loads[n] != nil })
 	if best == "" {
 		return ""
 	}
 	if b := r.backlog(best, class, now); b > maxMoveRatio*ahead || b > ahead-minMoveGain {
 		return ""
 	}
-	r.lastMovedAt[at] = now
+	r.lastMovedAt[current] = now
 	return best
 }
 
@@ -106,8 +106,8 @@
 	return best
 }
 
-// Forget drops the load of an upstream.
-func (r *Router) Forget(name string) {
+// DropLoad drops the load of an upstream.
+func (r *Router) DropLoad(name string) {
 	delete(r.loads, name)
 }
 
--- a/internal/policy/router_test.go
+++ b/internal/policy/router_test.go
@@ -76,7 +76,7 @@
 		{"overrun below the distance penalty", []int{30_000, 30_000, 0}, ""},
 		{"overrun above the distance penalty", []int{60_000, 60_000, 0}, "u2"},
 	} {
-		far := 0
+		otherHall := 0
 		for seed := range uint64(40) {
 			c := testCandidates(3)
 			r := NewRouter(NewLengths(), seed)
@@ -90,11 +90,11 @@
 				t.Fatalf("%s: got %s, want %s", x.name, got, x.want)
 			}
 			if got == "u2" {
-				far++
+				otherHall++
 			}
 		}
-		if x.want == "" && far > 0 {
-			t.Errorf("%s: another hall chosen %d times of 40, want never", x.name, far)
+		if x.want == "" && otherHall > 0 {
+			t.Errorf("%s: another hall chosen %d times of 40, want never", x.name, otherHall)
 		}
 	}
 }
@@ -123,19 +123,19 @@
 // that this counts less as time passes, and that moved work adds none.
 func TestRouterPassesOverEnginesThatRead(t *testing.T) {
 	c := testCandidates(2)
-	learn := func() *Router {
+	newRouter := func() *Router {
 		r := NewRouter(NewLengths(), 1)
 		r.UpdateLoad(Load{AsOf: testStart, PrefillTokens: 6000, Upstream: "u0"})
 		r.UpdateLoad(Load{AsOf: testStart, PeakShare: 0.3, Upstream: "u1"})
 		return r
 	}
-	if got := learn().Choose(testWork("a"), c, testStart, allowAny); got != "u1" {
+	if got := newRouter().Choose(testWork("a"), c, testStart, allowAny); got != "u1" {
 		t.Errorf("while u0 prefills: got %s, want u1", got)
 	}
-	if got := learn().Choose(testWork("a"), c, testStart.Add(time.Second), allowAny); got != "u0" {
+	if got := newRouter().Choose(testWork("a"), c, testStart.Add(time.Second), allowAny); got != "u0" {
 		t.Errorf("once u0 has prefilled: got %s, want u0", got)
 	}
-	r := learn()
+	r := newRouter()
 	w := testWork("a")
 	w.Prompt, w.Moved = 100_000, true
 	r.Choose(w, c[1:], testStart, allowAny)
@@ -212,20 +212,20 @@
 func TestRankMovesLittle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-z]{1,4}`), 2, 12, rapid.ID[string]).Draw(t, "names")
-		gone := rapid.SampledFrom(names).Draw(t, "gone")
-		var left []string
+		removed := rapid.SampledFrom(names).Draw(t, "gone")
+		var remaining []string
 		for _, n := range names {
-			if n != gone {
-				left = append(left, n)
+			if n != removed {
+				remaining = append(remaining, n)
 			}
 		}
 		key := rapid.String().Draw(t, "key")
-		before, after := First(key, names), First(key, left)
+		before, after := HighestRanked(key, names), HighestRanked(key, remaining)
 		if got, want := Rank(key, names)[0], before; got != want {
 			t.Fatalf("first of the ranking: got %s, want %s", got, want)
 		}
-		if before != gone && before != after {
-			t.Fatalf("owner without %s: got %s, want %s", gone, after, before)
+		if before != removed && before != after {
+			t.Fatalf("owner without %s: got %s, want %s", removed, after, before)
 		}
 	})
 }
@@ -239,13 +239,13 @@
 	}
 	owned := make(map[string]int)
 	for i := range 909 {
-		owned[First(fmt.Sprintf("engine-%d", i), boxes)]++
+		owned[HighestRanked(fmt.Sprintf("engine-%d", i), boxes)]++
 	}
-	most := 0
+	maxOwned := 0
 	for _, n := range owned {
-		most = max(most, n)
+		maxOwned = max(maxOwned, n)
 	}
-	if got, want := most, 12; got > want {
+	if got, want := maxOwned, 12; got > want {
 		t.Errorf("maximum number of upstreams per owner: got %d, want at most %d", got, want)
 	}
 }
--- a/internal/policy/running.go
+++ b/internal/policy/running.go
@@ -33,7 +33,7 @@
 
 // markPrefilled records that the prompt of a generation has been prefilled.
 func (o *Owner) markPrefilled(r *runningWork) {
-	o.prefilling -= r.prefillTokens
+	o.prefillingTokens -= r.prefillTokens
 	r.prefillTokens = 0
 }
 
@@ -76,10 +76,10 @@
 	}
 	r.stalled = stalled
 	if stalled {
-		o.stalled++
+		o.stalledCount++
 		return
 	}
-	o.stalled--
+	o.stalledCount--
 }
 
 // stallAfter returns how long a generation may go without a token before it counts as stalled. That
@@ -101,7 +101,7 @@
 	if o.capacity.MaxStartsPerSecond > 0 {
 		o.recentStarts = append(o.recentStarts, now)
 	}
-	o.prefilling += r.prefillTokens
+	o.prefillingTokens += r.prefillTokens
 	o.usedTokens += e.work.Prompt
 	o.forecast.add(&r.forecast, 1)
 }
--- a/internal/policy/sample.go
+++ b/internal/policy/sample.go
@@ -19,14 +19,14 @@
 	sampleNear        = 12 // and of the work's own hall
 )
 
-// take reports whether the next item is selected, given a random number in [0, 1).
-func (s *sampler) take(random float64) bool {
-	taken := random*float64(s.remaining) < float64(s.wanted)
+// selectNext reports whether the next item is selected, given a random number in [0, 1).
+func (s *sampler) selectNext(random float64) bool {
+	selected := random*float64(s.remaining) < float64(s.wanted)
 	s.remaining--
-	if taken {
+	if selected {
 		s.wanted--
 	}
-	return taken
+	return selected
 }
 
 // sample returns the allowed candidates or, if there are many, a random sample, most of it from the
@@ -45,7 +45,7 @@
 		if c[i].Penalty == 0 {
 			s = &near
 		}
-		if s.take(r.random()) || warm[c[i].Name] {
+		if s.selectNext(r.random()) || warm[c[i].Name] {
 			l = append(l, c[i])
 		}
 	}
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -92,7 +92,7 @@
 		return nil, fail.WithRetryAt(fail.New(fail.NotRun, origin, string(policy.ReasonEvacuated), "data hall %q is evacuated", u.Spec.Hall), now)
 	case !e.relay.backoffs.Until(u.Name, now).IsZero():
 		e.avoid[t.upstream.Name] = true
-		return nil, fail.WithRetryAt(fail.New(fail.NotRun, origin, string(policy.ReasonResting), "the upstream asked for back-off"), e.retryAt(now))
+		return nil, fail.WithRetryAt(fail.New(fail.NotRun, origin, string(policy.ReasonBackOff), "the upstream asked for back-off"), e.retryAt(now))
 	case t.place != nil && t.place.Stale(now):
 		return nil, fail.WithRetryAt(fail.New(fail.NotRun, origin, "stale_place", "the reserved place has expired"), now)
 	}
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -78,7 +78,7 @@
 	if e.service == nil {
 		return fail.WithRetryAt(fail.New(fail.NotRun, clientOrigin("route"), "service_unknown", "service %q is not declared", n), time.Now().Add(startRetryDelay))
 	}
-	x.retryBudget.CountRequest(n, time.Now())
+	x.retryBudget.RecordRequest(n, time.Now())
 	return nil
 }
 
--- a/internal/relay/resume.go
+++ b/internal/relay/resume.go
@@ -39,7 +39,7 @@
 		return nil, fail.New(fail.NotRun, origin, string(policy.ReasonEvacuated), "data hall %q is evacuated", v.Spec.Hall)
 	}
 	if !e.relay.backoffs.TakeProbe(u.Name, time.Now()) {
-		return nil, fail.New(fail.NotRun, origin, string(policy.ReasonResting), "the upstream asked for back-off")
+		return nil, fail.New(fail.NotRun, origin, string(policy.ReasonBackOff), "the upstream asked for back-off")
 	}
 	if !e.takeResumePermit(ctx, u) {
 		return nil, fail.New(fail.NotRun, origin, string(policy.ReasonLimited), "the upstream has reached its rate limit")
@@ -190,7 +190,7 @@
 func (s *stream) resumeMoved(ctx context.Context, m *move) (*Answer, error) {
 	e := s.exchange
 	r := &Resume{Handle: m.copy.Handle, Source: m.from.HostPort()}
-	e.relay.retryBudget.CountRetry(e.service.Name, time.Now())
+	e.relay.retryBudget.RecordRetry(e.service.Name, time.Now())
 	var a *Answer
 	var err error
 	var u *resource.Upstream
--- a/internal/relay/rig_test.go
+++ b/internal/relay/rig_test.go
@@ -50,7 +50,7 @@
 	relay        *relay.Relay
 	revision     int64
 	t            *testing.T
-	moveSlots    ownership.MoveTurns
+	moveSlots    ownership.MoveSlots
 	view         *resource.View
 }
 
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -215,7 +215,7 @@
 		return
 	}
 	if s.assignment.running.Produced.Add(int64(n)) == int64(n) {
-		x.tracker.FirstToken(s.assignment.running)
+		x.tracker.RecordFirstToken(s.assignment.running)
 	}
 }
 
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -169,7 +169,7 @@
 	if err := r.Backoffs.AllBackingOffError(u, r.origin(c), time.Now()); err != nil {
 		return err
 	}
-	return fail.WithRetryAt(fail.New(fail.NotRun, r.origin(c), string(policy.ReasonResting), "all upstreams of %q are backing off", c.Service), time.Now())
+	return fail.WithRetryAt(fail.New(fail.NotRun, r.origin(c), string(policy.ReasonBackOff), "all upstreams of %q are backing off", c.Service), time.Now())
 }
 
 func (r *Router) origin(c *Call) fail.Origin {
--- a/kept_test.go
+++ b/kept_test.go
@@ -332,7 +332,7 @@
 	var crashes []policy.Crash
 	for i := range maxQuarantined {
 		s := policy.Suspect{Cleared: true, Events: 1 << 31, Fingerprint: ^policy.Fingerprint(i), Trials: 3}
-		crashes = append(crashes, policy.Crash{At: at, StartedAtMS: 1 << 41, LastReturnAt: at, Suspects: []policy.Suspect{s}, Upstream: fmt.Sprintf("%200d", i)})
+		crashes = append(crashes, policy.Crash{At: at, StartedAtMS: 1 << 41, LastResentAt: at, Suspects: []policy.Suspect{s}, Upstream: fmt.Sprintf("%200d", i)})
 	}
 	for _, x := range []struct {
 		name               string
@@ -408,8 +408,8 @@
 			}
 		}
 		for _, c := range crashes {
-			if c.At.After(now) || c.LastReturnAt.After(now) {
-				t.Errorf("crash in the future: got %v, %v, want at most %v", c.At, c.LastReturnAt, now)
+			if c.At.After(now) || c.LastResentAt.After(now) {
+				t.Errorf("crash in the future: got %v, %v, want at most %v", c.At, c.LastResentAt, now)
 			}
 		}
 		if l := q.QuarantinedCrashes(maxQuarantined, now); len(decodeRow[crashEntry](encodeRow(k.crashEntries(l)))) != len(l) {
--- a/linetiller.go
+++ b/linetiller.go
@@ -59,13 +59,13 @@
 	orders           *order.Reconciler
 	owners           *ownership.Owners
 	relay            *relay.Relay
-	reserved         *placement.Reserved
+	reserved         *placement.Reserver
 	backoffs         *health.Backoffs
 	routedEngines    *platform.Engines // upstreams of declared routes
 	recorder         *recorder
 	store            *table.Store
 	tracker          *placement.Tracker
-	moveTurns        ownership.MoveTurns
+	moveTurns        ownership.MoveSlots
 	view             *resource.View
 
 	// entry holds the servers for the platform's load balancer: for requests, readiness checks and
--- a/ownercalls.go
+++ b/ownercalls.go
@@ -17,7 +17,7 @@
 // has ended. The owner is determined from u, not from the view, because a leaving engine may no
 // longer be listed there.
 func (b *Box) acquireMoveTurn(ctx context.Context, u *resource.Upstream, inbound bool, r *policy.Run) (func(), error) {
-	o := policy.First(u.Name, b.members.Alive(u.Spec.Hall))
+	o := policy.HighestRanked(u.Name, b.members.Alive(u.Spec.Hall))
 	if o == b.settings.Box {
 		return b.moveTurns.Acquire(ctx, u.Name, inbound, r)
 	}
@@ -75,9 +75,9 @@
 	if x == nil {
 		return &box.Reply{}, nil
 	}
-	o := policy.First(x.Name, b.members.Alive(x.Spec.Hall))
+	o := policy.HighestRanked(x.Name, b.members.Alive(x.Spec.Hall))
 	if o == b.settings.Box {
-		return b.owners.Update(u), nil
+		return b.owners.RecordProgress(u), nil
 	}
 	return b.links.CallOnce(ctx, b.members.Address(o), b.newRequest(box.Request{Kind: box.KindProgress, Progress: u}))
 }
--- a/quarantinedrow.go
+++ b/quarantinedrow.go
@@ -78,7 +78,7 @@
 	for _, x := range decodeRow[crashEntry](value) {
 		at, _ := k.localTime(x.AtMS)
 		seenAt, _ := k.localTime(x.SeenAtMS)
-		l = append(l, policy.Crash{At: at, StartedAtMS: x.Born, LastReturnAt: seenAt, Suspects: x.Suspects, Upstream: x.Upstream})
+		l = append(l, policy.Crash{At: at, StartedAtMS: x.Born, LastResentAt: seenAt, Suspects: x.Suspects, Upstream: x.Upstream})
 	}
 	return l
 }
--- a/register.go
+++ b/register.go
@@ -78,7 +78,7 @@
 // of the hall does so. A box that is still running writes its row again.
 func (b *Box) removeUnreachable(ctx context.Context) {
 	s := b.members.Self()
-	if policy.First("registrar", b.members.Alive(s.Hall)) != s.Name {
+	if policy.HighestRanked("registrar", b.members.Alive(s.Hall)) != s.Name {
 		return
 	}
 	for _, n := range b.members.LongUnreachable(time.Now()) {
