--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -29,9 +29,9 @@
 const (
 	// usableShare is the share of the allowed retries that is used. The rest is a margin: the
 	// limit may be checked over windows that start at other times than these slots, and there may
-	// be more boxes than this one knows of.
+	// be boxes that are not yet in this box's list.
 	usableShare = 0.7
-	// slotCount is the number of slots of a window.
+	// slotCount is the number of time slots of a window.
 	slotCount = 10
 )
 
@@ -86,7 +86,7 @@
 	return true
 }
 
-// windowOf returns a service's window after advancing it to now. The caller holds the lock.
+// windowOf returns a service's window after advancing it to now. The caller holds the mutex.
 func (b *Budget) windowOf(service string, now time.Time) *slidingWindow {
 	if b.start.IsZero() {
 		b.start = now
--- a/internal/ownership/assign.go
+++ b/internal/ownership/assign.go
@@ -16,7 +16,7 @@
 
 // assign recomputes which upstreams this box owns, if the boxes or the configuration have
 // changed since the last time. It creates the owners at once, so that their load is known before
-// the first request for a place.
+// the first placement request.
 func (o *Owners) assign(now time.Time) {
 	boxes, revision := o.members.Version(), o.view.Version()
 	if now.Sub(o.assignedAt) < assignInterval || (boxes == o.assignedMembers && revision == o.assignedView) {
--- a/internal/ownership/cold_test.go
+++ b/internal/ownership/cold_test.go
@@ -16,8 +16,8 @@
 	"github.com/linetiller/linetiller/internal/upstream"
 )
 
-// TestColdEngineWhoseOwnerIsRestarted guards against overloading a cold engine when its owner
-// restarts: within one second the owner before the restart, the box that replaced it and the
+// TestColdEngineWhoseOwnerIsRestarted guards against overloading a cold engine when the box of its
+// owner restarts: within one second the owner before the restart, the box that replaces it and the
 // restarted owner could each start as many generations as one owner may.
 func TestColdEngineWhoseOwnerIsRestarted(t *testing.T) {
 	for _, x := range []struct {
--- a/internal/ownership/evacuation_test.go
+++ b/internal/ownership/evacuation_test.go
@@ -79,12 +79,12 @@
 }
 
 // TestOwnerGoesByItsViewAsItIsAsked guards against an owner that decides by an outdated
-// evacuation state: it asks for a place right after the owner's box has learned that the hall is
-// evacuated, or no longer evacuated. The asking box has by then brought the owner's box up to
-// date with its own view, so the owner must decide by that view.
+// evacuation state. The test requests a place right after the view of the owner's box shows that
+// the hall is evacuated, or no longer is. The requesting box has by then brought the owner's
+// box up to date with its own view, so the owner must decide by that view.
 //
-// A caller was once refused as evacuated 40 ms after the evacuation had been withdrawn: both
-// boxes knew of it, but the owner checked evacuations only every 100 ms.
+// An owner that applies evacuations only every 100 ms refuses a caller as evacuated 40 ms after
+// the evacuation is withdrawn, although the views of both boxes are up to date.
 func TestOwnerGoesByItsViewAsItIsAsked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := resource.NewView()
--- a/internal/ownership/moveturns.go
+++ b/internal/ownership/moveslots.go
@@ -9,25 +9,25 @@
 	"github.com/linetiller/linetiller/internal/policy"
 )
 
-// MoveSlots serializes moves of runs between upstreams: at each upstream one run at a time may
-// be moved away and one may arrive, so that a run that is paused for its short last copy does
-// not wait behind another run's long copy on the same link. The zero value is ready to use. It
-// is safe for concurrent use.
+// MoveSlots serializes moves of runs between upstreams: each upstream has one slot for a run
+// that is moved away and one for a run that arrives, so that a run that is paused for its short
+// last copy does not wait behind another run's long copy on the same link. The zero value is
+// ready to use. It is safe for concurrent use.
 type MoveSlots struct {
 	mutex  sync.Mutex
 	queues map[string]*slotQueue // by upstream and direction
 }
 
-// slotQueue holds the runs that wait for a turn at one upstream in one direction. It is guarded
-// by MoveSlots.mutex.
+// slotQueue holds the runs that wait for the move slot of one upstream in one direction. It is
+// guarded by MoveSlots.mutex.
 type slotQueue struct {
-	occupied bool // a run has the turn
+	occupied bool // a run has the slot
 	waiting  []*waiter
 }
 
-// waiter is a run that waits for its turn.
+// waiter is a run that waits for a move slot.
 type waiter struct {
-	granted chan struct{} // closed when the run gets its turn
+	granted chan struct{} // closed when the run gets the slot
 	run     *policy.Run
 }
 
@@ -35,11 +35,11 @@
 // arrive there.
 const inboundSuffix = "/arriving"
 
-// assumedStep is the time between tokens assumed when estimating how long a run will last; 7 to
-// 15 ms were measured.
+// assumedStep is the time between tokens assumed when estimating how long a run will last; engines
+// take 7 to 15 ms.
 const assumedStep = 10 * time.Millisecond
 
-// Acquire waits until the run may be moved away from an upstream, or to it if incoming is set.
+// Acquire waits until the run may be moved away from an upstream, or to it if inbound is set.
 // The caller must call release when the move has ended. It returns ctx's error if ctx ends
 // first.
 func (t *MoveSlots) Acquire(ctx context.Context, upstream string, inbound bool, r *policy.Run) (release func(), err error) {
@@ -77,16 +77,8 @@
 	return nil, ctx.Err()
 }
 
-// release ends the current turn and grants the next.
-func (t *MoveSlots) release(upstream string, q *slotQueue) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	q.occupied = false
-	t.grantNext(upstream, q)
-}
-
-// grantNext grants the turn to the waiting run that comes first by policy.CompareRuns, if the turn is
-// free. The caller holds the mutex.
+// grantNext grants the slot to the waiting run that comes first by policy.CompareRuns, if the slot
+// is free. The caller holds the mutex.
 func (t *MoveSlots) grantNext(upstream string, q *slotQueue) {
 	if q.occupied {
 		return
@@ -106,6 +98,14 @@
 	close(first.granted)
 }
 
+// release frees the slot and grants it to the next run.
+func (t *MoveSlots) release(upstream string, q *slotQueue) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	q.occupied = false
+	t.grantNext(upstream, q)
+}
+
 // remove removes a run from the queue.
 func (q *slotQueue) remove(w *waiter) {
 	q.waiting = slices.DeleteFunc(q.waiting, func(x *waiter) bool { return x == w })
--- a/internal/ownership/moveturns_test.go
+++ b/internal/ownership/moveslots_test.go
@@ -10,9 +10,9 @@
 	"github.com/linetiller/linetiller/internal/policy"
 )
 
-// TestTurnsGoOneByOneInOrder queues several runs behind one that has the turn. They must get it
-// one at a time: by priority, then runs that outlast the notice of an engine, the smaller first,
-// then the others, those with most tokens left first.
+// TestTurnsGoOneByOneInOrder queues several runs behind one that has the move slot. They must get
+// it one at a time: by priority, then runs that outlast the notice of an engine, the smaller first,
+// then the others, those with the most remaining tokens first.
 func TestTurnsGoOneByOneInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var slots MoveSlots
@@ -41,11 +41,11 @@
 		}
 		synctest.Wait()
 		if len(got) != 0 {
-			t.Errorf("turns granted while one is held: got %d, want none", len(got))
+			t.Errorf("slots granted while the only one is occupied: got %d, want none", len(got))
 		}
 		other, err := slots.Acquire(t.Context(), "u", true, &policy.Run{ID: "arrives"})
 		if err != nil {
-			t.Errorf("incoming turn: got error %v, want it granted while the outgoing one is held", err)
+			t.Errorf("inbound slot: got error %v, want it granted while the outbound one is occupied", err)
 		}
 		other()
 		release()
@@ -54,12 +54,12 @@
 				t.Errorf("got %s, want %s", id, want)
 			}
 		}
-		time.Sleep(2 * time.Second) // until the last turn is released
+		time.Sleep(2 * time.Second) // until the last slot is released
 	})
 }
 
-// TestTurnsPassThoseWhoGiveUp cancels runs that wait for a turn, and releases the turn
-// afterwards, twice: the turn must go to the next run that still waits, and no queue may remain.
+// TestTurnsPassThoseWhoGiveUp cancels runs that wait for a move slot, and releases the slot
+// afterwards, twice: the next run that requests it must get it, and no queue may remain.
 func TestTurnsPassThoseWhoGiveUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var slots MoveSlots
@@ -68,7 +68,7 @@
 		for i := range 3 {
 			go func() {
 				if _, err := slots.Acquire(ctx, "u", false, &policy.Run{ID: fmt.Sprint(i), Priority: 9}); err == nil {
-					t.Error("got a turn after its context was cancelled, want an error")
+					t.Error("got the slot after its context was cancelled, want an error")
 				}
 			}()
 		}
--- a/internal/ownership/ownedupstream.go
+++ b/internal/ownership/ownedupstream.go
@@ -12,9 +12,9 @@
 // ownedUpstream is an upstream for which this box runs the owner.
 type ownedUpstream struct {
 	mutex          sync.Mutex
-	reportFailures int // consecutive failed reads of the load report
-	instance       string
-	assigned       bool // this box owns the upstream at present
+	reportFailures int    // consecutive failed reads of the load report
+	instance       string // of the upstream, as its last load report names it; changes with a restart
+	assigned       bool   // this box owns the upstream at present
 	owner          *policy.Owner
 	reportReadAt   time.Time // when the last read of the load report began
 	readingReport  bool
@@ -62,6 +62,15 @@
 	return true
 }
 
+// countReportFailure counts a failed read of the load report, and returns the number of consecutive
+// failures.
+func (x *ownedUpstream) countReportFailure() int {
+	x.mutex.Lock()
+	defer x.mutex.Unlock()
+	x.reportFailures++
+	return x.reportFailures
+}
+
 // endReportRead marks the load report as no longer being read.
 func (x *ownedUpstream) endReportRead() {
 	x.mutex.Lock()
@@ -104,15 +113,6 @@
 	}
 }
 
-// countReportFailure counts a failed read of the load report, and returns the number of consecutive
-// failures.
-func (x *ownedUpstream) countReportFailure() int {
-	x.mutex.Lock()
-	defer x.mutex.Unlock()
-	x.reportFailures++
-	return x.reportFailures
-}
-
 // setEvacuated records whether the upstream's hall is evacuated; if it is, queued work is
 // refused at once, so that it can go elsewhere. The caller holds the mutex.
 func (x *ownedUpstream) setEvacuated(evacuated bool) {
--- a/internal/ownership/ownedupstream_test.go
+++ b/internal/ownership/ownedupstream_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestReportIsDueSoonOnceTheStoreIsAway checks that the shorter report interval which applies
-// while the store is unavailable also applies to a report that was read just before.
+// while the store is unavailable also applies if a report was read just before.
 func TestReportIsDueSoonOnceTheStoreIsAway(t *testing.T) {
 	x, now := new(ownedUpstream), time.Now()
 	if !x.beginReportRead(now, time.Second) {
--- a/internal/ownership/owners.go
+++ b/internal/ownership/owners.go
@@ -1,5 +1,5 @@
-// Package ownership runs the policy.Owner of each upstream that a box owns: it answers requests
-// for places, records the progress of generations and reads load reports.
+// Package ownership runs the policy.Owner of each upstream that a box owns: it answers
+// placement requests, records the progress of generations and reads load reports.
 package ownership
 
 import (
@@ -20,8 +20,8 @@
 // Owners.mutex, then ownedUpstream.mutex, then the locks of the packages member, resource and
 // policy, under which no other lock is taken.
 type Owners struct {
-	// PlatformUnavailable, if set, reports whether the platform's list of upstreams cannot be
-	// read at present.
+	// PlatformUnavailable, if set, reports whether the platform's list of upstreams can currently
+	// not be read.
 	PlatformUnavailable func() bool
 	// OnLeaving, if set, is called when an upstream announces in its load report that it is
 	// leaving.
@@ -63,10 +63,9 @@
 	// a hall of 100 boxes and 1,000 upstreams, where something changes all the time.
 	assignInterval = 100 * time.Millisecond
 	// outageReportInterval is how often load reports are read while the platform's list of
-	// upstreams is unavailable, so that only a report tells that an upstream is leaving.
-	// Upstreams give 1.5 to 2.1 s of notice, and a report tells of it half a second late;
-	// reading one costs 1/2,500 of what a long generation is worth (at the prices of the users'
-	// benchmark days).
+	// upstreams is unavailable, so that only a report shows that an upstream is leaving.
+	// Upstreams give 1.5 to 2.1 s of notice, and a report shows it half a second late; reading
+	// one costs 1/2,500 of the value of a long generation.
 	outageReportInterval = 150 * time.Millisecond
 	// coldStartShare is the share of the start rate of a cold engine that one owner grants: two
 	// boxes may briefly both consider themselves its owner.
@@ -113,9 +112,54 @@
 	return func(o *Owners) { o.reportInterval = d }
 }
 
-// RequestPlace answers a request for a place: immediately, and if the work is queued, a second time when
-// it gets a place or is refused. It returns after the final answer or when ctx ends. Work whose
-// caller has disconnected is removed from the queue.
+// Loads returns the loads of the upstreams that this box owns.
+func (o *Owners) Loads() []policy.Load {
+	now := time.Now()
+	var l []policy.Load
+	for _, x := range o.list() {
+		x.mutex.Lock()
+		if x.assigned {
+			l = append(l, x.owner.Load(now))
+		}
+		x.mutex.Unlock()
+	}
+	return l
+}
+
+// RecordProgress records the progress of generations at an upstream. The reply holds its load and the
+// IDs of generations that the owner does not know; the caller is to send the work of these again
+// in full.
+func (o *Owners) RecordProgress(u *box.ProgressReport) *box.Reply {
+	x := o.getOrCreate(u.Upstream)
+	if x == nil {
+		return &box.Reply{Revisions: o.view.Revisions()}
+	}
+	now := time.Now()
+	x.mutex.Lock()
+	defer x.mutex.Unlock()
+	r := &box.Reply{Revisions: o.view.Revisions()}
+	for n := range u.Items {
+		i := &u.Items[n]
+		switch {
+		case i.Released:
+			x.owner.Finish(i.ID, i.Produced, i.Ended, now)
+		case i.Work != nil:
+			x.owner.Register(i.Work, i.Produced, now)
+		case !x.owner.IsRunning(i.ID):
+			r.UnknownIDs = append(r.UnknownIDs, i.ID)
+		default:
+			x.owner.Progress(i.ID, i.Produced, now)
+		}
+	}
+	x.grantNext(now)
+	l := x.owner.Load(now)
+	r.Load = &l
+	return r
+}
+
+// RequestPlace answers a placement request: immediately, and if the work is queued, a second
+// time when it gets a place or is refused. It returns after the final answer or when ctx ends.
+// Work whose caller has disconnected is removed from the queue.
 func (o *Owners) RequestPlace(ctx context.Context, a *box.PlacementRequest, answer func(*box.Reply) error) {
 	x := o.getOrCreate(a.Upstream)
 	if x == nil {
@@ -124,7 +168,7 @@
 	}
 	now := time.Now()
 	x.mutex.Lock()
-	x.applyEntry(o.view.Upstream(a.Upstream)) // at least as recent as the view of the asking box
+	x.applyEntry(o.view.Upstream(a.Upstream)) // at least as recent as the view of the requesting box
 	v := x.owner.RequestPlace(&a.Work, now)
 	var c chan policy.Answer
 	if v.Verdict == policy.VerdictQueue {
@@ -145,20 +189,6 @@
 	}
 }
 
-// Loads returns the loads of the upstreams that this box owns.
-func (o *Owners) Loads() []policy.Load {
-	now := time.Now()
-	var l []policy.Load
-	for _, x := range o.list() {
-		x.mutex.Lock()
-		if x.assigned {
-			l = append(l, x.owner.Load(now))
-		}
-		x.mutex.Unlock()
-	}
-	return l
-}
-
 // Run reads load reports and grants places to queued work until the context ends, then refuses
 // what is still queued.
 func (o *Owners) Run(ctx context.Context) {
@@ -187,37 +217,6 @@
 	o.refuseAllWaiting()
 }
 
-// RecordProgress records the progress of generations at an upstream. The reply holds its load and the
-// IDs of generations that the owner does not know; the caller is to send the work of these again
-// in full.
-func (o *Owners) RecordProgress(u *box.ProgressReport) *box.Reply {
-	x := o.getOrCreate(u.Upstream)
-	if x == nil {
-		return &box.Reply{Revisions: o.view.Revisions()}
-	}
-	now := time.Now()
-	x.mutex.Lock()
-	defer x.mutex.Unlock()
-	r := &box.Reply{Revisions: o.view.Revisions()}
-	for n := range u.Items {
-		i := &u.Items[n]
-		switch {
-		case i.Released:
-			x.owner.Finish(i.ID, i.Produced, i.Ended, now)
-		case i.Work != nil:
-			x.owner.Register(i.Work, i.Produced, now)
-		case !x.owner.IsRunning(i.ID):
-			r.UnknownIDs = append(r.UnknownIDs, i.ID)
-		default:
-			x.owner.Progress(i.ID, i.Produced, now)
-		}
-	}
-	x.grantNext(now)
-	l := x.owner.Load(now)
-	r.Load = &l
-	return r
-}
-
 // cancelWait removes work whose caller has disconnected from the queue; c is nil if the work was
 // not queued.
 func (o *Owners) cancelWait(x *ownedUpstream, a *box.PlacementRequest, c chan policy.Answer) {
@@ -299,7 +298,8 @@
 	}
 }
 
-// reply returns a new reply for each call, since the caller may still hold an earlier one.
+// reply returns a reply with an answer and a load. Each call returns a new one, since the
+// caller may still use an earlier one.
 func (o *Owners) reply(a policy.Answer, l policy.Load) *box.Reply {
 	return &box.Reply{Answer: &a, Load: &l, Revisions: o.view.Revisions()}
 }
@@ -339,7 +339,7 @@
 	}
 }
 
-// refusal returns an answer that refuses a request for a place.
+// refusal returns an answer that refuses a placement request.
 func refusal(a *box.PlacementRequest, r policy.Reason) *policy.Answer {
 	return &policy.Answer{ID: a.Work.ID, Reason: r, Verdict: policy.VerdictRefuse}
 }
--- a/internal/placement/candidatecache.go
+++ b/internal/placement/candidatecache.go
@@ -35,8 +35,8 @@
 	// lapsed stops being a candidate by the passing of time alone, without a change.
 	candidatesTTL     = 100 * time.Millisecond
 	maxCandidateLists = 256 // callers choose the model names; unknown ones must not exhaust memory
-	// crossHallPenalty is how many seconds of backlog an upstream in another hall counts for: if
-	// the halls are disconnected, its streams end, and copies between halls take twice as long.
+	// crossHallPenalty is the backlog, in seconds, added for an upstream in another hall: if the
+	// halls are disconnected, its streams end, and copies between halls take twice as long.
 	crossHallPenalty = 5
 )
 
@@ -59,7 +59,7 @@
 }
 
 // get returns the upstreams that serve w's model, accept new work, and have a box in their hall
-// that could own them. Callers must not modify the list.
+// that can own them. Callers must not modify the list.
 func (c *candidateCache) get(w *policy.Work, now time.Time) []policy.Candidate {
 	k := candidateKey{hall: cmp.Or(w.Hall, c.members.Self().Hall), model: w.Model}
 	boxes, view := c.members.Version(), c.view.Version()
@@ -76,7 +76,7 @@
 	return l.entries
 }
 
-// reachableHalls returns the halls with at least one box that could own upstreams.
+// reachableHalls returns the halls with at least one box that can own upstreams.
 func (c *candidateCache) reachableHalls() map[string]bool {
 	m := make(map[string]bool)
 	for _, h := range c.members.Halls() {
--- a/internal/placement/candidatecache_test.go
+++ b/internal/placement/candidatecache_test.go
@@ -44,8 +44,8 @@
 }
 
 // TestCandidatesFollowChanges guards against the use of an outdated cached list after an engine
-// starts to leave, after its entry has been lapsed for longer than the grace period, and after
-// the last box of a hall has failed.
+// starts to leave, after its entry has lapsed for longer than the grace period, and after the
+// last box of a hall has failed.
 func TestCandidatesFollowChanges(t *testing.T) {
 	v, m := testView(6, 3)
 	c := newCandidateCache(v, m)
@@ -63,7 +63,7 @@
 		t.Errorf("entry just lapsed: got %v, want engine-3 among them", got)
 	}
 	if got := candidateNames(c.get(w, time.Now().Add(resource.LapseGracePeriod+time.Second))); got["engine-3"] {
-		t.Errorf("entry lapsed for longer than LapsePeriod: got %v, want engine-3 not among them", got)
+		t.Errorf("entry lapsed for longer than LapseGracePeriod: got %v, want engine-3 not among them", got)
 	}
 	began := time.Now()
 	m.RecordFailure("box-2", began, began.Add(time.Second))
--- a/internal/placement/reserved.go
+++ b/internal/placement/reserver.go
@@ -21,9 +21,11 @@
 // Reserver reserves a place with the owner of an upstream before anything is sent to the
 // upstream. It is safe for concurrent use.
 type Reserver struct {
-	// RequestLocal asks the owner of an upstream on this box. It must be set before Place is called.
+	// RequestLocal sends a placement request to an owner on this box. It must be set before
+	// Place is called.
 	RequestLocal func(ctx context.Context, a *box.PlacementRequest, answer func(*box.Reply) error)
-	// RequestRemote asks the owner of an upstream on another box. It must be set before Place is called.
+	// RequestRemote sends a placement request to an owner on another box. It must be set before
+	// Place is called.
 	RequestRemote func(ctx context.Context, owner string, a *box.PlacementRequest, answer func(*box.Reply) error) error
 
 	candidates *candidateCache
@@ -36,16 +38,16 @@
 	view       *resource.View
 }
 
-// rerouteInterval is how often queued work checks for a better upstream.
+// rerouteInterval is how often a better upstream is sought for queued work.
 const rerouteInterval = time.Second
 
-// NewReserver returns a Reserved for the upstreams in v.
+// NewReserver returns a Reserver for the upstreams in v.
 func NewReserver(v *resource.View, m *member.Table, l *policy.Lengths, s *metric.Set, seed uint64) *Reserver {
 	return &Reserver{candidates: newCandidateCache(v, m), loadAge: s.Histogram(metric.LoadAge), members: m, metrics: s, prompts: policy.NewPrompts(), router: policy.NewRouter(l, seed), view: v}
 }
 
-// ChooseLocally returns the upstream that seems best for w without asking its owner, or nil. It is meant
-// for work that should run even if no place could be reserved.
+// ChooseLocally returns the upstream that seems best for w without a placement request to its
+// owner, or nil. It is meant for work that should run even if no place can be reserved.
 func (p *Reserver) ChooseLocally(w *policy.Work, avoid map[string]bool) *resource.Upstream {
 	return p.view.Upstream(p.route(w, avoid))
 }
@@ -80,50 +82,6 @@
 	p.router.UpdateLoad(*l)
 }
 
-// requestPlace asks u's owner for a place and returns its final answer. While w is queued it waits for at
-// most the given time, after which it returns errQueued, or until a much better upstream is
-// known, in which case it returns a rerouteError.
-func (p *Reserver) requestPlace(ctx context.Context, u *resource.Upstream, w *policy.Work, wait time.Duration) (*policy.Answer, error) {
-	owner := policy.HighestRanked(u.Name, p.members.Alive(u.Spec.Hall))
-	origin := fail.Origin{Peer: "box " + owner, Step: "ask"}
-	if owner == "" {
-		return nil, fail.New(fail.NotRun, origin, "no_owner", "no box is known in hall %q", u.Spec.Hall)
-	}
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	began := time.Now()
-	replies := make(chan *box.Reply, 2)
-	failed := make(chan error, 1)
-	go func() { failed <- p.exchange(ctx, owner, &box.PlacementRequest{Upstream: u.Name, Work: *w}, replies) }()
-	t := time.NewTicker(rerouteInterval)
-	defer t.Stop()
-	waited := time.NewTimer(wait)
-	defer waited.Stop()
-	for {
-		select {
-		case r := <-replies:
-			if a := p.finalAnswer(r); a != nil {
-				return a, nil
-			}
-			if r.Answer != nil && wait == 0 {
-				return nil, errQueued
-			}
-		case err := <-failed:
-			return p.drainReplies(ctx, err, replies, owner, began, origin)
-		case <-t.C:
-			if to := p.betterUpstream(w, u.Name); to != "" {
-				return nil, rerouteError{to}
-			}
-		case <-waited.C:
-			if wait > 0 {
-				return nil, errQueued
-			}
-		case <-ctx.Done():
-			return nil, ctx.Err()
-		}
-	}
-}
-
 // backOff counts a retry and waits before the next request, for a time that depends on the
 // number of consecutive failures; err is the last of them, or nil if the upstream has another
 // owner now.
@@ -149,8 +107,9 @@
 	return p.router.BetterUpstream(w, current, c, now)
 }
 
-// chooseUpstream returns the upstream to ask for a place, or nil if none of those left has an
-// owner that can be asked. It returns an error if no upstream is left.
+// chooseUpstream returns the upstream at which to request a place, which is next unless that is "".
+// It returns nil if upstreams outside skip accept w, but none of them has an owner that can be
+// reached, and an error if there is no such upstream.
 func (p *Reserver) chooseUpstream(w *policy.Work, skip map[string]bool, next string) (*resource.Upstream, error) {
 	if next == "" {
 		next = p.route(w, skip)
@@ -185,7 +144,7 @@
 	}
 }
 
-// exchange sends one request for a place and forwards the replies until the last.
+// exchange sends one placement request and forwards the replies until the last.
 func (p *Reserver) exchange(ctx context.Context, owner string, a *box.PlacementRequest, replies chan<- *box.Reply) error {
 	forward := func(r *box.Reply) error {
 		select {
@@ -220,10 +179,54 @@
 	return p.prompts.Observe(w)
 }
 
+// requestPlace requests a place from u's owner and returns the final answer. While w is queued it
+// waits for at most the given time, after which it returns errQueued, or until a much better
+// upstream is known, in which case it returns a rerouteError.
+func (p *Reserver) requestPlace(ctx context.Context, u *resource.Upstream, w *policy.Work, wait time.Duration) (*policy.Answer, error) {
+	owner := policy.HighestRanked(u.Name, p.members.Alive(u.Spec.Hall))
+	origin := fail.Origin{Peer: "box " + owner, Step: "ask"}
+	if owner == "" {
+		return nil, fail.New(fail.NotRun, origin, "no_owner", "no box is known in hall %q", u.Spec.Hall)
+	}
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	began := time.Now()
+	replies := make(chan *box.Reply, 2)
+	failed := make(chan error, 1)
+	go func() { failed <- p.exchange(ctx, owner, &box.PlacementRequest{Upstream: u.Name, Work: *w}, replies) }()
+	t := time.NewTicker(rerouteInterval)
+	defer t.Stop()
+	waited := time.NewTimer(wait)
+	defer waited.Stop()
+	for {
+		select {
+		case r := <-replies:
+			if a := p.finalAnswer(r); a != nil {
+				return a, nil
+			}
+			if r.Answer != nil && wait == 0 {
+				return nil, errQueued
+			}
+		case err := <-failed:
+			return p.drainReplies(ctx, err, replies, owner, began, origin)
+		case <-t.C:
+			if to := p.betterUpstream(w, u.Name); to != "" {
+				return nil, rerouteError{to}
+			}
+		case <-waited.C:
+			if wait > 0 {
+				return nil, errQueued
+			}
+		case <-ctx.Done():
+			return nil, ctx.Err()
+		}
+	}
+}
+
 // waitDeadline returns until when work may wait for a place. After that its caller would
-// disconnect before the first token, so it is better refused while the caller is still
-// connected. The time that a prompt takes to be read is only an estimate, so any work may wait
-// for at least half of the time that its caller waits for the first token.
+// disconnect before the first token, so the work is refused while the caller is still
+// connected. The time to prefill a prompt is only an estimate, so any work may wait for at least
+// half of the time that its caller waits for the first token.
 func waitDeadline(w *policy.Work) time.Time {
 	b := policy.LatestStart(w)
 	if b.IsZero() {
@@ -238,8 +241,8 @@
 	return w.Deadline
 }
 
-// route returns the name of the upstream to ask for a place, or "" if all candidates are in
-// skip.
+// route returns the name of the upstream at which to request a place, or "" if all candidates are
+// in skip.
 func (p *Reserver) route(w *policy.Work, skip map[string]bool) string {
 	now := time.Now()
 	c := p.candidates.get(w, now)
--- a/internal/placement/search.go
+++ b/internal/placement/search.go
@@ -15,11 +15,11 @@
 
 // search is the search for a place for one request. It is used by one goroutine only.
 type search struct {
-	failures        int       // consecutive requests for a place that no owner answered
+	failures        int       // consecutive placement requests that no owner answered
 	unansweredSince time.Time // when the first of them failed
-	preferred       string    // the upstream to ask next, if a better one is known
+	preferred       string    // the upstream at which to request a place next, if a better one is known
 	reserver        *Reserver
-	queued          map[string]bool // upstreams that would queue the work, in this round
+	queued          map[string]bool // upstreams probed in this round that would queue the work
 	rounds          int             // waits in the queue of one upstream that ended without a place
 	refusals        int             // upstreams that refused, except for an evacuation
 	skip            map[string]bool // upstreams that the caller avoids, and those that refused
@@ -30,30 +30,30 @@
 	// maxRefusals is how many upstreams may refuse the work for lack of capacity before the
 	// search ends. The search for large prompts, for which few upstreams have capacity, is
 	// longer: with a limit of 3 for them, too, half as many of the largest tenth are served
-	// (TestLargePromptsAreServedUnderACrowd). With 6 or more for all work, many callers who are
-	// refused in the end wait until they disconnect.
+	// (TestLargePromptsAreServedUnderACrowd). With 6 or more for all work, many callers
+	// disconnect before they are refused.
 	maxRefusals      = 3
 	maxRefusalsLarge = 6
 	// maxProbes and maxProbesOtherHalls are how many upstreams are probed, in any hall and then in
-	// other halls, before the work waits in the queue of one; a probe takes 3 ms. Limits of 4
-	// and 4 cost 0.012 of the worth of overloaded benchmark days (mean of three). Later rounds,
-	// of which there are many when all engines are full, probe fewer.
+	// other halls, before the work waits in the queue of one; a probe takes 3 ms. Under
+	// overload, limits of 4 and 4 cost 0.012 of the value served. Later rounds, of which there are
+	// many when all engines are full, probe fewer.
 	maxProbes                = 8
 	maxProbesOtherHalls      = 8
 	maxLaterProbes           = 2
 	maxLaterProbesOtherHalls = 2
 	// initialQueueWait is how long work waits in the queue of one upstream before it probes
 	// others again. Places become free elsewhere meanwhile: with 80 streams ending per second,
-	// one ends every 12 ms. Probing again is worth 0.016 of overloaded benchmark days and 0.040
-	// of a quiet one. The wait doubles with each round, up to maxQueueWait, so that a large
-	// amount of work that waits for long causes few probes.
+	// one ends every 12 ms. Probing again adds 0.016 to the share of the value that is served
+	// under overload, and 0.040 under light load. The wait doubles with each round, up to
+	// maxQueueWait, so that a large amount of work that waits for long causes few probes.
 	initialQueueWait = 200 * time.Millisecond
 	maxQueueWait     = 3200 * time.Millisecond
 	ownerTimeout     = 10 * time.Second // work is refused after no owner has answered for so long
 )
 
-// errQueued says that the upstream would queue the work, or has queued it for as long as it was
-// to wait.
+// errQueued says that a probed upstream would queue the work, or that the time that the work may
+// wait in its queue has passed.
 var errQueued = errors.New("work is queued at the upstream")
 
 // rerouteError says that the work should be placed at another upstream, which is better.
@@ -61,9 +61,9 @@
 
 func (e rerouteError) Error() string { return "better upstream known: " + e.to }
 
-// choose returns the upstream to ask next, and how long to wait in its queue; 0 makes the
-// request a probe. Upstreams that would queue the work are passed over until the limits of
-// probes are reached.
+// choose returns the upstream at which to request a place next, and how long to wait in its
+// queue; 0 makes the request a probe. Upstreams that would queue the work are passed over until
+// the limits of probes are reached.
 func (s *search) choose() (u *resource.Upstream, wait time.Duration, err error) {
 	p := s.reserver
 	next := s.preferred
@@ -91,9 +91,9 @@
 }
 
 // nextProbe returns the next upstream to probe, at which the work might start at once, or nil.
-// The first anyHall upstreams are of any hall, the others of halls other than that of the work:
-// a run there ends if the halls are disconnected, but work that is queued starts late. A run
-// that is being moved is limited to the first anyHall.
+// The first anyHall probes go to upstreams of any hall, further ones to other halls than that of
+// the work: a run there ends if the halls are disconnected, but work that is queued starts late. A
+// run that is being moved is limited to the first anyHall probes.
 func (s *search) nextProbe(anyHall int) *resource.Upstream {
 	p, w := s.reserver, s.work
 	exclude := maps.Clone(s.skip)
@@ -113,7 +113,7 @@
 	return p.view.Upstream(p.route(w, exclude))
 }
 
-// step asks one upstream for a place. If it returns neither a place nor an error, the search
+// step requests a place at one upstream. If it returns neither a place nor an error, the search
 // continues.
 func (s *search) step(ctx context.Context) (*Place, error) {
 	p := s.reserver
@@ -200,7 +200,7 @@
 	return maxRefusals
 }
 
-// noOwnerError returns the error for work for which no owner could be asked; err is the last
+// noOwnerError returns the error for work for which no owner could be reached; err is the last
 // failure, or nil.
 func noOwnerError(w *policy.Work, err error) error {
 	p := fail.Origin{Peer: "boxes", Step: "ask"}
--- a/internal/placement/search_test.go
+++ b/internal/placement/search_test.go
@@ -15,9 +15,9 @@
 	"github.com/linetiller/linetiller/internal/policy"
 )
 
-// newFullHalls returns a Reserved with 60 engines in three halls. The engines of the halls named
-// are full and queue all work; the others start it. asked returns the number of requests for
-// places by hall.
+// newFullHalls returns a Reserver with 60 engines in three halls. The engines of the halls named
+// are full and queue all work; the others start it. requestCounts returns the number of
+// placement requests by hall.
 func newFullHalls(full ...string) (p *Reserver, requestCounts func() map[string]int) {
 	v, m := testView(60, 6)
 	p = NewReserver(v, m, policy.NewLengths(), metric.NewSet(), 1)
@@ -50,7 +50,7 @@
 
 // TestFullHallIsLeftBeforeWorkWaits guards against work that waits in the queue of its own hall
 // while other halls have capacity: all twenty engines of its hall are full. A queued stream
-// starts late, which costs most of its worth, while one in another hall ends early only if the
+// starts late, which costs most of its value, while one in another hall ends early only if the
 // halls are disconnected.
 func TestFullHallIsLeftBeforeWorkWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -177,8 +177,8 @@
 
 // TestWorkIsRefusedWhileItsCallerIsThere guards against refusals that come only when the caller
 // disconnects. No engine has capacity, and the caller waits two seconds for its first token: it
-// must be refused as soon as its prompt, which takes 0.4 s to be read, could no longer be read
-// in time.
+// must be refused as soon as its prompt, which takes 0.4 s to prefill, could no longer be
+// prefilled in time.
 func TestWorkIsRefusedWhileItsCallerIsThere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newFullHalls("h0", "h1", "h2")
@@ -195,8 +195,8 @@
 }
 
 // TestPromptsThatTakeLongAreNotGivenUp guards against refusing a prompt merely because its
-// estimated reading time exceeds the time that its caller waits: an engine with capacity must
-// still be asked.
+// estimated prefill time exceeds the time that its caller waits: a place must still be requested at
+// an engine with capacity.
 func TestPromptsThatTakeLongAreNotGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newFullHalls()
--- a/internal/placement/surge_test.go
+++ b/internal/placement/surge_test.go
@@ -20,7 +20,7 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// A surge in load. The engines read 14 prompt tokens/ms when idle and half of that beside other
+// A surge in load. The engines prefill 14 prompt tokens/ms when idle and half of that beside other
 // generations, and six long streams fill the memory of one. The callers of two routes send four
 // times their usual load for eight seconds, while a fifth of the engines is unavailable.
 const (
@@ -44,8 +44,8 @@
 	prompt, promptSigma       float64 // mean in tokens, and the standard deviation of the logarithm
 	output                    float64 // mean in tokens
 	priority                  int
-	deadline, firstTokenLimit time.Duration
-	target                    time.Duration
+	deadline, firstTokenLimit time.Duration // after which the caller gives up, on the answer and on its first token
+	target                    time.Duration // for the first token
 }
 
 var surgeRoutes = []surgeRoute{
@@ -109,7 +109,7 @@
 	return c
 }
 
-// requestPlace answers a request for a place as the engine's owner, with 1.5 ms of latency each way.
+// requestPlace answers a placement request as the engine's owner, with 1.5 ms of latency each way.
 func (c *surge) requestPlace(ctx context.Context, a *box.PlacementRequest, answer func(*box.Reply) error) {
 	time.Sleep(1500 * time.Microsecond)
 	e := c.engines[a.Upstream]
@@ -239,7 +239,7 @@
 	time.Sleep(10 * time.Second)
 	cancel()
 	g.Wait()
-	time.Sleep(surgeTick) // let cancelled requests for places end
+	time.Sleep(surgeTick) // let cancelled placement requests end
 }
 
 // drawRequest returns a random request.
@@ -298,13 +298,13 @@
 // TestLargePromptsAreServedUnderACrowd guards against starvation of large prompts under a surge
 // in load while a fifth of the engines is unavailable.
 //
-// Users of such a fleet reported it: 0.2 of the largest tenth of the short answers were served,
-// against 0.4 of all. Here it was 0.12 against 0.53 before the fix, and 0.26 against 0.66 for
-// long streams. Every engine was nearly full, so that each gap in memory went to the first work
-// that fitted, cheap classes went before expensive ones, and three refusals ended a search. Each
-// cause was isolated in this test: one class for all work, bounds that treat all prompts as
-// equal, and waits of any length did not help alone; precedence for large prompts together with
-// a longer search did.
+// Without precedence for large prompts and a longer search for them, a fleet under such a load
+// serves 0.2 of the largest tenth of the prompts with short answers, against 0.4 of all; in this
+// test it is 0.12 against 0.53, and 0.26 against 0.66 for long streams. Every engine is nearly full
+// then, so that each gap in memory goes to the first work that fits, cheap classes go before
+// expensive ones, and three refusals end a search. One class for all work, bounds that treat all
+// prompts as equal, and waits of any length do not help alone; precedence for large prompts
+// together with a longer search does.
 func TestLargePromptsAreServedUnderACrowd(t *testing.T) {
 	sizes := []struct {
 		name     string
--- a/internal/placement/tracker.go
+++ b/internal/placement/tracker.go
@@ -13,11 +13,11 @@
 // Tracker reports to the owners of upstreams the progress of the generations that this box
 // relays. It is safe for concurrent use.
 type Tracker struct {
-	// Send sends an update to the owner of its upstream. It must be set before Run.
+	// Send sends a progress report to the owner of its upstream. It must be set before Run.
 	Send func(ctx context.Context, u *box.ProgressReport) (*box.Reply, error)
 
-	firstTokens map[*Generation]bool                // that got their first token since the last update
-	finished    map[string][]box.GenerationProgress // by upstream: generations that ended since the last update
+	firstTokens map[*Generation]bool                // that got their first token since the last report
+	finished    map[string][]box.GenerationProgress // by upstream: generations that ended since the last report
 	recordLoad  func(*policy.Load)
 	mutex       sync.Mutex // no other lock is taken while it is held
 	running     map[string]*Generation
@@ -33,9 +33,9 @@
 }
 
 const (
-	progressTimeout  = 2 * time.Second        // of one update, including the second one for unknown generations
-	progressInterval = 500 * time.Millisecond // between updates of all running generations
-	progressWorkers  = 8                      // updates sent concurrently
+	progressTimeout  = 2 * time.Second        // of one report, including the second one for unknown generations
+	progressInterval = 500 * time.Millisecond // between reports of all running generations
+	progressWorkers  = 8                      // reports sent concurrently
 )
 
 // NewTracker returns a tracker that passes the loads in the replies of owners to recordLoad.
@@ -65,8 +65,8 @@
 	t.wakeRun()
 }
 
-// RecordFirstToken reports that a generation has its first token. The owner is told at once: the
-// prompt has been read, so that the upstream can read others.
+// RecordFirstToken records that a generation has its first token. The owner is notified at
+// once: the prompt has been prefilled, so that the upstream can prefill others.
 func (t *Tracker) RecordFirstToken(r *Generation) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -77,8 +77,8 @@
 	t.wakeRun()
 }
 
-// Run sends updates until the context ends: first tokens and ended generations at once, all
-// running generations every progressInterval.
+// Run sends progress reports until the context ends: first tokens and ended generations at
+// once, all running generations every progressInterval.
 func (t *Tracker) Run(ctx context.Context) {
 	var g sync.WaitGroup
 	reports := make(chan *box.ProgressReport)
@@ -116,7 +116,8 @@
 	return r
 }
 
-// collect returns the updates that are due, by upstream; all includes every running generation.
+// collect returns the progress reports that are due, by upstream; all includes every running
+// generation.
 func (t *Tracker) collect(all bool) map[string]*box.ProgressReport {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -165,8 +166,8 @@
 	return l
 }
 
-// send sends an update, and a second one with the full work of the generations that the owner
-// did not know.
+// send sends a progress report, and a second one with the full work of the generations that the
+// owner did not know.
 func (t *Tracker) send(ctx context.Context, u *box.ProgressReport) {
 	ctx, cancel := context.WithTimeout(ctx, progressTimeout)
 	defer cancel()
@@ -182,7 +183,7 @@
 	}
 }
 
-// wakeRun makes Run send pending updates. The caller holds the mutex.
+// wakeRun makes Run send pending reports. The caller holds the mutex.
 func (t *Tracker) wakeRun() {
 	select {
 	case t.wake <- struct{}{}:
--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -38,7 +38,7 @@
 }
 
 // fitsMemory reports whether e fits into the KV memory, now and as forecast, with the reserve
-// that is kept free of costly work.
+// that costly work must leave free.
 func (o *Owner) fitsMemory(e *entry, now time.Time) bool {
 	o.refreshForecast(now)
 	o.decayZ(now)
@@ -54,7 +54,7 @@
 
 // hasOnTimeWork reports whether work is queued that can still meet its target. Work that misses
 // its target while such work is queued would be overtaken by it and by all later arrivals, so it
-// is refused: it can then try another upstream, or its caller learns at once when to retry. Work
+// is refused: it can then try another upstream, or its caller gets a retry time at once. Work
 // that had missed its target before it arrived here has already tried other upstreams, so it
 // stays queued for capacity that nothing else needs.
 func (o *Owner) hasOnTimeWork() bool {
@@ -108,7 +108,8 @@
 }
 
 // prefillLimitReached reports whether so many prompt tokens are being prefilled that the first
-// token of e would be late. A single prompt is always let through.
+// token of e would be late. A prompt that exceeds the limit alone is let through while no other is
+// being prefilled.
 func (o *Owner) prefillLimitReached(e *entry) bool {
 	n := prefillTokens(e.work)
 	return n > 0 && o.capacity.MaxPrefillTokens > 0 && o.prefillingTokens > 0 && o.prefillingTokens+n > o.capacity.MaxPrefillTokens
@@ -247,11 +248,12 @@
 	return w.FirstBy.Add(-prefillDuration(w))
 }
 
-// prefersLarge reports whether w ranks ahead of work that is not large, whatever its route, for
-// as long as it can meet its target. Nothing starts past it then, so that enough memory can become
-// free for it. Otherwise the first work that fits takes each gap, and the chance to start falls
-// with the size: in TestLargePromptsAreServedUnderACrowd, the largest tenth of short answers was
-// served a quarter as often as the average without this rule, and four fifths as often with it.
+// prefersLarge reports whether w ranks ahead of work that is not large, whatever its route, for as
+// long as it can meet its target. No work that ranks behind it starts meanwhile, so that enough
+// memory can become free for it. Otherwise the first work that fits takes each gap, and the chance
+// to start falls with the size: in TestLargePromptsAreServedUnderACrowd, the largest tenth of the
+// prompts with short answers is served a quarter as often as the average without this rule, and
+// four fifths as often with it.
 func prefersLarge(w *Work) bool {
 	return w.Large && !w.Moved && !w.TargetAt.IsZero()
 }
--- a/internal/policy/cold_test.go
+++ b/internal/policy/cold_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestColdShareIsKeptByAllBoxes checks for 1 to 300 boxes that their shares of a cold upstream add up to
-// at least one request a second and at most the upstream's capacity, of 5 or 42.5 a second.
+// TestColdShareIsKeptByAllBoxes checks that the shares of 1 to 300 boxes in a cold upstream add up to at
+// least one request a second, and at most to the upstream's capacity of 5 or 42.5 a second.
 func TestColdShareIsKeptByAllBoxes(t *testing.T) {
 	for _, maxPerSecond := range []float64{5, 42.5} {
 		for n := 1; n <= 300; n++ {
@@ -27,8 +27,8 @@
 }
 
 // TestOwnerBoundsStarts sends 200 short generations within a second to an engine that handles ten
-// starts a second while it is cold. Each ends at once. Within no second may more start, counting those
-// from the queue and those registered as running already, and all must start in the end.
+// starts a second while it is cold. Each ends at once. At most ten may start within any second, from the
+// queue or at once, besides the one that is registered as running already, and all must start in the end.
 func TestOwnerBoundsStarts(t *testing.T) {
 	o := NewOwner("u", Capacity{KVTokens: 100_000, MaxBatch: 64, MaxStartsPerSecond: 10}, NewLengths(), testStart)
 	o.SetReport(Report{AsOf: testStart, StepSeconds: 0.02}, testStart)
--- a/internal/policy/completedruns.go
+++ b/internal/policy/completedruns.go
@@ -16,13 +16,14 @@
 	unreported        map[Fingerprint]runStats // since the last report
 }
 
-// runStats is how often a request ran to completion, and when it last did.
+// runStats counts the completed runs of a request and records the time of the last one.
 type runStats struct {
 	lastAt time.Time
 	times  int
 }
 
-// CompletedRun is a request that ran to completion: how often it did, and when it last did.
+// CompletedRun describes the completed runs of one request: how many there were, and when the last one
+// was.
 type CompletedRun struct {
 	At          time.Time   `cbor:"1,keyasint"`
 	Fingerprint Fingerprint `cbor:"2,keyasint"`
@@ -92,7 +93,7 @@
 	return l[:min(count, len(l))]
 }
 
-// addUnreported adds runs to the next report; the lock is held.
+// addUnreported adds runs to the next report. The caller holds the mutex.
 func (c *CompletedRuns) addUnreported(p Fingerprint, x runStats) {
 	old, found := c.unreported[p]
 	if !found && len(c.unreported) >= maxUnreported {
@@ -104,7 +105,7 @@
 	c.unreported[p] = runStats{x.lastAt, old.times + x.times}
 }
 
-// statsOf returns what is recorded of a request; the lock is held.
+// statsOf returns what is recorded of a request. The caller holds the mutex.
 func (c *CompletedRuns) statsOf(p Fingerprint) runStats {
 	if x, ok := c.current[p]; ok {
 		return x
--- a/internal/policy/crash.go
+++ b/internal/policy/crash.go
@@ -8,11 +8,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Crash is the crash of one incarnation of an upstream, from its start to its end, with the
-// requests that were running there. Boxes announce crashes to each other.
+// Crash is the crash of one process of an upstream, with the requests that were running there. Boxes
+// announce crashes to each other.
 type Crash struct {
 	At           time.Time `cbor:"1,keyasint"`           // when the first box noticed it
-	StartedAtMS  int64     `cbor:"2,keyasint,omitempty"` // when that incarnation started, in Unix milliseconds; 0 if unknown
+	StartedAtMS  int64     `cbor:"2,keyasint,omitempty"` // when that process started, in Unix milliseconds; 0 if unknown
 	LastResentAt time.Time `cbor:"5,keyasint,omitzero"`  // when a quarantined suspect was last sent again; it may lag by renewInterval
 	Suspects     []Suspect `cbor:"3,keyasint,omitempty"`
 	Upstream     string    `cbor:"4,keyasint"`
@@ -21,10 +21,10 @@
 // Suspect is a request that was running at an upstream when it crashed. Most suspects are innocent,
 // as an upstream runs many requests at once.
 type Suspect struct {
-	Cleared     bool        `cbor:"1,keyasint,omitempty"` // another run of it got further than the one that crashed
-	Events      int         `cbor:"2,keyasint,omitempty"` // events of its stream that had been passed on
+	Cleared     bool        `cbor:"1,keyasint,omitempty"` // another run of it has got further than the one that crashed
+	Events      int         `cbor:"2,keyasint,omitempty"` // events of its stream that the box had relayed
 	Fingerprint Fingerprint `cbor:"3,keyasint"`
-	Trials      int         `cbor:"4,keyasint,omitempty"` // how often it was let through since it was quarantined
+	Trials      int         `cbor:"4,keyasint,omitempty"` // how often it has been let through since it was quarantined
 }
 
 // sameStartWithin is the maximum time between two reports of the same crash of an upstream that
@@ -74,7 +74,7 @@
 	return c.At
 }
 
-// sameStart reports whether two crashes ended the same incarnation of an upstream.
+// sameStart reports whether two crashes ended the same process of an upstream.
 func (c *Crash) sameStart(d *Crash) bool {
 	if c.Upstream != d.Upstream || c.StartedAtMS != d.StartedAtMS {
 		return false
@@ -91,7 +91,7 @@
 	return &c.Suspects[i]
 }
 
-// merge adds what another box knows about the same suspect, and reports whether anything changed.
+// merge adds what another box has recorded of the same suspect, and reports whether anything changed.
 func (s *Suspect) merge(t *Suspect) bool {
 	old := *s
 	s.Cleared = s.Cleared || t.Cleared
--- a/internal/policy/forecast.go
+++ b/internal/policy/forecast.go
@@ -29,7 +29,7 @@
 }
 
 // peak returns the maximum over all horizons of the mean plus z standard deviations, with g added;
-// it is at least now.
+// it is at least used, the memory in use now.
 func (f *forecast) peak(g *forecast, used, z float64) float64 {
 	p := used
 	for i := range f.mean {
--- a/internal/policy/frequentruns.go
+++ b/internal/policy/frequentruns.go
@@ -9,13 +9,13 @@
 )
 
 // FrequentRuns records which requests recently ran to completion at any box. If there are too many,
-// it keeps the most frequent ones, as these are the most likely to be running at an upstream that
+// it keeps the most frequent ones, as these are the most likely to be running at an upstream when it
 // crashes. It is safe for concurrent use.
 type FrequentRuns struct {
 	mutex sync.Mutex
 	runs  map[Fingerprint]runStats
-	// usedForCrashAt is the time of the last crash of which a request was cleared because of a run.
-	// Each run clears its request of one crash only.
+	// usedForCrashAt is the time of the last crash of which a request was cleared because of an
+	// earlier run. Each run clears its request of one crash only.
 	usedForCrashAt map[Fingerprint]time.Time
 }
 
@@ -84,7 +84,7 @@
 	return l[:min(count, len(l))]
 }
 
-// prune drops the less frequent half to make room; the lock is held.
+// prune drops the less frequent half to make room. The caller holds the mutex.
 func (f *FrequentRuns) prune(now time.Time) {
 	l := f.ranked(now)
 	clear(f.runs)
@@ -93,7 +93,7 @@
 	}
 }
 
-// ranked returns the requests with a usable run, the most frequent first; the lock is held.
+// ranked returns the requests with a usable run, the most frequent first. The caller holds the mutex.
 func (f *FrequentRuns) ranked(now time.Time) []CompletedRun {
 	l := make([]CompletedRun, 0, len(f.runs))
 	for p, x := range f.runs {
@@ -105,7 +105,8 @@
 	return l
 }
 
-// set records the stats of a request, keeping the later of the old and the new time; the lock is held.
+// set records the stats of a request, keeping the later of the old and the new time. The caller
+// holds the mutex.
 func (f *FrequentRuns) set(p Fingerprint, x runStats, now time.Time) {
 	if x.lastAt.After(now) {
 		x.lastAt = now // times from other boxes may be ahead of the local clock
@@ -120,7 +121,7 @@
 	f.runs[p] = x
 }
 
-// usable reports whether the last run of a request may clear it of a crash; the lock is held.
+// usable reports whether the last run of a request may clear it of a crash. The caller holds the mutex.
 func (f *FrequentRuns) usable(p Fingerprint, x runStats, now time.Time) bool {
 	return now.Sub(x.lastAt) < completedRunTTL && x.lastAt.After(f.usedForCrashAt[p])
 }
--- a/internal/policy/frequentruns_test.go
+++ b/internal/policy/frequentruns_test.go
@@ -52,8 +52,8 @@
 }
 
 // TestRunClearsOfOneCrash guards against a request that becomes poisonous and crashes an upstream every
-// few minutes without ever being quarantined: one run before the first crash used to clear it of every
-// crash, since each earlier crash had expired when the next one came.
+// few minutes without ever being quarantined. That happens if one run before the first crash clears it of
+// every crash, as each crash has expired when the next one comes.
 func TestRunClearsOfOneCrash(t *testing.T) {
 	const p, other = Fingerprint(1), Fingerprint(2)
 	now, f, q := time.Now(), NewFrequentRuns(), NewQuarantine()
--- a/internal/policy/large_test.go
+++ b/internal/policy/large_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// TestLargeWorkGoesFirstWhileItCanBeInTime queues work of two routes. Large work ranks ahead of both
-// routes while it can meet its target, behind work of a higher priority, and last once it is late.
+// TestLargeWorkGoesFirstWhileItCanBeInTime queues work of two routes. Large work ranks ahead of both routes
+// while it can meet its target, behind work of a higher priority, and behind all other work once it is
+// late.
 func TestLargeWorkGoesFirstWhileItCanBeInTime(t *testing.T) {
 	o := newTestOwner()
 	fill(t, o, testStart)
--- a/internal/policy/late_test.go
+++ b/internal/policy/late_test.go
@@ -34,8 +34,8 @@
 	o := NewOwner("u", Capacity{KVTokens: 21_878, MaxBatch: 24}, l, testStart)
 	var r crowdResult
 	type run struct {
-		id    string
-		began time.Time
+		id        string
+		startedAt time.Time
 	}
 	arrived := make(map[string]time.Time)
 	var running []run
@@ -53,9 +53,9 @@
 	}
 	next := testStart
 	for now := testStart; now.Before(testStart.Add(time.Duration(n)*crowdInterval + 20*time.Second)); now = now.Add(20 * time.Millisecond) {
-		running = dropEnded(o, running, func(x run) bool { return now.Sub(x.began) > crowdOutput*crowdStep }, func(x run) string { return x.id }, now)
+		running = dropEnded(o, running, func(x run) bool { return now.Sub(x.startedAt) > crowdOutput*crowdStep }, func(x run) string { return x.id }, now)
 		for _, x := range running {
-			o.Progress(x.id, 1+int(now.Sub(x.began)/crowdStep), now)
+			o.Progress(x.id, 1+int(now.Sub(x.startedAt)/crowdStep), now)
 		}
 		o.SetReport(Report{AsOf: now, Running: len(running), StepSeconds: crowdStep.Seconds(), UsedTokens: o.usedTokens}, now)
 		if !now.Before(next) && len(arrived) < n {
@@ -143,8 +143,8 @@
 	}
 }
 
-// TestLateWorkThatAsksAgainStaysLate has late work ask an owner again, as it does while it tries several
-// upstreams: it ranks behind all work that can meet its target, whichever came first.
+// TestLateWorkThatAsksAgainStaysLate requests a place for late work a second time, as happens while it
+// tries several upstreams: it ranks behind all work that can meet its target, whichever came first.
 func TestLateWorkThatAsksAgainStaysLate(t *testing.T) {
 	late := func() *Work {
 		w := testWork("late")
@@ -163,6 +163,6 @@
 	o.Cancel("late", testStart)
 	o.RequestPlace(late(), testStart)
 	if got := o.queue.first().work.ID; got != "in time" {
-		t.Errorf("first after the late work asked again: got %q, want the work that can meet its target", got)
+		t.Errorf("first after the second request for the late work: got %q, want the work that can meet its target", got)
 	}
 }
--- a/internal/policy/lengths.go
+++ b/internal/policy/lengths.go
@@ -23,7 +23,8 @@
 	maxKeys  int                // in recent, before a rotation
 }
 
-// Key identifies the distributions that a generation counts towards, from coarse to fine.
+// Key identifies the distributions that a generation counts towards, from coarse to fine: by model, by
+// kind, and by workspace.
 type Key [3]uint64
 
 // hazard holds the counts of one key and the hazard curve derived from them.
@@ -41,9 +42,9 @@
 	defaultRate        = 1.0 / 400 // ends per token, the prior of the coarsest key
 	firstBucket        = 16        // tokens in the first bucket
 	decayThreshold     = 400e3     // tokens of a key at which its counts are halved
-	maxLengthKeys      = 20_000
-	refreshInterval    = 32  // observations between two computations of a curve
-	priorStrength      = 3.0 // weight of the coarser key, in generations
+	maxLengthKeys      = 20_000    // keys in recent, before a rotation
+	refreshInterval    = 32        // observations between two computations of a curve
+	priorStrength      = 3.0       // weight of the coarser key, in generations
 	bucketsPerDoubling = 4
 )
 
@@ -66,8 +67,8 @@
 	}
 }
 
-// Observe records that a generation has gone from output token from to output token to, and whether
-// it ended there.
+// Observe records that a generation has produced the output tokens between the positions from and to,
+// and whether it ended there.
 func (l *Lengths) Observe(k Key, from, to int, ended bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -77,7 +78,7 @@
 }
 
 // countsOf returns the counts of one key. Keys that were not used during a whole rotation are
-// dropped, which bounds the memory; the lock is held.
+// dropped, which bounds the memory. The caller holds the mutex.
 func (l *Lengths) countsOf(x uint64) *hazard {
 	if h := l.recent[x]; h != nil {
 		return h
@@ -93,7 +94,8 @@
 	return h
 }
 
-// curve returns the hazard curve of the finest key, recomputed if it is outdated; the lock is held.
+// curve returns the hazard curve of the finest key, recomputed if it is outdated. The caller holds
+// the mutex.
 func (l *Lengths) curve(k Key) *hazard {
 	var coarser *hazard
 	for _, x := range k {
--- a/internal/policy/lengths_test.go
+++ b/internal/policy/lengths_test.go
@@ -26,7 +26,7 @@
 }
 
 // TestLengthsCountRunningGenerations checks that estimates are not biased towards short outputs
-// because long generations have not ended yet. From ended generations alone the mean here would be 50.
+// because long generations have not ended yet. The mean of the ended generations alone is 50.
 func TestLengthsCountRunningGenerations(t *testing.T) {
 	l := NewLengths()
 	k := KeyOf(testWork("a"))
--- a/internal/policy/naive.go
+++ b/internal/policy/naive.go
@@ -1,7 +1,7 @@
 package policy
 
-// Naive is the baseline for measurements: each box on its own sends to the upstream with the least
-// reported load, and tries another one at once if that fails.
+// Naive is the baseline with which Owner and Router are compared: each box on its own sends to the
+// upstream with the least reported load, and tries another one at once if that fails.
 type Naive struct {
 	reports map[string]Report
 	seed    uint64
--- a/internal/policy/owner.go
+++ b/internal/policy/owner.go
@@ -6,9 +6,9 @@
 
 // Owner decides which work may start at one upstream, and in which order.
 //
-// It belongs to the box that owns the upstream, and keeps no durable state. A new owner learns of
-// running work from the boxes that hold it, and counts memory in the upstream's report that this
-// work does not account for. It starts nothing until it has a report or its grace period has passed.
+// It runs on the box that owns the upstream, and keeps no durable state. A new owner gets the running
+// work from the boxes that relay it, and counts the memory in the upstream's report that this work
+// does not account for. It starts nothing until it has a report or its grace period has passed.
 type Owner struct {
 	// Evacuated makes the owner refuse all new work while the upstream's hall is evacuated.
 	Evacuated bool
@@ -16,8 +16,8 @@
 	StartedAtMS int64
 	// Leaving makes the owner refuse all new work because the upstream is leaving.
 	Leaving bool
-	// LeavingReported is whether the upstream itself reported that it is leaving. Boxes that learn of
-	// it from this owner trust that over the upstream's entry.
+	// LeavingReported is whether the upstream itself reported that it is leaving. Boxes that get this
+	// from the owner trust it over the upstream's entry.
 	LeavingReported bool
 	// Upstream is the upstream's name.
 	Upstream string
@@ -32,7 +32,7 @@
 	maxQueued         int
 	lastSequence      uint64 // of queue entries
 	queue             *queue
-	prefillingTokens  int // prompt tokens of generations without a token
+	prefillingTokens  int // prompt tokens of generations without an output token
 	report            Report
 	running           map[string]*runningWork // by id
 	shares            *shares
@@ -46,19 +46,19 @@
 }
 
 const (
-	maxForecastAge     = 250 * time.Millisecond
-	gracePeriod        = 3 * time.Second
-	defaultMaxQueued   = 10_000
+	maxForecastAge     = 250 * time.Millisecond // until the forecast is recomputed
+	gracePeriod        = 3 * time.Second        // for the first report to arrive at a new owner
+	defaultMaxQueued   = 10_000                 // pieces of work
 	minSlackShare      = 0.25                   // share of the time to its deadline that work may wait, however long its generation
 	reservationTimeout = 2 * time.Second        // until a start must be confirmed
-	silenceTimeout     = 10 * time.Second       // until a running generation without news is dropped
+	silenceTimeout     = 10 * time.Second       // until a running generation without progress reports is dropped
 	stallSteps         = 12                     // steps without a token after which a generation counts as stalled
 	minStallTimeout    = 700 * time.Millisecond // lower bound of the time for stallSteps
-	// firstTokenStallTimeout applies before the first token instead: under mixed load, half of the
-	// prompts were prefilled within 0.6 s and 99 in 100 within 2 s.
+	// firstTokenStallTimeout applies before the first token instead: under mixed load, engines prefill
+	// half of the prompts within 0.6 s and 99 in 100 within 2 s.
 	firstTokenStallTimeout = 2 * time.Second
-	sweepInterval          = 200 * time.Millisecond
-	urgentClassBoost       = 2 // classes by which urgent work moves ahead; cheaper work still precedes it
+	sweepInterval          = 200 * time.Millisecond // between two walks over the whole queue
+	urgentClassBoost       = 2                      // classes by which urgent work moves ahead; cheaper work still precedes it
 	// Work becomes urgent before the latest start that meets its deadline, by urgentDurations times
 	// its expected duration plus urgentSlackShare of the time from its arrival to its deadline.
 	urgentDurations     = 2
@@ -104,33 +104,6 @@
 	return func(o *Owner) { o.tune = t }
 }
 
-// RequestPlace requests a place for w.
-//
-// It is idempotent: asking again about the same work gets the same verdict while that stands, so a
-// caller that lost an answer asks again.
-func (o *Owner) RequestPlace(w *Work, now time.Time) Answer {
-	if r := o.running[w.ID]; r != nil {
-		r.expiresAt = now.Add(reservationTimeout)
-		return Answer{ID: w.ID, Verdict: VerdictStart}
-	}
-	if o.queue.byID[w.ID] != nil {
-		return Answer{ID: w.ID, Verdict: VerdictQueue}
-	}
-	e := o.newEntry(w, now)
-	if a := o.refusal(e, now); a.Verdict == VerdictRefuse {
-		o.shares.refund(w, e.charge)
-		o.shares.leave(w, now)
-		return a
-	}
-	if first := o.queue.first(); (first == nil || e.order.before(first.order)) && o.fits(e, now) {
-		o.shares.leave(w, now)
-		o.start(e, now)
-		return Answer{ID: w.ID, Verdict: VerdictStart}
-	}
-	o.queue.insert(e)
-	return Answer{ID: w.ID, Verdict: VerdictQueue}
-}
-
 // Backlog returns the queued work, in seconds of engine time.
 func (o *Owner) Backlog() float64 {
 	return o.queue.totalCost()
@@ -157,8 +130,8 @@
 	return l
 }
 
-// Finish records that a generation has ended after so many tokens; ended is false if it was cut off
-// before its natural end, which must not count as an output length.
+// Finish records that a generation no longer runs and has produced so many tokens; ended is false if
+// it was cut off before its natural end, so that the tokens must not count as an output length.
 func (o *Owner) Finish(id string, produced int, ended bool, now time.Time) {
 	r := o.running[id]
 	if r == nil {
@@ -213,7 +186,7 @@
 	return o.queue.len()
 }
 
-// Register adds work to a new owner that is already running.
+// Register adds work that is already running to a new owner.
 func (o *Owner) Register(w *Work, produced int, now time.Time) {
 	if o.running[w.ID] == nil {
 		o.Cancel(w.ID, now)
@@ -231,6 +204,33 @@
 	o.advance(o.running[w.ID], produced, now)
 }
 
+// RequestPlace requests a place for w.
+//
+// It is idempotent: a further request for the same work gets the same verdict while that stands, so a
+// caller that has lost an answer repeats its request.
+func (o *Owner) RequestPlace(w *Work, now time.Time) Answer {
+	if r := o.running[w.ID]; r != nil {
+		r.expiresAt = now.Add(reservationTimeout)
+		return Answer{ID: w.ID, Verdict: VerdictStart}
+	}
+	if o.queue.byID[w.ID] != nil {
+		return Answer{ID: w.ID, Verdict: VerdictQueue}
+	}
+	e := o.newEntry(w, now)
+	if a := o.refusal(e, now); a.Verdict == VerdictRefuse {
+		o.shares.refund(w, e.charge)
+		o.shares.leave(w, now)
+		return a
+	}
+	if first := o.queue.first(); (first == nil || e.order.before(first.order)) && o.fits(e, now) {
+		o.shares.leave(w, now)
+		o.start(e, now)
+		return Answer{ID: w.ID, Verdict: VerdictStart}
+	}
+	o.queue.insert(e)
+	return Answer{ID: w.ID, Verdict: VerdictQueue}
+}
+
 // Running returns how many generations hold a reservation or run.
 func (o *Owner) Running() int {
 	return len(o.running)
--- a/internal/policy/owner_refusal_test.go
+++ b/internal/policy/owner_refusal_test.go
@@ -31,7 +31,7 @@
 }
 
 // TestOwnerRefusesAtOnceWhatItGivesUp checks that queued work which can no longer meet its deadline is
-// refused at the next sweep, and not kept until its deadline.
+// refused at the next sweep instead of staying queued until its deadline.
 func TestOwnerRefusesAtOnceWhatItGivesUp(t *testing.T) {
 	o := newTestOwner()
 	fill(t, o, testStart)
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestLooksAreNotCharged has a workspace ask and cancel many times, as work does that tries several
-// upstreams: it must not lose any of its fair share.
+// TestLooksAreNotCharged requests places for a workspace and cancels them many times, as happens when work
+// tries several upstreams: the workspace must not lose any of its fair share.
 func TestLooksAreNotCharged(t *testing.T) {
 	o := newTestOwner()
 	fill(t, o, testStart)
--- a/internal/policy/owner_test.go
+++ b/internal/policy/owner_test.go
@@ -55,7 +55,7 @@
 		t.Errorf("reservations: got %d, want %d", got, want)
 	}
 	if got, want := o.usedTokens, 0; got != want {
-		t.Errorf("tokens held: got %d, want %d", got, want)
+		t.Errorf("used tokens: got %d, want %d", got, want)
 	}
 }
 
@@ -184,8 +184,8 @@
 }
 
 // TestOwnerAccounts drives an owner through random schedules. After each step its sums must match the
-// work that it tracks, no work may be lost, an idle upstream must accept work, and each request for a
-// place must get exactly one final answer.
+// work that it tracks, no work may be lost, an idle upstream must accept work, and each placement request
+// must get exactly one final answer.
 func TestOwnerAccounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newTestOwner()
@@ -257,7 +257,7 @@
 					used += r.work.Prompt + r.produced
 				}
 				if got, want := o.usedTokens, used; got != want {
-					t.Fatalf("tokens held: got %d, want %d", got, want)
+					t.Fatalf("used tokens: got %d, want %d", got, want)
 				}
 				if got, want := o.Queued(), len(waiting); got != want {
 					t.Fatalf("waiting: got %d, want %d", got, want)
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,7 +1,7 @@
 // Package policy decides where and when generations of unknown length run.
 //
 // It does no I/O, reads no clock and has no random source of its own: callers pass in the time, and
-// pseudo-random sequences are seeded, so that boxes, tests and measurements run the same code.
+// pseudo-random sequences are seeded, so that boxes, tests and simulations run the same code.
 // CompletedRuns, FrequentRuns, Lengths and Quarantine are safe for concurrent use; callers must
 // guard all other types.
 package policy
@@ -12,8 +12,8 @@
 type Work struct {
 	Arrived       time.Time
 	Deadline      time.Time // of the complete answer
-	FirstBy       time.Time // when its caller gives up unless the first token has come; zero if it does not
-	Hall          string    // the preferred data hall; "" for that of its box
+	FirstBy       time.Time // when its caller gives up unless the first token has come; zero if there is no such limit
+	Hall          string    // the preferred data hall; "" for that of the box that places it
 	Hint          int       // the caller's estimate of the output tokens; 0 if it has none
 	ID            string
 	Kind          string // named by the caller; "" if it has none
@@ -25,7 +25,7 @@
 	PrefixTokens  int       // tokens of that prefix
 	Priority      int       // higher goes first
 	Prompt        int       // tokens of the prompt
-	RoutePriority int       // of its route, among work of the same priority; higher goes first
+	RoutePriority int       // of its route, ranks work of the same priority; higher goes first
 	TargetAt      time.Time // when its first token is due, after which the answer is late; zero if it has no target
 	Weight        float64   // of its workspace; 0 counts as 1
 	Workspace     string
@@ -50,7 +50,7 @@
 	Waiting     int     // generations
 }
 
-// Verdict is an owner's decision on a request for a place.
+// Verdict is an owner's decision on a placement request.
 type Verdict string
 
 // The verdicts.
@@ -69,11 +69,11 @@
 	ReasonEvacuated    Reason = "evacuated"    // the upstream's hall is evacuated
 	ReasonLate         Reason = "late"         // it can no longer meet its target, and other queued work can
 	ReasonLeaving      Reason = "leaving"      // the upstream is leaving and takes no new work
-	ReasonLimited      Reason = "limited"      // the upstreams accept no more requests a second
-	ReasonOwnerChanged Reason = "moved"        // the upstream has another owner now, which must be asked instead
+	ReasonLimited      Reason = "limited"      // the rate limits of the upstreams are exhausted
+	ReasonOwnerChanged Reason = "moved"        // the upstream has another owner now, to which the request must be sent instead
 	ReasonNoUpstream   Reason = "no_upstream"  // no upstream runs the model
 	ReasonQueueFull    Reason = "queue_full"   // the queue is full
-	ReasonBackOff      Reason = "resting"      // the upstream asked this box to send nothing for some time
+	ReasonBackOff      Reason = "resting"      // the upstream asked this box for back-off
 	ReasonRetryBudget  Reason = "retry_budget" // too many recent retries
 	ReasonTooLarge     Reason = "too_large"    // the prompt fits no upstream
 )
@@ -98,7 +98,7 @@
 	ShortageReport  Shortage = "report"  // the upstream takes no new work, or its first report is still missing
 	ShortageStalled Shortage = "stalled" // generations at the upstream have stalled
 	ShortageStarts  Shortage = "starts"  // a cold engine could not handle more starts within this second
-	ShortageRank    Shortage = "turn"    // other work precedes it
+	ShortageRank    Shortage = "turn"    // other work ranks ahead of it
 )
 
 // Load is an owner's description of its upstream, sent along with every answer.
@@ -131,8 +131,7 @@
 }
 
 // prefillSecondsPerToken is the time to prefill a token of a prompt between the decoding steps of
-// running generations. It was measured under load: an engine that prefills 14 tokens a millisecond
-// when idle prefills 7.5 then.
+// running generations: engines prefill 14 tokens a millisecond when idle, and 7.5 under load.
 const prefillSecondsPerToken = 1.0 / 7500
 
 // DefaultStepSeconds is the duration of a step until one is reported.
--- a/internal/policy/prompts.go
+++ b/internal/policy/prompts.go
@@ -13,9 +13,9 @@
 const (
 	// largeShare is the share of each kind's prompts that count as large. It limits how much work
 	// goes first because of its size, whatever the distribution of sizes. In the test named at
-	// prefersLarge, the served shares of the largest tenth of short answers, of the fifth below it
-	// and of all were 0.40, 0.45 and 0.50. With 0.08 instead the first two were 0.40 and 0.31, with
-	// 0.25 they were 0.23 and 0.45.
+	// prefersLarge, the shares of prompts with short answers that are served are 0.40 of the largest
+	// tenth, 0.45 of the fifth below it and 0.50 of all. With a largeShare of 0.08 the first two are
+	// 0.40 and 0.31, and with 0.25 they are 0.23 and 0.45.
 	largeShare = 0.15
 	// maxPromptKinds bounds the memory, as callers choose the names of kinds.
 	maxPromptKinds = 4096
--- a/internal/policy/quarantine.go
+++ b/internal/policy/quarantine.go
@@ -22,10 +22,11 @@
 }
 
 const (
-	// suspectTTL is how long a request stays a suspect. Callers retry within their deadlines.
+	// suspectTTL is how long a request stays a suspect. Callers retry only within their
+	// deadlines.
 	suspectTTL = 2 * time.Minute
 	// quarantineTTL is how long a request stays quarantined after it was last sent again or crashed
-	// an upstream. Boxes tell each other every renewInterval that it was sent again.
+	// an upstream. While it is sent again, boxes announce that to each other once per renewInterval.
 	quarantineTTL = 24 * time.Hour
 	renewInterval = time.Hour
 	// A quarantined request is let through once after firstTrialDelay, and again after twice as
@@ -56,7 +57,7 @@
 	return &Quarantine{bySuspect: make(map[Fingerprint][]*Crash)}
 }
 
-// Clear records that a run of a request got further than those that crashed, so that something else
+// Clear records that a run of a request has got further than those that crashed, so that something else
 // caused the crashes. It reports whether that changed anything.
 func (q *Quarantine) Clear(p Fingerprint) bool {
 	q.mutex.Lock()
@@ -101,7 +102,7 @@
 	return l
 }
 
-// CrashCount returns how many upstreams crashed under a request that it was not cleared of.
+// CrashCount returns the number of crashes of upstreams under a request of which it is not cleared.
 func (q *Quarantine) CrashCount(p Fingerprint, now time.Time) int {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -164,8 +165,9 @@
 	return last
 }
 
-// Missing returns the crashes that another box does not know, or knows differently. If there are too
-// many for one message, it returns those of quarantined requests and the newest ones.
+// Missing returns the crashes whose hashes are not among knownHashes, those that another box has
+// recorded in the same way. If there are too many for one message, it returns those of quarantined
+// requests and the newest ones.
 func (q *Quarantine) Missing(knownHashes []uint64, now time.Time) []Crash {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -299,7 +301,7 @@
 	return q.crashesOf(p)
 }
 
-// correlated reports whether an upstream crashed together with others; the lock is held.
+// correlated reports whether an upstream crashed together with others. The caller holds the mutex.
 func (q *Quarantine) correlated(c *Crash) bool {
 	n := 0
 	for _, d := range q.crashes {
@@ -310,7 +312,7 @@
 	return n >= minCorrelatedCrashes
 }
 
-// crashWeight returns the weight of one crash of a request; the lock is held.
+// crashWeight returns the weight of one crash of a request. The caller holds the mutex.
 func (q *Quarantine) crashWeight(p Fingerprint, c *Crash) int {
 	switch {
 	case c.suspect(p).Cleared:
@@ -321,7 +323,8 @@
 	return isolatedCrashWeight
 }
 
-// crashesOf returns copies of the crashes of a request with no other suspects; the lock is held.
+// crashesOf returns copies of the crashes of a request with no other suspects. The caller holds the
+// mutex.
 func (q *Quarantine) crashesOf(p Fingerprint) []Crash {
 	var l []Crash
 	for _, c := range q.bySuspect[p] {
@@ -332,7 +335,7 @@
 	return l
 }
 
-// expire drops whatever is too old to count; the lock is held.
+// expire drops whatever is too old to count. The caller holds the mutex.
 func (q *Quarantine) expire(now time.Time) {
 	old := func(c *Crash) bool { return now.Sub(c.At) >= suspectTTL }
 	if len(q.crashes) == 0 || !old(q.crashes[0]) {
@@ -341,13 +344,13 @@
 	for p := range q.bySuspect {
 		q.expireSuspect(p, now)
 	}
-	// Crashes outlast their suspects while they may still be correlated with others.
+	// Crashes without suspects are kept for as long as they may be correlated with others.
 	q.crashes = slices.DeleteFunc(q.crashes, func(c *Crash) bool {
 		return len(c.Suspects) == 0 && now.Sub(c.At) >= suspectTTL+correlationWindow
 	})
 }
 
-// expireSuspect drops the crashes of a request that are too old to count; the lock is held.
+// expireSuspect drops the crashes of a request that are too old to count. The caller holds the mutex.
 func (q *Quarantine) expireSuspect(p Fingerprint, now time.Time) {
 	ttl := suspectTTL
 	if q.weight(p) >= quarantineThreshold {
@@ -363,7 +366,8 @@
 	}
 }
 
-// lastActivity returns when a request was last sent again or crashed an upstream; the lock is held.
+// lastActivity returns when a request was last sent again or crashed an upstream. The caller holds
+// the mutex.
 func (q *Quarantine) lastActivity(p Fingerprint) time.Time {
 	var t time.Time
 	for _, c := range q.bySuspect[p] {
@@ -375,7 +379,7 @@
 }
 
 // makeRoom drops the oldest suspects that are not quarantined until there is room for another one,
-// and reports whether there is; the lock is held.
+// and reports whether there is. The caller holds the mutex.
 func (q *Quarantine) makeRoom() bool {
 	if q.suspectCount < maxSuspects {
 		return true
@@ -393,8 +397,8 @@
 	return false
 }
 
-// quarantinedAt returns the time of the crash that put a request into quarantine, or the zero time;
-// the lock is held.
+// quarantinedAt returns the time of the crash that put a request into quarantine, or the zero time.
+// The caller holds the mutex.
 func (q *Quarantine) quarantinedAt(p Fingerprint) time.Time {
 	n := 0
 	for _, c := range q.bySuspect[p] {
@@ -405,7 +409,7 @@
 	return time.Time{}
 }
 
-// quarantinedSuspects returns how many suspects of a crash are quarantined; the lock is held.
+// quarantinedSuspects returns how many suspects of a crash are quarantined. The caller holds the mutex.
 func (q *Quarantine) quarantinedSuspects(c *Crash) int {
 	n := 0
 	for _, s := range c.Suspects {
@@ -416,7 +420,7 @@
 	return n
 }
 
-// record adds one announced crash, and reports whether anything changed; the lock is held.
+// record adds one announced crash, and reports whether anything changed. The caller holds the mutex.
 func (q *Quarantine) record(d *Crash, now time.Time) (changed bool) {
 	i := slices.IndexFunc(q.crashes, d.sameStart)
 	if i < 0 {
@@ -449,7 +453,7 @@
 	return changed
 }
 
-// removeSuspect removes a request from a crash; the lock is held.
+// removeSuspect removes a request from a crash. The caller holds the mutex.
 func (q *Quarantine) removeSuspect(p Fingerprint, c *Crash) {
 	i := slices.IndexFunc(c.Suspects, func(s Suspect) bool { return s.Fingerprint == p })
 	c.Suspects = slices.Delete(c.Suspects, i, i+1)
@@ -464,7 +468,8 @@
 	q.bySuspect[p] = l
 }
 
-// trialsDue returns how often a quarantined request may have been let through by now; the lock is held.
+// trialsDue returns how often a quarantined request may have been let through by now. The caller
+// holds the mutex.
 func (q *Quarantine) trialsDue(p Fingerprint, now time.Time) int {
 	since := now.Sub(q.quarantinedAt(p))
 	n := 0
@@ -474,7 +479,7 @@
 	return n
 }
 
-// trialsTaken returns how often a request was let through; the lock is held.
+// trialsTaken returns how often a request was let through. The caller holds the mutex.
 func (q *Quarantine) trialsTaken(p Fingerprint) int {
 	n := 0
 	for _, c := range q.bySuspect[p] {
@@ -483,7 +488,7 @@
 	return n
 }
 
-// weight returns the total weight of the crashes of a request; the lock is held.
+// weight returns the total weight of the crashes of a request. The caller holds the mutex.
 func (q *Quarantine) weight(p Fingerprint) int {
 	n := 0
 	for _, c := range q.bySuspect[p] {
--- a/internal/policy/quarantine_model_test.go
+++ b/internal/policy/quarantine_model_test.go
@@ -10,7 +10,7 @@
 
 // TestQuarantinesAgree has three boxes record random crashes, lose announcements, restart, clear requests
 // and let them through. After they have exchanged what they miss, nothing may be missing and all boxes
-// must decide alike. A request with three crashes known to any box must be quarantined, unless it was
+// must decide alike. A request with three crashes recorded at any box must be quarantined, unless it was
 // cleared or a trial is due.
 func TestQuarantinesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -38,7 +38,7 @@
 			default:
 				c := crashOf(fmt.Sprint("u-", i), int64(i), now, fingerprint.Draw(t, "fingerprint"))
 				for _, b := range boxes {
-					if rapid.Bool().Draw(t, "heard") {
+					if rapid.Bool().Draw(t, "received") {
 						b.Record([]Crash{c}, now)
 					}
 				}
--- a/internal/policy/quarantine_test.go
+++ b/internal/policy/quarantine_test.go
@@ -8,14 +8,14 @@
 )
 
 // TestTwoCrashesQuarantineARequest checks when a request is quarantined: after two isolated crashes of
-// different incarnations of upstreams, or three of any kind, and only until they expire.
+// different processes of upstreams, or three of any kind, and only until they expire.
 func TestTwoCrashesQuarantineARequest(t *testing.T) {
 	now := time.Now()
 	at := now.Add
 	type announcement struct {
 		after        time.Duration
 		upstream     string
-		born         int64
+		startedAtMS  int64
 		fingerprints []Fingerprint
 	}
 	const own, other = Fingerprint(1), Fingerprint(2)
@@ -30,8 +30,8 @@
 		{"two crashes", []announcement{{0, "a", 1, both}, {time.Second, "b", 1, both}}, 2 * time.Second, true},
 		{"second crash of another request only", []announcement{{0, "a", 1, both}, {time.Second, "b", 1, []Fingerprint{other}}}, 2 * time.Second, false},
 		{"one crash announced twice", []announcement{{0, "a", 1, both}, {time.Second, "a", 1, both}}, 2 * time.Second, false},
-		{"two incarnations of one upstream", []announcement{{0, "a", 1, both}, {time.Second, "a", 2, both}}, 2 * time.Second, true},
-		{"two incarnations without start times", []announcement{{0, "a", 0, both}, {4 * time.Second, "a", 0, both}}, 5 * time.Second, true},
+		{"two processes of one upstream", []announcement{{0, "a", 1, both}, {time.Second, "a", 2, both}}, 2 * time.Second, true},
+		{"two processes without start times", []announcement{{0, "a", 0, both}, {4 * time.Second, "a", 0, both}}, 5 * time.Second, true},
 		{"one crash without a start time announced twice", []announcement{{0, "a", 0, both}, {time.Second, "a", 0, both}}, 2 * time.Second, false},
 		{"two expired crashes", []announcement{{0, "a", 1, both}, {time.Second, "b", 1, both}}, time.Hour, false},
 		{"one of three correlated crashes, then an isolated one", []announcement{
@@ -49,7 +49,7 @@
 	} {
 		q := NewQuarantine()
 		for _, f := range x.announcements {
-			q.Record([]Crash{crashOf(f.upstream, f.born, at(f.after), f.fingerprints...)}, at(f.after))
+			q.Record([]Crash{crashOf(f.upstream, f.startedAtMS, at(f.after), f.fingerprints...)}, at(f.after))
 		}
 		if got := q.Quarantined(own, at(x.later)); got != x.want {
 			t.Errorf("%s: got quarantined %v, want %v", x.name, got, x.want)
@@ -146,7 +146,7 @@
 	}
 	var trials []time.Duration
 	for now := start; now.Sub(start) < 72*time.Hour; now = now.Add(20 * time.Second) {
-		a, b = b, a // it is sent to both in turn
+		a, b = b, a // it is sent to both alternately
 		if l := a.Renew(p, now); l != nil {
 			b.Record(l, now)
 		}
--- a/internal/policy/queue.go
+++ b/internal/policy/queue.go
@@ -9,7 +9,7 @@
 type queue struct {
 	byID map[string]*entry
 	root *entry
-	seed uint64 // of the heap priorities
+	seed uint64 // state of the pseudo-random sequence of heap priorities
 }
 
 // entry is one piece of queued work.
@@ -19,7 +19,7 @@
 	estimate    estimate
 	targetStart time.Time // latest start that meets its target; zero if it has none
 	key         Key
-	latestStart time.Time // latest start that meets its deadline, and its caller's limit for the first token
+	latestStart time.Time // latest start that meets its deadline and its caller's limit for the first token
 	urgentAt    time.Time // when it moves ahead of other costly work
 	order       order
 	work        *Work
--- a/internal/policy/rendezvous.go
+++ b/internal/policy/rendezvous.go
@@ -23,7 +23,7 @@
 	return r
 }
 
-// HighestRanked returns the name that Rank puts first for key, or "" if there are no names.
+// HighestRanked returns the first name that Rank returns for key, or "" if there are no names.
 func (r *Rendezvous) HighestRanked(key string) string {
 	k := xxhash.Sum64String(key)
 	best, bestScore := "", uint64(0)
@@ -36,7 +36,7 @@
 	return best
 }
 
-// HighestRanked returns the name that Rank puts first, without sorting, or "" if there are no names.
+// HighestRanked returns the first name that Rank returns, without sorting, or "" if there are no names.
 func HighestRanked(key string, names []string) string {
 	k := xxhash.Sum64String(key)
 	best, bestScore := "", uint64(0)
@@ -70,8 +70,7 @@
 }
 
 // mix combines the hashes of a key and a name into their rendezvous hash, with the finalizer of
-// splitmix64. Hashing key and name separately allows for the hash of a name to be reused for many
-// keys.
+// splitmix64. As key and name are hashed separately, the hash of a name can be reused for many keys.
 func mix(key, name uint64) uint64 {
 	x := key ^ bits.RotateLeft64(name, 32)
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/policy/rendezvous_test.go
+++ b/internal/policy/rendezvous_test.go
@@ -17,12 +17,12 @@
 		key := rapid.String().Draw(t, "key")
 		want := Rank(key, names)
 		if got := HighestRanked(key, names); got != want[0] {
-			t.Fatalf("First: got %q, want %q", got, want[0])
+			t.Fatalf("HighestRanked: got %q, want %q", got, want[0])
 		}
 		if got := NewRendezvous(names).HighestRanked(key); got != want[0] {
-			t.Fatalf("Rendezvous: got %q, want %q", got, want[0])
+			t.Fatalf("Rendezvous.HighestRanked: got %q, want %q", got, want[0])
 		}
-		removed := rapid.SampledFrom(names).Draw(t, "gone")
+		removed := rapid.SampledFrom(names).Draw(t, "removed")
 		remaining := slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == removed })
 		want = slices.DeleteFunc(want, func(n string) bool { return n == removed })
 		if got := Rank(key, remaining); !slices.Equal(got, want) {
--- a/internal/policy/retrybudget.go
+++ b/internal/policy/retrybudget.go
@@ -2,21 +2,20 @@
 
 import "time"
 
-// RetryBudget limits retries to a share of the requests: each request adds a fraction of a retry to
-// the balance, up to a bound, and each retry takes one. When the balance is spent, failures are
-// reported to the caller instead of adding load with retries.
+// RetryBudget limits the retries of one box to a share of its requests: each request adds a
+// fraction of a retry to the balance, up to a bound, and each retry takes one. When the balance is
+// spent, failures are reported to the caller instead of adding load with retries.
 type RetryBudget struct {
 	balance float64 // retries
 }
 
 const (
-	retryBurst        = 20 // maximum balance
-	retriesPerRequest = 0.1
+	retryBurst        = 20  // retries, the maximum balance
+	retriesPerRequest = 0.1 // added to the balance
 )
 
-// Backoff bounds, doubled at each try and spread by a random share.
+// Bounds of the delay in Backoff, which doubles with each failure.
 const (
-	// Bounds of Backoff.
 	initialBackoff = 20 * time.Millisecond
 	maxBackoff     = 2 * time.Second
 )
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Router chooses the upstream at which a box asks for a place, based on the loads that owners sent
+// Router chooses the upstream at which a box requests a place, based on the loads that owners send
 // along with their answers.
 type Router struct {
 	lengths     *Lengths
@@ -35,15 +35,15 @@
 	// maxMoveRatio of the current backlog.
 	minMoveGain  = 2.0
 	maxMoveRatio = 0.5
-	// movedRunHallPenalty is the further backlog, in seconds, added for another hall if a run is
-	// moved. Copying takes twice as long, and occupies the engine's link meanwhile, which other
-	// runs that must be moved need.
+	// movedRunHallPenalty is the backlog, in seconds, added to the penalty for another hall if a run
+	// is moved. Copying takes twice as long, and occupies the engine's link, which other runs that
+	// must be moved need.
 	movedRunHallPenalty = 10.0
 	peakCost            = 1.0 // seconds of backlog added for a full KV memory
 	// prefillCost is the backlog, in seconds, added for each second that current prefills will take.
 	// A new prompt has to wait for them, and they delay all generations that are decoding.
 	prefillCost = 2.0
-	// copyBudgetSeconds is the copying time for the KV memory that an engine should hold at most. It
+	// copyBudgetSeconds bounds the KV memory that an engine should hold, by the time to copy it. It
 	// is about half of shortestNotice, as several engines that leave together share the links of
 	// those that stay. copyOverrunCost is the backlog, in seconds, added for each second beyond it:
 	// memory that can not be copied in time is lost when the engine is reclaimed.
@@ -59,7 +59,8 @@
 	return &Router{lengths: l, loads: make(map[string]*upstreamLoad), lastMovedAt: make(map[string]time.Time), seed: seed | 1}
 }
 
-// BetterUpstream returns an upstream at which w would wait much less than at the current one, or "".
+// BetterUpstream returns an upstream at which w would wait much less than at the current one, where it
+// is queued, or "" if there is none.
 func (r *Router) BetterUpstream(w *Work, current string, c []Candidate, now time.Time) string {
 	here := r.loads[current]
 	if here == nil || now.Sub(r.lastMovedAt[current]) < moveInterval {
@@ -81,7 +82,7 @@
 	return best
 }
 
-// Choose returns the upstream at which to ask for a place for w, among the candidates for which allow
+// Choose returns the upstream at which to request a place for w, among the candidates for which allow
 // returns true, or "" if there is none.
 func (r *Router) Choose(w *Work, c []Candidate, now time.Time, allow func(name string) bool) string {
 	warm := warmNames(w, c)
@@ -155,8 +156,8 @@
 	return costClass(cost), cost
 }
 
-// copyPenalty returns the backlog, in seconds, added for KV memory that could not be copied away within
-// a notice of the upstream if w ran there, too.
+// copyPenalty returns the backlog, in seconds, added for the KV memory that, with w running there, too,
+// could not be copied to other engines between the upstream's notice that it is leaving and its end.
 func (r *Router) copyPenalty(w *Work, c Candidate, now time.Time) float64 {
 	k := r.freshLoad(c.Name, now)
 	if k == nil || c.Capacity.CopyTimePerToken == 0 {
--- a/internal/policy/router_test.go
+++ b/internal/policy/router_test.go
@@ -61,15 +61,15 @@
 	}
 }
 
-// TestRouterKeepsRoomForANotice checks that KV memory which could not be copied away within a notice counts
-// against an engine: more if its runs would have to move to another hall, and less than the distance to
-// another hall itself.
+// TestRouterKeepsRoomForANotice checks that KV memory which could not be copied to other engines between an
+// engine's notice that it is leaving and its end counts against that engine: more if its runs would have to
+// move to another hall, and less than the distance to another hall itself.
 func TestRouterKeepsRoomForANotice(t *testing.T) {
 	const token = 50 * time.Microsecond
 	for _, x := range []struct {
-		name string
-		held []int // tokens at three engines, of which the third is in another hall
-		want string
+		name       string
+		usedTokens []int // tokens at three engines, of which the third is in another hall
+		want       string
 	}{
 		{"less KV memory in use", []int{20_000, 5000, 0}, "u1"},
 		{"both within the copy budget", []int{9000, 1000, 20_000}, ""},
@@ -82,7 +82,7 @@
 			r := NewRouter(NewLengths(), seed)
 			for i := range c {
 				c[i].Capacity.CopyTimePerToken = token
-				r.UpdateLoad(Load{AsOf: testStart, UsedTokens: x.held[i], Upstream: c[i].Name})
+				r.UpdateLoad(Load{AsOf: testStart, UsedTokens: x.usedTokens[i], Upstream: c[i].Name})
 			}
 			c[2].Penalty = 5
 			got := r.Choose(testWork("a"), c, testStart, allowAny)
@@ -212,7 +212,7 @@
 func TestRankMovesLittle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-z]{1,4}`), 2, 12, rapid.ID[string]).Draw(t, "names")
-		removed := rapid.SampledFrom(names).Draw(t, "gone")
+		removed := rapid.SampledFrom(names).Draw(t, "removed")
 		var remaining []string
 		for _, n := range names {
 			if n != removed {
--- a/internal/policy/running.go
+++ b/internal/policy/running.go
@@ -5,7 +5,7 @@
 // runningWork is a generation that holds a reservation or runs.
 type runningWork struct {
 	confirmed     bool      // its box has reported it running
-	expiresAt     time.Time // when it is dropped without further news
+	expiresAt     time.Time // when it is dropped unless its progress is reported
 	forecast      forecast
 	key           Key
 	lastTokenAt   time.Time // when it last produced a token, or started
@@ -15,7 +15,7 @@
 	work          *Work
 }
 
-// advance records how many tokens a generation has produced, and extends its timeout.
+// advance records how many tokens a generation has produced, confirms it and extends its timeout.
 func (o *Owner) advance(r *runningWork, produced int, now time.Time) {
 	r.expiresAt = now.Add(silenceTimeout)
 	if produced > r.produced {
@@ -59,8 +59,8 @@
 	delete(o.running, id)
 }
 
-// releaseExpired drops reservations that were not confirmed and generations without news. If they
-// still run, their memory shows in the upstream's report.
+// releaseExpired drops reservations that were not confirmed and generations without progress reports.
+// If they still run, their memory shows in the upstream's report.
 func (o *Owner) releaseExpired(now time.Time) {
 	for id, r := range o.running {
 		if now.After(r.expiresAt) {
--- a/internal/policy/sample.go
+++ b/internal/policy/sample.go
@@ -14,9 +14,9 @@
 }
 
 const (
-	affinityUpstreams = 2  // upstreams to which a prefix is routed unless they are crowded
+	affinityUpstreams = 2  // upstreams to which a prefix is routed unless their backlog is long
 	sampleFar         = 4  // upstreams of other halls that are sampled from many
-	sampleNear        = 12 // and of the work's own hall
+	sampleNear        = 12 // upstreams of the work's own hall that are sampled from many
 )
 
 // selectNext reports whether the next item is selected, given a random number in [0, 1).
--- a/internal/policy/shares.go
+++ b/internal/policy/shares.go
@@ -23,7 +23,7 @@
 }
 
 // enter charges queued work of that cost, in seconds of engine time, to its workspace. It returns the
-// time by which the work is ranked, and the charge.
+// time that ranks the work, and the charge.
 func (s *shares) enter(w *Work, cost float64, now time.Time) (at time.Time, charge time.Duration) {
 	c := s.workspaces[w.Workspace]
 	if c == nil {
@@ -49,7 +49,7 @@
 }
 
 // refund returns the charge of work that was refused or cancelled before it started. Such work may
-// ask again here, and at many other upstreams.
+// request a place again here, and at many other upstreams.
 func (s *shares) refund(w *Work, charge time.Duration) {
 	if c := s.workspaces[w.Workspace]; c != nil {
 		c.usedUntil = c.usedUntil.Add(-charge)
--- a/internal/policy/tuning.go
+++ b/internal/policy/tuning.go
@@ -1,6 +1,6 @@
 package policy
 
-// Tuning holds the parameters of the decisions, so that measurements can vary them.
+// Tuning holds the parameters of an Owner's decisions, so that simulations can vary them.
 type Tuning struct {
 	CostReserve       float64 // maximum share of KV memory kept free of costly work
 	NewestFirstCost   float64 // seconds of cost above which the newest work goes first
@@ -13,7 +13,7 @@
 	ZDecayPerSecond   float64 // share of the distance to ZMin that is lost each second
 }
 
-// DefaultTuning returns the values chosen by measurements.
+// DefaultTuning returns the values that boxes use.
 func DefaultTuning() Tuning {
 	return Tuning{
 		CostReserve: 0.2, NewestFirstCost: 1, ReserveHalfCost: 2, MaxUsedShare: 0.98, TargetStepSeconds: 0.04,
