--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -85,27 +85,27 @@
 		{TargetMS: 1800, DeadlineMS: 39_000, LateWorth: 20, Name: "long", Stream: long, Worth: 130}, {Name: "short", Stream: short, Worth: 14}, {TargetMS: 150, LateWorth: 0.3, Name: "call", Worth: 1},
 	}}
 	r := &Report{Classes: []Class{
-		{Failed: 9, Late: 2, Name: "long", Count: 12, Refused: 1, Worth: 0.1}, {Failed: 2, Name: "call", Count: 4, Worth: 0.5},
+		{Failed: 9, Late: 2, Name: "long", Count: 12, Refused: 1, EarnedShare: 0.1}, {Failed: 2, Name: "call", Count: 4, EarnedShare: 0.5},
 	}}
 	a := NewBreakdown("day", r, s, NewLog(lines))
 	got := make(map[Cause]float64)
 	sum := 0.0
 	for _, x := range a.Losses {
 		got[x.Cause] = x.Requests["long"] + x.Requests["call"]
-		sum += x.Worth
+		sum += x.WorthShare
 	}
 	for c, want := range map[Cause]float64{
-		CauseAllBoxesDied: 1, CauseBoxDied: 2, CauseBoxStopped: 1, CauseHallLost: 2, CauseFailed: 2, CauseEngineGone: 1,
+		CauseAllBoxesDied: 1, CauseBoxDied: 2, CauseBoxStopped: 1, CauseHallLost: 2, CauseFailed: 2, CauseEngineLost: 1,
 		CauseLate: 1, CauseLateMove: 1, CauseReclaimed: 1, CauseRefused: 1, CauseNotLogged: 1,
 	} {
 		if got[c] != want {
 			t.Errorf("%s: got %v requests, want %v", c, got[c], want)
 		}
 	}
-	if math.Abs(sum-a.Lost) > 1e-9 || a.Lost < 0.8 {
-		t.Errorf("sum of the losses: got %v, want %v", sum, a.Lost)
+	if math.Abs(sum-a.LostShare) > 1e-9 || a.LostShare < 0.8 {
+		t.Errorf("sum of the losses: got %v, want %v", sum, a.LostShare)
 	}
-	if got, want := a.UnservedWaits, 0.1*130/(12*130+4); math.Abs(got-want) > 1e-9 {
+	if got, want := a.UnservedWaitShare, 0.1*130/(12*130+4); math.Abs(got-want) > 1e-9 {
 		t.Errorf("penalty for waits that ended unserved: got %v, want %v", got, want)
 	}
 	var b bytes.Buffer
@@ -116,7 +116,7 @@
 	if err := a.PrintAttempts(&b, ByHall); err != nil || !strings.Contains(b.String(), "h2") {
 		t.Errorf("got %q %v, want a table of attempts by hall", b.String(), err)
 	}
-	if got, want := ByWindow(time.Unix(1000, 0))(&Attempt{Ended: time.Unix(1012, 0)}), " 10 s"; got != want {
+	if got, want := ByWindow(time.Unix(1000, 0))(&Attempt{EndedAt: time.Unix(1012, 0)}), " 10 s"; got != want {
 		t.Errorf("window: got %q, want %q", got, want)
 	}
 }
@@ -124,7 +124,7 @@
 // TestLateStreamsAreToldApart checks the cause of a late stream by the times in its log lines: a
 // long wait for a place, a slow prefill or a stall at the engine. A stream in time has no cause.
 func TestLateStreamsAreToldApart(t *testing.T) {
-	a := &latencyTarget{response: 1800 * time.Millisecond, class: "long", pause: 180 * time.Millisecond}
+	a := &latencyTarget{response: 1800 * time.Millisecond, class: "long", gap: 180 * time.Millisecond}
 	for _, x := range []struct {
 		waited, first, pause int // milliseconds
 		want                 Cause
@@ -175,12 +175,12 @@
 	if len(got) != 4 {
 		t.Fatalf("size classes: got %+v, want 4", got)
 	}
-	for i, want := range []SizeClass{{Attempts: 10, MinPromptTokens: 100}, {Attempts: 4, MinPromptTokens: 110}, {Attempts: 4, MinPromptTokens: 114, Late: 1}, {Attempts: 2, MinPromptTokens: 118}} {
-		if g := &got[i]; g.Attempts != want.Attempts || g.MinPromptTokens != want.MinPromptTokens || g.Late != want.Late {
+	for i, want := range []SizeClass{{Attempts: 10, MinPromptTokens: 100}, {Attempts: 4, MinPromptTokens: 110}, {Attempts: 4, MinPromptTokens: 114, LateAttempts: 1}, {Attempts: 2, MinPromptTokens: 118}} {
+		if g := &got[i]; g.Attempts != want.Attempts || g.MinPromptTokens != want.MinPromptTokens || g.LateAttempts != want.LateAttempts {
 			t.Errorf("%s: got %+v, want %+v", g.Name, *g, want)
 		}
 	}
-	if g := &got[3]; g.Served() != 0 || g.Refused["late/turn"] != 2 {
+	if g := &got[3]; g.ServedAttempts() != 0 || g.Refusals["late/turn"] != 2 {
 		t.Errorf("largest tenth: got %+v, want both refused as late/turn", *g)
 	}
 	var b bytes.Buffer
--- a/internal/account/attempt.go
+++ b/internal/account/attempt.go
@@ -13,7 +13,7 @@
 // Attempt is an attempt of a caller that was unsuccessful or late. It has a request ID of its own.
 type Attempt struct {
 	Cause    Cause
-	Ended    time.Time     // time of its last line
+	EndedAt  time.Time     // time of its last line
 	Hall     string        // of its box
 	Class    string        // of request
 	Sent     bool          // whether it was sent to an upstream
@@ -32,7 +32,7 @@
 		}
 		last := lines[len(lines)-1]
 		if c := l.causeOf(lines, &a); c != "" {
-			t := Attempt{Cause: c, Ended: last.Time, Hall: l.halls[last.Box], Class: a.class, Request: id}
+			t := Attempt{Cause: c, EndedAt: last.Time, Hall: l.halls[last.Box], Class: a.class, Request: id}
 			t.Sent = slices.ContainsFunc(lines, func(x *explain.Line) bool { return x.Event == event.RequestPlaced.Number })
 			if end := endOf(lines); end != nil {
 				t.Duration = milliseconds(number(end, "took_ms"))
@@ -40,7 +40,7 @@
 			all = append(all, t)
 		}
 	}
-	slices.SortFunc(all, func(a, b Attempt) int { return cmp.Or(a.Ended.Compare(b.Ended), cmp.Compare(a.Request, b.Request)) })
+	slices.SortFunc(all, func(a, b Attempt) int { return cmp.Or(a.EndedAt.Compare(b.EndedAt), cmp.Compare(a.Request, b.Request)) })
 	return all
 }
 
@@ -50,8 +50,8 @@
 	end := endOf(lines)
 	if end == nil {
 		last := lines[len(lines)-1]
-		switch died, all := l.boxDiedAfter(last.Box, last.Time); {
-		case all:
+		switch died, allDied := l.boxDiedAfter(last.Box, last.Time); {
+		case allDied:
 			return CauseAllBoxesDied
 		case died:
 			return CauseBoxDied
@@ -87,14 +87,14 @@
 			if text(x, "upstream") == at {
 				return CauseReclaimed
 			}
-		case event.MoveDone.Number:
+		case event.MoveCompleted.Number:
 			at = text(x, "to")
 		}
 	}
 	if l.halls[at] != l.halls[end.Box] {
 		return CauseHallLost
 	}
-	return CauseEngineGone
+	return CauseEngineLost
 }
 
 // finishedCause returns why a response that was complete earned less than its full worth, or "".
@@ -103,14 +103,14 @@
 		return CauseFailed
 	}
 	for _, x := range lines {
-		if x.Event == event.MoveDone.Number && a.pause > 0 && milliseconds(number(x, "pause_ms")) > a.pause {
+		if x.Event == event.MoveCompleted.Number && a.gap > 0 && milliseconds(number(x, "pause_ms")) > a.gap {
 			return CauseLateMove
 		}
 	}
-	if a.pause == 0 && milliseconds(number(end, "took_ms")) > a.response {
+	if a.gap == 0 && milliseconds(number(end, "took_ms")) > a.response {
 		return CauseLate
 	}
-	if a.pause > 0 {
+	if a.gap > 0 {
 		return lateStreamCause(lines, end, a)
 	}
 	return ""
@@ -122,7 +122,7 @@
 func lateStreamCause(lines []*explain.Line, end *explain.Line, a *latencyTarget) Cause {
 	first := milliseconds(number(end, "first_ms"))
 	if first <= a.response {
-		if milliseconds(number(end, "pause_ms")) > a.pause {
+		if milliseconds(number(end, "pause_ms")) > a.gap {
 			return CauseLateStall
 		}
 		return ""
--- a/internal/account/breakdown.go
+++ b/internal/account/breakdown.go
@@ -17,18 +17,18 @@
 
 // Breakdown attributes the worth lost in one day to causes.
 type Breakdown struct {
-	Day           string
-	Losses        []Loss    // largest first
-	Lost          float64   // share of the worth owed that was not earned
-	UnservedWaits float64   // penalty for waits that ended unserved, as a share of the worth owed; see unservedWaitShare
-	Attempts      []Attempt // unsuccessful and late ones, in order of their end
+	Day               string
+	Losses            []Loss    // largest first
+	LostShare         float64   // share of the worth owed that was not earned
+	UnservedWaitShare float64   // penalty for waits that ended unserved, as a share of the worth owed; see unservedWaitShare
+	Attempts          []Attempt // unsuccessful and late ones, in order of their end
 }
 
 // Loss is what one cause cost.
 type Loss struct {
-	Cause    Cause
-	Requests map[string]float64 // by class
-	Worth    float64            // share of the worth owed in the day
+	Cause      Cause
+	Requests   map[string]float64 // by class
+	WorthShare float64            // share of the worth owed in the day
 }
 
 // NewBreakdown returns the breakdown of a day.
@@ -38,8 +38,8 @@
 	owed := s.owedShares(r)
 	for i := range r.Classes {
 		c := &r.Classes[i]
-		lost := owed[c.Name] * (1 - c.Worth)
-		b.Lost += lost
+		lost := owed[c.Name] * (1 - c.EarnedShare)
+		b.LostShare += lost
 		for cause, requests := range c.causes(b.Attempts) {
 			x := losses[cause]
 			if x == nil {
@@ -47,15 +47,15 @@
 				losses[cause] = x
 			}
 			x.Requests[c.Name] += requests
-			x.Worth += lost * requests * s.lossFraction(c.Name, cause) / c.totalLoss(b.Attempts, s)
+			x.WorthShare += lost * requests * s.lossFraction(c.Name, cause) / c.totalLoss(b.Attempts, s)
 		}
 	}
-	b.UnservedWaits = s.unservedWaitShare(r, b.Attempts)
+	b.UnservedWaitShare = s.unservedWaitShare(r, b.Attempts)
 	for _, x := range losses {
 		b.Losses = append(b.Losses, *x)
 	}
 	slices.SortFunc(b.Losses, func(x, y Loss) int {
-		return cmp.Or(cmp.Compare(y.Worth, x.Worth), cmp.Compare(x.Cause, y.Cause))
+		return cmp.Or(cmp.Compare(y.WorthShare, x.WorthShare), cmp.Compare(x.Cause, y.Cause))
 	})
 	return b
 }
@@ -69,7 +69,7 @@
 		t := &attempts[i]
 		switch {
 		case t.Class != c.Name:
-		case t.Cause.late():
+		case t.Cause.isLate():
 			late[t.Cause]++
 		default:
 			lost[t.Cause]++
--- a/internal/account/cause.go
+++ b/internal/account/cause.go
@@ -12,7 +12,7 @@
 	CauseBoxStopped   Cause = "its box was stopped"
 	CauseHallLost     Cause = "ran in another hall, which was lost"
 	CauseFailed       Cause = "failed at each upstream"
-	CauseEngineGone   Cause = "engine gone without notice"
+	CauseEngineLost   Cause = "engine gone without notice"
 	CauseLate         Cause = "late: slow, or waited"
 	CauseLateMove     Cause = "late: a pause as it moved"
 	CauseLateStall    Cause = "late: a pause at its engine"
@@ -24,7 +24,7 @@
 	CauseNoAnswer     Cause = "no answer in time"
 )
 
-// late reports whether a request with this cause was served, but late.
-func (c Cause) late() bool {
+// isLate reports whether a request with this cause was served, but late.
+func (c Cause) isLate() bool {
 	return slices.Contains([]Cause{CauseLate, CauseLateMove, CauseLatePrefill, CauseLateStall, CauseLateWait}, c)
 }
--- a/internal/account/log.go
+++ b/internal/account/log.go
@@ -22,8 +22,8 @@
 
 // routeStats sums up the attempts on a route.
 type routeStats struct {
-	hint     float64 // sum of the output tokens that callers expect; 0 for calls, which do not stream
-	attempts int
+	hintTokens float64 // sum of the output tokens that callers expect; 0 for calls, which do not stream
+	attempts   int
 }
 
 const (
@@ -84,7 +84,7 @@
 
 // boxDiedAfter reports whether a box died after a time, and whether most boxes did so together. A
 // box has died if it started again after that time, or wrote nothing up to the end of the logs.
-func (l *Log) boxDiedAfter(box string, after time.Time) (died, all bool) {
+func (l *Log) boxDiedAfter(box string, after time.Time) (died, allDied bool) {
 	at := firstAfter(l.starts[box], after)
 	if at.IsZero() && l.lastLine[box].Add(silentBoxPeriod).After(l.end) {
 		return false, false
@@ -104,10 +104,10 @@
 
 // closestCallRoute returns the route of calls, other than those in known, whose number of attempts is
 // closest to n by ratio; "" if there is none.
-func (l *Log) closestCallRoute(n int, known map[string]latencyTarget) string {
+func (l *Log) closestCallRoute(n int, classified map[string]latencyTarget) string {
 	best, least := "", math.Inf(1)
 	for route, x := range l.routes() {
-		if x.hint > 0 || known[route].class != "" {
+		if x.hintTokens > 0 || classified[route].class != "" {
 			continue
 		}
 		if d := math.Abs(math.Log(float64(x.attempts) / float64(max(1, n)))); d < least {
@@ -124,7 +124,7 @@
 		for _, p := range lines {
 			if p.Event == event.RequestPlaced.Number {
 				x := m[text(p, "route")]
-				x.hint += number(p, "hint")
+				x.hintTokens += number(p, "hint")
 				x.attempts++
 				m[text(p, "route")] = x
 				break
--- a/internal/account/print.go
+++ b/internal/account/print.go
@@ -15,13 +15,13 @@
 // Print writes a table of the causes, with the share of the worth owed that each cost and the number
 // of requests by class.
 func (b *Breakdown) Print(w io.Writer) error {
-	kinds := make(map[string]bool)
+	classes := make(map[string]bool)
 	for _, x := range b.Losses {
 		for k := range x.Requests {
-			kinds[k] = true
+			classes[k] = true
 		}
 	}
-	names := slices.Sorted(maps.Keys(kinds))
+	names := slices.Sorted(maps.Keys(classes))
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprint(t, b.Day, "\tworth\t")
 	for _, n := range names {
@@ -29,14 +29,14 @@
 	}
 	_, _ = fmt.Fprintln(t)
 	for _, x := range b.Losses {
-		_, _ = fmt.Fprintf(t, "%s\t%.4f\t", x.Cause, x.Worth)
+		_, _ = fmt.Fprintf(t, "%s\t%.4f\t", x.Cause, x.WorthShare)
 		for _, n := range names {
 			_, _ = fmt.Fprintf(t, "%.1f\t", x.Requests[n])
 		}
 		_, _ = fmt.Fprintln(t)
 	}
-	_, _ = fmt.Fprintf(t, "lost\t%.4f\t\n", b.Lost)
-	_, _ = fmt.Fprintf(t, "waits that ended unserved, by their length\t%.4f\t\n", b.UnservedWaits)
+	_, _ = fmt.Fprintf(t, "lost\t%.4f\t\n", b.LostShare)
+	_, _ = fmt.Fprintf(t, "waits that ended unserved, by their length\t%.4f\t\n", b.UnservedWaitShare)
 	return t.Flush()
 }
 
@@ -76,6 +76,6 @@
 // in seconds since from.
 func ByWindow(from time.Time) func(t *Attempt) string {
 	return func(t *Attempt) string {
-		return fmt.Sprintf("%3d s", int(t.Ended.Sub(from)/windowLength)*int(windowLength/time.Second))
+		return fmt.Sprintf("%3d s", int(t.EndedAt.Sub(from)/windowLength)*int(windowLength/time.Second))
 	}
 }
--- a/internal/account/report.go
+++ b/internal/account/report.go
@@ -12,13 +12,13 @@
 
 // Class counts the outcomes of the requests of one class.
 type Class struct {
-	Failed  int     `json:"failed"`
-	Late    int     `json:"late"`
-	Name    string  `json:"name"`
-	NotOwed int     `json:"not_owed"`
-	Count   int     `json:"n"`
-	Refused int     `json:"refused"`
-	Worth   float64 `json:"worth"` // share of the worth owed to the class that it earned
+	Failed      int     `json:"failed"`
+	Late        int     `json:"late"`
+	Name        string  `json:"name"`
+	NotOwed     int     `json:"not_owed"`
+	Count       int     `json:"n"`
+	Refused     int     `json:"refused"`
+	EarnedShare float64 `json:"worth"` // share of the worth owed to the class that it earned
 }
 
 // ReadReport reads a report in JSON.
--- a/internal/account/site.go
+++ b/internal/account/site.go
@@ -34,8 +34,8 @@
 // latencyTarget is the class of the requests on a route, with its target times to the response or
 // first event, and between two events of a stream. The latter is 0 for calls.
 type latencyTarget struct {
-	response, pause time.Duration
-	class           string
+	response, gap time.Duration
+	class         string
 }
 
 // tokensPerEvent is the number of tokens in an event of a stream. It converts the lengths of the site
@@ -62,16 +62,16 @@
 func (s *Site) targets(r *Report, l *Log) map[string]latencyTarget {
 	m := make(map[string]latencyTarget)
 	for route, x := range l.routes() {
-		if x.hint == 0 {
+		if x.hintTokens == 0 {
 			continue
 		}
 		if c := s.closestClass(func(c *SiteClass) float64 {
 			if c.Stream == nil {
 				return 0
 			}
-			return c.Stream.Events.Mean * tokensPerEvent / (x.hint / float64(x.attempts))
+			return c.Stream.Events.Mean * tokensPerEvent / (x.hintTokens / float64(x.attempts))
 		}); c != nil {
-			m[route] = latencyTarget{response: milliseconds(c.TargetMS), class: c.Name, pause: milliseconds(c.Stream.GapTargetMS)}
+			m[route] = latencyTarget{response: milliseconds(c.TargetMS), class: c.Name, gap: milliseconds(c.Stream.GapTargetMS)}
 		}
 	}
 	for _, c := range r.Classes {
@@ -134,20 +134,20 @@
 // and not served costs its worth times the fraction of its deadline that it waited, linearly and not
 // in steps. Each attempt of a caller is charged separately.
 func (s *Site) unservedWaitShare(r *Report, attempts []Attempt) float64 {
-	charged := 0.0
+	penalty := 0.0
 	for i := range attempts {
 		t := &attempts[i]
 		c := s.class(t.Class)
-		if !t.Sent && !t.Cause.late() && c.DeadlineMS > 0 {
-			charged += c.Worth * min(1, float64(t.Duration)/float64(milliseconds(c.DeadlineMS)))
+		if !t.Sent && !t.Cause.isLate() && c.DeadlineMS > 0 {
+			penalty += c.Worth * min(1, float64(t.Duration)/float64(milliseconds(c.DeadlineMS)))
 		}
 	}
-	return charged / s.totalOwedWorth(r)
+	return penalty / s.totalOwedWorth(r)
 }
 
 // lossFraction returns the share of the worth of a request that is lost by the cause.
 func (s *Site) lossFraction(class string, cause Cause) float64 {
-	if c := s.class(class); cause.late() && c.Worth > 0 {
+	if c := s.class(class); cause.isLate() && c.Worth > 0 {
 		return 1 - c.LateWorth/c.Worth
 	}
 	return 1
--- a/internal/account/sizes.go
+++ b/internal/account/sizes.go
@@ -15,19 +15,19 @@
 // SizeClass counts the outcomes of the attempts of a class whose prompts are of similar size.
 type SizeClass struct {
 	Class           string
-	Late            int            // served, but late
+	LateAttempts    int            // served, but late
 	Name            string         // such as "largest tenth"
 	MinPromptTokens int            // length of its shortest prompt, in tokens
-	Refused         map[string]int // by "reason/shortage", or by reason if no shortage was logged
+	Refusals        map[string]int // by "reason/shortage", or by reason if no shortage was logged
 	Attempts        int
-	Unknown         int // neither served nor refused
+	UnknownOutcomes int // neither served nor refused
 }
 
 // sizedAttempt is the outcome of an attempt with the length of its prompt in tokens.
 type sizedAttempt struct {
 	late, served bool
 	promptTokens int
-	refused      string // as in SizeClass.Refused; "" if it was not refused
+	refusal      string // as in SizeClass.Refused; "" if it was not refused
 }
 
 // sizeClasses are the size classes, each with the quantile of the prompt length at which it starts.
@@ -63,10 +63,10 @@
 	return all
 }
 
-// Served returns the number of attempts that were served, including late ones.
-func (c *SizeClass) Served() int {
-	n := c.Attempts - c.Unknown
-	for _, x := range c.Refused {
+// ServedAttempts returns the number of attempts that were served, including late ones.
+func (c *SizeClass) ServedAttempts() int {
+	n := c.Attempts - c.UnknownOutcomes
+	for _, x := range c.Refusals {
 		n -= x
 	}
 	return n
@@ -79,25 +79,25 @@
 	for i := range sizes {
 		c := &sizes[i]
 		_, _ = fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%.2f\t%d\t%d\t%s\n", c.Class, c.Name, c.MinPromptTokens, c.Attempts,
-			float64(c.Served())/float64(max(1, c.Attempts)), c.Late, c.Unknown, formatCounts(c.Refused))
+			float64(c.ServedAttempts())/float64(max(1, c.Attempts)), c.LateAttempts, c.UnknownOutcomes, formatCounts(c.Refusals))
 	}
 	return t.Flush()
 }
 
 // newSizeClass counts the outcomes of attempts, which are sorted by prompt length.
 func newSizeClass(class, name string, attempts []sizedAttempt) SizeClass {
-	c := SizeClass{Class: class, Name: name, Refused: make(map[string]int), Attempts: len(attempts)}
+	c := SizeClass{Class: class, Name: name, Refusals: make(map[string]int), Attempts: len(attempts)}
 	if len(attempts) > 0 {
 		c.MinPromptTokens = attempts[0].promptTokens
 	}
 	for i := range attempts {
 		switch t := &attempts[i]; {
-		case t.refused != "":
-			c.Refused[t.refused]++
+		case t.refusal != "":
+			c.Refusals[t.refusal]++
 		case !t.served:
-			c.Unknown++
+			c.UnknownOutcomes++
 		case t.late:
-			c.Late++
+			c.LateAttempts++
 		}
 	}
 	return c
@@ -114,9 +114,9 @@
 	switch end.Event {
 	case event.RequestFinished.Number:
 		c := l.causeOf(lines, a)
-		t.served, t.late = c == "" || c.late(), c.late()
+		t.served, t.late = c == "" || c.isLate(), c.isLate()
 	case event.RequestRefused.Number:
-		t.refused = strings.TrimSuffix(text(end, "reason")+"/"+text(end, "short_of"), "/")
+		t.refusal = strings.TrimSuffix(text(end, "reason")+"/"+text(end, "short_of"), "/")
 	}
 	return t, t.promptTokens > 0
 }
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -68,8 +68,8 @@
 	s.mux.HandleFunc("GET /v1/models", s.getModels)
 	s.mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { s.postCompletion(w, r, objectChat) })
 	s.mux.HandleFunc("POST /v1/completions", func(w http.ResponseWriter, r *http.Request) { s.postCompletion(w, r, objectText) })
-	s.mux.HandleFunc("/services/{name}/", s.anyService)
-	s.mux.HandleFunc("/", s.anyOther)
+	s.mux.HandleFunc("/services/{name}/", s.handleServiceCall)
+	s.mux.HandleFunc("/", s.handleUnknownPath)
 	return s
 }
 
@@ -88,11 +88,11 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-func (s *Server) anyOther(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleUnknownPath(w http.ResponseWriter, r *http.Request) {
 	s.refuse(w, fail.New(fail.NotFound, origin("route"), "path_unknown", "%s %s is not served", r.Method, r.URL.Path))
 }
 
-func (s *Server) anyService(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleServiceCall(w http.ResponseWriter, r *http.Request) {
 	c, err := s.readCall(w, r)
 	if err != nil {
 		s.refuse(w, err)
--- a/internal/client/completion.go
+++ b/internal/client/completion.go
@@ -81,7 +81,7 @@
 		return
 	}
 	if !stream {
-		a.writeWhole()
+		a.writeCompletion()
 	}
 }
 
--- a/internal/client/completionwriter.go
+++ b/internal/client/completionwriter.go
@@ -102,8 +102,8 @@
 	return a.write(a.buffer)
 }
 
-// writeWhole writes the collected tokens as a single JSON object.
-func (a *completionWriter) writeWhole() {
+// writeCompletion writes the collected tokens as a single JSON object.
+func (a *completionWriter) writeCompletion() {
 	t := a.text.String()
 	c := choice{FinishReason: &a.finish}
 	if a.object == objectChat {
--- a/internal/client/generator.go
+++ b/internal/client/generator.go
@@ -58,17 +58,17 @@
 //
 // It goes on to the next box only after a fail.Unavailable error, and only if there is an event ID to
 // resume from or a request key, either of which prevents a second run, or if the box sent no response.
-func (g *Generator) Run(ctx context.Context, q *GenerationRequest) (finish string, tried int, err error) {
+func (g *Generator) Run(ctx context.Context, q *GenerationRequest) (finish string, boxesTried int, err error) {
 	lastEventID := ""
-	for tried < len(g.Boxes) {
-		b := g.Boxes[tried]
-		tried++
+	for boxesTried < len(g.Boxes) {
+		b := g.Boxes[boxesTried]
+		boxesTried++
 		finish, err = g.runAt(ctx, b, q, &lastEventID)
 		if err == nil || !errorx.IsOfType(err, fail.Unavailable) || (lastEventID == "" && q.Key == "" && fail.Reason(err) != "box_unreachable") {
-			return finish, tried, err
+			return finish, boxesTried, err
 		}
 	}
-	return finish, tried, err
+	return finish, boxesTried, err
 }
 
 // runAt runs the generation at one box, from the token after *lastEventID, which it keeps up to date.
--- a/internal/configuration/age.go
+++ b/internal/configuration/age.go
@@ -85,8 +85,8 @@
 
 // recordLateRead counts and logs a read, begun at the given time, that is overdue.
 func (f *Follower) recordLateRead(s *source, began time.Time) {
-	f.metrics.Count(metric.PlatformLateReads, "source", string(s.name))
-	event.ReadLate.Log(f.log, "source", string(s.name), "waited_ms", time.Since(began).Milliseconds())
+	f.metrics.Count(metric.PlatformOverdueReads, "source", string(s.name))
+	event.ReadOverdue.Log(f.log, "source", string(s.name), "waited_ms", time.Since(began).Milliseconds())
 }
 
 // registerViewAge adds a gauge of the view's age to m. It is infinite while the age is unknown.
--- a/internal/configuration/age_test.go
+++ b/internal/configuration/age_test.go
@@ -49,8 +49,8 @@
 				t.Errorf("log lines %q: got %d, want %d", e.Name, got, want)
 			}
 		}
-		if got := strings.Count(b.String(), event.ReadLate.Name); got == 0 {
-			t.Errorf("log lines %q: got none", event.ReadLate.Name)
+		if got := strings.Count(b.String(), event.ReadOverdue.Name); got == 0 {
+			t.Errorf("log lines %q: got none", event.ReadOverdue.Name)
 		}
 	})
 }
--- a/internal/configuration/follower.go
+++ b/internal/configuration/follower.go
@@ -226,7 +226,7 @@
 		return
 	}
 	if held := f.view.Revisions()[b.Source]; b.Snapshot && b.Revision < held {
-		f.metrics.Count(metric.PlatformOlderAnswers, "source", string(b.Source))
+		f.metrics.Count(metric.PlatformStaleAnswers, "source", string(b.Source))
 		event.StaleAnswerIgnored.Log(f.log, "source", string(b.Source), "era", revision.Era(b.Revision), "told", revision.Version(b.Revision), "held_era", revision.Era(held), "held", revision.Version(held), "from", from)
 	}
 }
--- a/internal/configuration/lapse.go
+++ b/internal/configuration/lapse.go
@@ -45,7 +45,7 @@
 		if err != nil {
 			continue
 		}
-		event.UpstreamEntryGone.Log(f.log, "upstream", x.Metadata.Name, "revision", c.Revision)
+		event.UpstreamEntryRemoved.Log(f.log, "upstream", x.Metadata.Name, "revision", c.Revision)
 		*c = resource.Change{Resource: x, Revision: c.Revision}
 	}
 }
--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -66,7 +66,7 @@
 		if !errorx.IsOfType(err, fail.Interrupted) {
 			t.Errorf("got %v, want an interrupted outcome", err)
 		}
-		if got, want := r.engines["engine-2"].Started(), 0; got != want {
+		if got, want := r.engines["engine-2"].StartedGenerations(), 0; got != want {
 			t.Errorf("generations at the other engine: got %d, want %d", got, want)
 		}
 		r.golden("engine-lost-mid-stream")
@@ -96,7 +96,7 @@
 				if !errorx.IsOfType(err, fail.Interrupted) && !errorx.IsOfType(err, fail.Unknown) {
 					t.Errorf("got %v, want interrupted or unknown", err)
 				}
-				if got, want := r.engines["engine-2"].Started(), 0; got != want {
+				if got, want := r.engines["engine-2"].StartedGenerations(), 0; got != want {
 					t.Errorf("generations at the other engine: got %d, want %d", got, want)
 				}
 			})
@@ -272,7 +272,7 @@
 		if err := r.run(t.Context(), "a", r.request("length=6", "")); err != nil {
 			t.Error(err)
 		}
-		if got, want := r.engines["engine-1"].Started(), 0; got != want {
+		if got, want := r.engines["engine-1"].StartedGenerations(), 0; got != want {
 			t.Errorf("generations at the leaving engine: got %d, want %d", got, want)
 		}
 		r.checkTokens(6)
--- a/internal/delivery/forwarder.go
+++ b/internal/delivery/forwarder.go
@@ -133,7 +133,7 @@
 		return cause
 	}
 	if fail.Reason(cause) == "stream_crossed" {
-		event.UpstreamMismatch.Log(d.log, "upstream", f.upstream.Name, "generation", f.generation)
+		event.UpstreamFrameMismatch.Log(d.log, "upstream", f.upstream.Name, "generation", f.generation)
 	}
 	for {
 		x, err := d.engines.Resume(f.ctx, f.upstream.Spec.Address, f.generation, f.session.deliveredTokens)
--- a/internal/delivery/rig_test.go
+++ b/internal/delivery/rig_test.go
@@ -144,7 +144,7 @@
 func (r *rig) started() int {
 	n := 0
 	for _, e := range r.engines {
-		n += e.Started()
+		n += e.StartedGenerations()
 	}
 	return n
 }
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -24,8 +24,8 @@
 	BoxStopped                = Event{slog.LevelInfo, "box stopped", 103}
 	BoxStopIncomplete         = Event{slog.LevelWarn, "box stopped with requests unfinished", 104}
 	ClockJumped               = Event{slog.LevelWarn, "clock jumped, views refreshed", 105}
-	Reloaded                  = Event{slog.LevelInfo, "settings read anew", 106}
-	ReloadFailed              = Event{slog.LevelWarn, "settings not read anew", 107}
+	SettingsReloaded          = Event{slog.LevelInfo, "settings read anew", 106}
+	SettingsReloadFailed      = Event{slog.LevelWarn, "settings not read anew", 107}
 	LinesOmitted              = Event{slog.LevelWarn, "log lines left out", 108}
 	RequestFinished           = Event{slog.LevelInfo, "request finished", 201}
 	RequestRefused            = Event{slog.LevelInfo, "request refused", 202}
@@ -35,16 +35,16 @@
 	RequestPlaced             = Event{slog.LevelInfo, "request placed", 207}
 	StreamResumed             = Event{slog.LevelInfo, "stream resumed", 205}
 	UpstreamFailed            = Event{slog.LevelWarn, "upstream failed", 301}
-	UpstreamMismatch          = Event{slog.LevelError, "upstream sent a frame of another generation", 302}
-	ReportMissing             = Event{slog.LevelWarn, "upstream load report missing", 303}
+	UpstreamFrameMismatch     = Event{slog.LevelError, "upstream sent a frame of another generation", 302}
+	LoadReportMissing         = Event{slog.LevelWarn, "upstream load report missing", 303}
 	OrderSent                 = Event{slog.LevelInfo, "order given to upstream", 304}
 	OrderFailed               = Event{slog.LevelWarn, "order to upstream failed", 305}
-	UpstreamEntryGone         = Event{slog.LevelInfo, "entry of upstream gone while the store was away", 306}
+	UpstreamEntryRemoved      = Event{slog.LevelInfo, "entry of upstream gone while the store was away", 306}
 	UpstreamLeaving           = Event{slog.LevelInfo, "upstream leaving", 307}
 	MoveStarted               = Event{slog.LevelInfo, "move of a generation started", 308}
-	MoveDone                  = Event{slog.LevelInfo, "generation moved", 309}
+	MoveCompleted             = Event{slog.LevelInfo, "generation moved", 309}
 	MoveFailed                = Event{slog.LevelWarn, "generation not moved", 310}
-	MoveCopied                = Event{slog.LevelInfo, "memory of a generation copied", 312}
+	MemoryCopied              = Event{slog.LevelInfo, "memory of a generation copied", 312}
 	LeavingNoticeReceived     = Event{slog.LevelInfo, "upstream told that it is leaving", 313}
 	LeavingAnswerReceived     = Event{slog.LevelInfo, "answer of an upstream that is leaving", 314}
 	UpstreamCrashed           = Event{slog.LevelWarn, "upstream ended under a request", 315}
@@ -56,7 +56,7 @@
 	LimitAnnounced            = Event{slog.LevelInfo, "upstream named a limit", 320}
 	LimitLifted               = Event{slog.LevelInfo, "limit of an upstream lifted", 321}
 	LimitInvalid              = Event{slog.LevelWarn, "limit of an upstream cannot be used", 322}
-	KeptRequestsRead          = Event{slog.LevelInfo, "kept requests read", 323}
+	KeptRowsRead              = Event{slog.LevelInfo, "kept requests read", 323}
 	PlatformUnreachable       = Event{slog.LevelWarn, "platform unreachable", 401}
 	PlatformReachable         = Event{slog.LevelInfo, "platform reachable again", 402}
 	OutcomeNotRecorded        = Event{slog.LevelWarn, "outcome not recorded yet", 403}
@@ -64,7 +64,7 @@
 	StaleAnswerIgnored        = Event{slog.LevelWarn, "older answer of the platform passed over", 405}
 	ChangesHeld               = Event{slog.LevelInfo, "changes of a restored store wait", 406}
 	RowIgnored                = Event{slog.LevelWarn, "row of the platform names no upstream", 407}
-	ReadLate                  = Event{slog.LevelWarn, "read of the platform late", 408}
+	ReadOverdue               = Event{slog.LevelWarn, "read of the platform late", 408}
 	ViewStale                 = Event{slog.LevelWarn, "view not known to be current", 409}
 	ViewCurrent               = Event{slog.LevelInfo, "view known to be current again", 410}
 	ReadHedged                = Event{slog.LevelWarn, "read of the platform answered on another connection", 411}
@@ -80,12 +80,12 @@
 
 // All lists every event in the order of the numbers.
 var All = []Event{
-	BoxStarted, BoxLeaving, BoxStopped, BoxStopIncomplete, ClockJumped, Reloaded, ReloadFailed, LinesOmitted,
+	BoxStarted, BoxLeaving, BoxStopped, BoxStopIncomplete, ClockJumped, SettingsReloaded, SettingsReloadFailed, LinesOmitted,
 	RequestFinished, RequestRefused, RequestInterrupted, RequestRetried, StreamResumed, CallerDisconnected, RequestPlaced,
-	UpstreamFailed, UpstreamMismatch, ReportMissing, OrderSent, OrderFailed,
-	UpstreamEntryGone, UpstreamLeaving, MoveStarted, MoveDone, MoveFailed, UpstreamRefused, MoveCopied, LeavingNoticeReceived, LeavingAnswerReceived, UpstreamCrashed,
-	RequestQuarantined, CrashNotCounted, RequestCleared, QuarantinedRequestRetried, LimitAnnounced, LimitLifted, LimitInvalid, KeptRequestsRead,
-	PlatformUnreachable, PlatformReachable, OutcomeNotRecorded, StoreRestored, StaleAnswerIgnored, ChangesHeld, RowIgnored, ReadLate, ViewStale, ViewCurrent, ReadHedged,
+	UpstreamFailed, UpstreamFrameMismatch, LoadReportMissing, OrderSent, OrderFailed,
+	UpstreamEntryRemoved, UpstreamLeaving, MoveStarted, MoveCompleted, MoveFailed, UpstreamRefused, MemoryCopied, LeavingNoticeReceived, LeavingAnswerReceived, UpstreamCrashed,
+	RequestQuarantined, CrashNotCounted, RequestCleared, QuarantinedRequestRetried, LimitAnnounced, LimitLifted, LimitInvalid, KeptRowsRead,
+	PlatformUnreachable, PlatformReachable, OutcomeNotRecorded, StoreRestored, StaleAnswerIgnored, ChangesHeld, RowIgnored, ReadOverdue, ViewStale, ViewCurrent, ReadHedged,
 	PeerUnreachable, PeerReachable, PeerRemoved, ReaderUnresponsive,
 	RevisionApplied, ResourceWritten, ResourceRefused, ResourceRewritten,
 }
--- a/internal/experiment/accountcmd.go
+++ b/internal/experiment/accountcmd.go
@@ -56,7 +56,7 @@
 		if len(a.Attempts) == 0 {
 			return errors.New("no attempt was lost")
 		}
-		return a.PrintAttempts(w, account.ByWindow(a.Attempts[0].Ended))
+		return a.PrintAttempts(w, account.ByWindow(a.Attempts[0].EndedAt))
 	}
 	return fmt.Errorf("cannot group attempts by %q: want hall, window or size", c.String("by"))
 }
--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -18,7 +18,7 @@
 	var best *Line
 	for i := range lines {
 		x := &lines[i]
-		if x.Event != event.UpstreamLeaving.Number && x.Event != event.LeavingNoticeReceived.Number && x.Event != event.UpstreamEntryGone.Number {
+		if x.Event != event.UpstreamLeaving.Number && x.Event != event.LeavingNoticeReceived.Number && x.Event != event.UpstreamEntryRemoved.Number {
 			continue
 		}
 		if x.text("upstream") == upstream && !x.Time.After(before) && (best == nil || x.Time.After(best.Time)) {
@@ -84,7 +84,7 @@
 		switch {
 		case x.Event == event.RequestPlaced.Number && x.number("waited_ms") >= minReportedWaitMS:
 			c += fmt.Sprintf("; it had waited %s ms for a place at %s", x.text("waited_ms"), x.text("upstream"))
-		case x.Event == event.MoveDone.Number:
+		case x.Event == event.MoveCompleted.Number:
 			c += fmt.Sprintf("; it paused %s ms as it moved from %s to %s", x.text("pause_ms"), x.text("from"), x.text("to"))
 		}
 	}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -58,7 +58,7 @@
 // to upstreams has an entry in reasons. Without one, the explanation shows the bare reason.
 func TestReasonsAreExplained(t *testing.T) {
 	pattern := regexp.MustCompile(`fail\.(?:New|Wrap)\(.*?"([a-z]+_[a-z_]+)"`) // the underscore tells reasons from step names
-	seen := 0
+	found := 0
 	for _, p := range []string{"../relay/*.go", "../../platform/engines.go"} {
 		files, _ := filepath.Glob(p)
 		for _, f := range files {
@@ -70,15 +70,15 @@
 				if strings.HasSuffix(f, "_test.go") || m[1] == "bad_upstream_request" || m[1] == "upstream_garbled" {
 					continue
 				}
-				seen++
+				found++
 				if reasons[m[1]] == "" {
 					t.Errorf("%s: reason %q has no entry in reasons", f, m[1])
 				}
 			}
 		}
 	}
-	if seen < 15 {
-		t.Errorf("reasons found: got %d, want at least 15", seen)
+	if found < 15 {
+		t.Errorf("reasons found: got %d, want at least 15", found)
 	}
 }
 
--- a/internal/explain/timeline.go
+++ b/internal/explain/timeline.go
@@ -89,9 +89,9 @@
 		return fmt.Sprintf("%s is leaving; %s events had come", f("upstream"), f("events"))
 	case event.MoveStarted.Number:
 		return fmt.Sprintf("its memory is being copied from %s to %s", f("from"), f("to"))
-	case event.MoveCopied.Number:
+	case event.MemoryCopied.Number:
 		return fmt.Sprintf("copied in %s ms while it ran and %s ms while it stood still", f("first_ms"), f("rest_ms"))
-	case event.MoveDone.Number:
+	case event.MoveCompleted.Number:
 		return fmt.Sprintf("it goes on at %s after a pause of %s ms", f("to"), f("pause_ms"))
 	case event.MoveFailed.Number:
 		return fmt.Sprintf("it was not moved away from %s: %s", f("from"), reasonText(f("reason")))
--- a/internal/fail/fail.go
+++ b/internal/fail/fail.go
@@ -34,11 +34,11 @@
 )
 
 var (
-	propertyPeer       = errorx.RegisterPrintableProperty("peer")
-	propertyReason     = errorx.RegisterPrintableProperty("reason")
-	propertyRetryAfter = errorx.RegisterProperty("retry_after")
-	propertyShortOf    = errorx.RegisterPrintableProperty("short_of")
-	propertyStep       = errorx.RegisterPrintableProperty("step")
+	propertyPeer     = errorx.RegisterPrintableProperty("peer")
+	propertyReason   = errorx.RegisterPrintableProperty("reason")
+	propertyRetryAt  = errorx.RegisterProperty("retry_after")
+	propertyShortage = errorx.RegisterPrintableProperty("short_of")
+	propertyStep     = errorx.RegisterPrintableProperty("step")
 )
 
 // Origin names the operation in which an error occurred.
@@ -71,14 +71,14 @@
 	if x == nil {
 		return time.Time{}
 	}
-	v, _ := x.Property(propertyRetryAfter)
+	v, _ := x.Property(propertyRetryAt)
 	t, _ := v.(time.Time)
 	return t
 }
 
-// ShortOf returns the resource whose shortage caused e, or "".
-func ShortOf(e error) string {
-	return stringProperty(e, propertyShortOf)
+// Shortage returns the resource whose shortage caused e, or "".
+func Shortage(e error) string {
+	return stringProperty(e, propertyShortage)
 }
 
 // Step returns the step at which e occurred, or "".
@@ -93,17 +93,17 @@
 	if x == nil {
 		x = Unavailable.WrapWithNoMessage(e)
 	}
-	return x.WithProperty(propertyRetryAfter, t)
+	return x.WithProperty(propertyRetryAt, t)
 }
 
-// WithShortOf returns e with the resource whose shortage caused it. An error that is not of this
+// WithShortage returns e with the resource whose shortage caused it. An error that is not of this
 // package becomes Unavailable.
-func WithShortOf(e error, what string) error {
+func WithShortage(e error, what string) error {
 	x := errorx.Cast(e)
 	if x == nil {
 		x = Unavailable.WrapWithNoMessage(e)
 	}
-	return x.WithProperty(propertyShortOf, what)
+	return x.WithProperty(propertyShortage, what)
 }
 
 // Wrap returns an error of type t that wraps e and occurred at p, with a reason.
--- a/internal/fake/engine/handlers.go
+++ b/internal/fake/engine/handlers.go
@@ -70,11 +70,11 @@
 		return
 	}
 	writeJSON(w, upstream.Position{
-		Generation: v.generation.ID,
-		Produced:   len(v.texts),
-		Readers:    v.readers,
-		State:      string(v.generation.state),
-		Workspace:  v.workspace,
+		Generation:     v.generation.ID,
+		ProducedTokens: len(v.texts),
+		Readers:        v.readers,
+		State:          string(v.generation.state),
+		Workspace:      v.workspace,
 	})
 }
 
@@ -83,18 +83,18 @@
 	defer s.mutex.Unlock()
 	t := time.Now().Add(-s.reportLag)
 	l := upstream.Load{AsOf: t, Instance: s.instance, KVTokens: s.settings.KVTokens}
-	for _, x := range s.loads {
+	for _, x := range s.loadReports {
 		if !x.AsOf.After(t) {
 			l = x
 		}
 	}
 	l.Leaving = s.leaving || s.faults.RefuseLeaving
-	l.Loaded, l.Role = maps.Clone(s.loaded), s.role
+	l.LoadedVersions, l.Role = maps.Clone(s.loaded), s.role
 	writeJSON(w, l)
 }
 
 func (s *Server) getStarted(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, s.Started())
+	writeJSON(w, s.StartedGenerations())
 }
 
 func (s *Server) postGeneration(w http.ResponseWriter, r *http.Request) {
--- a/internal/fake/engine/scheduler.go
+++ b/internal/fake/engine/scheduler.go
@@ -24,18 +24,18 @@
 
 // Generation is one request to generate tokens.
 type Generation struct {
-	Arrival      int64 // order of arrival, from 1
-	UserData     any   // belongs to whoever submitted it; not used by the scheduler
-	ID           string
-	MaxOutput    int    // maximum number of output tokens
-	OutputLength int    // output tokens after which it ends by itself
-	Prefix       uint64 // key of its prompt's prefix; 0 is not cached
-	Priority     int    // higher goes first
-	Produced     int    // output tokens so far
-	Prompt       int    // prompt tokens
+	Arrival         int64 // order of arrival, from 1
+	UserData        any   // belongs to whoever submitted it; not used by the scheduler
+	ID              string
+	MaxOutputTokens int    // maximum number of output tokens
+	OutputTokens    int    // output tokens after which it ends by itself
+	Prefix          uint64 // key of its prompt's prefix; 0 is not cached
+	Priority        int    // higher goes first
+	ProducedTokens  int    // output tokens so far
+	PromptTokens    int    // prompt tokens
 
-	prefill int // tokens still to be computed before the next output token
-	state   State
+	prefillTokens int // tokens still to be computed before the next output token
+	state         State
 }
 
 // State is the state of a generation in the engine.
@@ -114,8 +114,8 @@
 	return len(s.byID) == 0
 }
 
-// Running returns how many generations are in the batch.
-func (s *Scheduler) Running() int {
+// RunningCount returns how many generations are in the batch.
+func (s *Scheduler) RunningCount() int {
 	return len(s.running)
 }
 
@@ -136,14 +136,14 @@
 // Submit enqueues a generation. It reports false if the ID is in use or the prompt is larger than
 // the KV cache.
 func (s *Scheduler) Submit(g *Generation) bool {
-	if s.byID[g.ID] != nil || g.Prompt+1 > s.settings.KVTokens {
+	if s.byID[g.ID] != nil || g.PromptTokens+1 > s.settings.KVTokens {
 		return false
 	}
 	s.arrivals++
 	g.Arrival = s.arrivals
-	g.prefill = g.Prompt
+	g.prefillTokens = g.PromptTokens
 	if s.touchPrefix(g.Prefix) {
-		g.prefill = int(float64(g.Prompt) * (1 - cachedShare))
+		g.prefillTokens = int(float64(g.PromptTokens) * (1 - cachedShare))
 	}
 	g.state = StateWaiting
 	s.byID[g.ID] = g
@@ -151,8 +151,8 @@
 	return true
 }
 
-// Waiting returns how many generations wait, including preempted ones.
-func (s *Scheduler) Waiting() int {
+// WaitingCount returns how many generations wait, including preempted ones.
+func (s *Scheduler) WaitingCount() int {
 	return len(s.waiting)
 }
 
@@ -171,26 +171,26 @@
 }
 
 func (s *Scheduler) decode(emit func(g *Generation, finished bool)) {
-	kept := s.running[:0]
+	remaining := s.running[:0]
 	for _, g := range s.running {
-		if g.prefill > 0 {
-			kept = append(kept, g)
+		if g.prefillTokens > 0 {
+			remaining = append(remaining, g)
 			continue
 		}
-		g.Produced++
+		g.ProducedTokens++
 		s.UsedTokens++
-		if done := g.Produced >= min(g.OutputLength, g.MaxOutput); done {
+		if done := g.ProducedTokens >= min(g.OutputTokens, g.MaxOutputTokens); done {
 			s.UsedTokens -= g.kvTokens()
 			g.state = StateFinished
 			delete(s.byID, g.ID)
 			emit(g, true)
 			continue
 		}
-		kept = append(kept, g)
+		remaining = append(remaining, g)
 		emit(g, false)
 	}
-	clear(s.running[len(kept):])
-	s.running = kept
+	clear(s.running[len(remaining):])
+	s.running = remaining
 }
 
 // insertWaiting inserts g into the queue, which is ordered by priority, then by arrival.
@@ -216,7 +216,7 @@
 		s.running = slices.Delete(s.running, v, v+1)
 		s.UsedTokens -= g.kvTokens()
 		s.Preemptions++
-		g.prefill = g.kvTokens()
+		g.prefillTokens = g.kvTokens()
 		g.state = StateWaiting
 		s.insertWaiting(g)
 	}
@@ -225,16 +225,16 @@
 // prefill computes up to PrefillChunk prompt tokens, in batch order, and returns how many it
 // computed.
 func (s *Scheduler) prefill() int {
-	left := s.settings.PrefillChunk
+	budget := s.settings.PrefillChunk
 	for _, g := range s.running {
-		n := min(left, g.prefill)
-		g.prefill -= n
-		left -= n
-		if left == 0 {
+		n := min(budget, g.prefillTokens)
+		g.prefillTokens -= n
+		budget -= n
+		if budget == 0 {
 			break
 		}
 	}
-	return s.settings.PrefillChunk - left
+	return s.settings.PrefillChunk - budget
 }
 
 // touchPrefix reports whether p is cached, and makes it the most recently used prefix.
@@ -256,5 +256,5 @@
 
 // kvTokens returns how many tokens of the KV cache g occupies while it runs.
 func (g *Generation) kvTokens() int {
-	return g.Prompt + g.Produced
+	return g.PromptTokens + g.ProducedTokens
 }
--- a/internal/fake/engine/server.go
+++ b/internal/fake/engine/server.go
@@ -26,7 +26,7 @@
 	role          string
 	instance      string
 	leaving       bool
-	loads         []upstream.Load // recent load reports, oldest first
+	loadReports   []upstream.Load // recent load reports, oldest first
 	mux           *http.ServeMux
 	startRequests int // including refused ones
 	records       map[string]*record
@@ -61,10 +61,10 @@
 }
 
 const (
-	cacheEventsKept    = 256
+	maxCacheEvents     = 256
 	charactersPerToken = 4 // of a prompt
 	maxBodyBytes       = 16 << 20
-	reportsKept        = 64
+	maxLoadReports     = 64
 )
 
 // NewServer returns a running engine whose load report lags by reportLag.
@@ -120,8 +120,8 @@
 	return s.startRequests
 }
 
-// Started returns how many generations were started so far.
-func (s *Server) Started() int {
+// StartedGenerations returns how many generations were started so far.
+func (s *Server) StartedGenerations() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.records)
@@ -158,13 +158,13 @@
 
 // recordLoad appends the current load to the reports; the lock is held.
 func (s *Server) recordLoad() {
-	s.loads = append(s.loads, upstream.Load{
+	s.loadReports = append(s.loadReports, upstream.Load{
 		AsOf: time.Now(), Instance: s.instance, KVTokens: s.settings.KVTokens,
-		Preemptions: s.scheduler.Preemptions, Running: s.scheduler.Running(),
-		StepMicros: s.stepMicros, Used: s.scheduler.UsedTokens, Waiting: s.scheduler.Waiting(),
+		Preemptions: s.scheduler.Preemptions, Running: s.scheduler.RunningCount(),
+		StepMicros: s.stepMicros, UsedTokens: s.scheduler.UsedTokens, Waiting: s.scheduler.WaitingCount(),
 	})
-	if len(s.loads) > reportsKept {
-		s.loads = s.loads[1:]
+	if len(s.loadReports) > maxLoadReports {
+		s.loadReports = s.loadReports[1:]
 	}
 }
 
@@ -179,7 +179,7 @@
 		v.signal()
 		return
 	}
-	if g.Produced >= g.MaxOutput {
+	if g.ProducedTokens >= g.MaxOutputTokens {
 		v.end(upstream.FinishLength)
 		return
 	}
@@ -193,8 +193,8 @@
 		return nil, fmt.Errorf("generation %q exists", v.ID)
 	}
 	g := &Generation{
-		ID: v.ID, MaxOutput: v.MaxTokens, OutputLength: outputLength(v.Prompt), Prefix: v.Prefix,
-		Priority: v.Priority, Prompt: 1 + len(v.Prompt)/charactersPerToken,
+		ID: v.ID, MaxOutputTokens: v.MaxTokens, OutputTokens: outputTokens(v.Prompt), Prefix: v.Prefix,
+		Priority: v.Priority, PromptTokens: 1 + len(v.Prompt)/charactersPerToken,
 	}
 	if !s.scheduler.Submit(g) {
 		return nil, fmt.Errorf("generation %q cannot fit", v.ID)
@@ -202,7 +202,7 @@
 	x := &record{changed: make(chan struct{}), generation: g, workspace: v.Workspace}
 	s.records[v.ID] = x
 	s.cacheEvents = append(s.cacheEvents, upstream.CacheEvent{Number: int64(len(s.records)), Prefix: v.Prefix, Stored: true})
-	if len(s.cacheEvents) > cacheEventsKept {
+	if len(s.cacheEvents) > maxCacheEvents {
 		s.cacheEvents = s.cacheEvents[1:]
 	}
 	select {
@@ -215,10 +215,10 @@
 // step runs one scheduler step, waits for its duration and then publishes its tokens. It reports
 // false when the server is closed.
 func (s *Server) step() bool {
-	var out []func()
+	var updates []func()
 	s.mutex.Lock()
 	d := s.scheduler.Step(func(g *Generation, finished bool) {
-		out = append(out, func() { s.recordToken(g, finished) })
+		updates = append(updates, func() { s.recordToken(g, finished) })
 	})
 	s.mutex.Unlock()
 	select {
@@ -228,7 +228,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, f := range out {
+	for _, f := range updates {
 		f()
 	}
 	s.stepMicros = d.Microseconds()
@@ -246,10 +246,10 @@
 	r.changed = make(chan struct{})
 }
 
-// outputLength returns the output length of a prompt in tokens: N if the prompt contains
+// outputTokens returns the output length of a prompt in tokens: N if the prompt contains
 // "length=N", so that tests and demonstrations can choose it, or else a value derived from a hash
 // of the prompt.
-func outputLength(prompt string) int {
+func outputTokens(prompt string) int {
 	if _, n, ok := strings.Cut(prompt, "length="); ok {
 		f := strings.Fields(n)
 		if len(f) > 0 {
--- a/internal/fake/platform/platform.go
+++ b/internal/fake/platform/platform.go
@@ -42,7 +42,7 @@
 	objects      map[string][]byte
 	revision     int64
 	rows         map[string]table.Row // by table and key; removed ones stay as tombstones
-	started      time.Time
+	startedAt    time.Time
 	fullReads    map[string]int // reads from the first row, by table
 }
 
@@ -56,7 +56,7 @@
 		mux:       http.NewServeMux(),
 		objects:   make(map[string][]byte),
 		rows:      make(map[string]table.Row),
-		started:   time.Now(),
+		startedAt: time.Now(),
 		fullReads: make(map[string]int),
 	}
 	p.mux.HandleFunc("GET /blob-get/{name}", p.getObject)
@@ -233,7 +233,7 @@
 }
 
 // now returns the platform's monotonic clock in milliseconds. It is not the time of day.
-func (p *Platform) now() int64 { return 1 + time.Since(p.started).Milliseconds() }
+func (p *Platform) now() int64 { return 1 + time.Since(p.startedAt).Milliseconds() }
 
 // wakeFeeds wakes the waiting feeds; the lock is held.
 func (p *Platform) wakeFeeds() {
--- a/internal/fake/platform/rows.go
+++ b/internal/fake/platform/rows.go
@@ -15,20 +15,20 @@
 
 // wireRow is a row in the format of the protocol.
 type wireRow struct {
-	Gone  bool   `json:"gone,omitempty"`
-	Key   string `json:"key"`
-	Part  string `json:"part"`
-	Table string `json:"table"`
-	Value []byte `json:"value,omitempty"`
-	Ver   int64  `json:"ver,omitempty"`
+	Deleted  bool   `json:"gone,omitempty"`
+	Key      string `json:"key"`
+	Part     string `json:"part"`
+	Table    string `json:"table"`
+	Value    []byte `json:"value,omitempty"`
+	Revision int64  `json:"ver,omitempty"`
 }
 
 // wireRows is the answer to a call about rows.
 type wireRows struct {
-	More  bool      `json:"more"`
-	NowMS int64     `json:"now_ms"`
-	Rows  []wireRow `json:"rows"`
-	Ver   int64     `json:"ver"`
+	More     bool      `json:"more"`
+	NowMS    int64     `json:"now_ms"`
+	Rows     []wireRow `json:"rows"`
+	Revision int64     `json:"ver"`
 }
 
 // wireTransaction is a transaction in the format of the protocol.
@@ -69,7 +69,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		if l := p.rowsAfter(r.FormValue("table"), after); len(l) > 0 || wait == 0 {
-			writeJSON(w, wireRows{NowMS: p.now(), Rows: l, Ver: p.revision})
+			writeJSON(w, wireRows{NowMS: p.now(), Rows: l, Revision: p.revision})
 			return
 		}
 		c := p.changed
@@ -100,9 +100,9 @@
 		p.fullReads[name]++
 	}
 	l := p.rowsAfter(name, 0)
-	l = slices.DeleteFunc(l, func(x wireRow) bool { return x.Gone || x.Key < r.FormValue("from") })
+	l = slices.DeleteFunc(l, func(x wireRow) bool { return x.Deleted || x.Key < r.FormValue("from") })
 	slices.SortFunc(l, func(a, b wireRow) int { return strings.Compare(a.Key, b.Key) })
-	writeJSON(w, wireRows{More: len(l) > limit, NowMS: p.now(), Rows: l[:min(limit, len(l))], Ver: p.revision})
+	writeJSON(w, wireRows{More: len(l) > limit, NowMS: p.now(), Rows: l[:min(limit, len(l))], Revision: p.revision})
 }
 
 // postTransaction applies a transaction. If a condition fails, it answers 412 with the current
@@ -115,7 +115,7 @@
 	}
 	t := new(table.Transaction)
 	for _, c := range x.Expected {
-		t.Conditions = append(t.Conditions, table.Condition{Key: c.Table + "/" + c.Key, Revision: c.Ver})
+		t.Conditions = append(t.Conditions, table.Condition{Key: c.Table + "/" + c.Key, Revision: c.Revision})
 	}
 	for _, v := range x.Put {
 		t.Writes = append(t.Writes, table.Write{Key: v.Table + "/" + v.Key, Value: v.Value})
@@ -128,10 +128,10 @@
 	v := p.commit(t)
 	p.mutex.Unlock()
 	if v.Committed {
-		writeJSON(w, wireRows{Rows: []wireRow{}, Ver: v.Revision})
+		writeJSON(w, wireRows{Rows: []wireRow{}, Revision: v.Revision})
 		return
 	}
-	a := wireRows{Rows: []wireRow{}, Ver: v.Revision}
+	a := wireRows{Rows: []wireRow{}, Revision: v.Revision}
 	for _, c := range v.Current {
 		if !c.Deleted {
 			a.Rows = append(a.Rows, toWire(c))
@@ -158,12 +158,12 @@
 		}
 	}
 	slices.SortFunc(l, func(a, b wireRow) int {
-		return cmp.Or(cmp.Compare(a.Ver, b.Ver), strings.Compare(a.Key, b.Key))
+		return cmp.Or(cmp.Compare(a.Revision, b.Revision), strings.Compare(a.Key, b.Key))
 	})
 	return l
 }
 
 func toWire(r table.Row) wireRow {
 	n, k, _ := strings.Cut(r.Key, "/")
-	return wireRow{Gone: r.Deleted, Key: k, Table: n, Value: r.Value, Ver: r.Revision}
+	return wireRow{Deleted: r.Deleted, Key: k, Table: n, Value: r.Value, Revision: r.Revision}
 }
--- a/internal/fake/routed/cold.go
+++ b/internal/fake/routed/cold.go
@@ -32,9 +32,9 @@
 	e.cold = coldStart{until, perSecond}
 }
 
-// arrive records a request and returns its index in the arrivals. It crashes a cold engine that
+// recordArrival records a request and returns its index in the arrivals. It crashes a cold engine that
 // gets too many requests.
-func (e *Engine) arrive(request string) (index int) {
+func (e *Engine) recordArrival(request string) (index int) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	now := time.Now()
--- a/internal/fake/routed/copies.go
+++ b/internal/fake/routed/copies.go
@@ -17,8 +17,8 @@
 // copyTo copies the part of a run's KV cache that the peer does not have yet, and stores it there
 // under the handle. It takes as long as the transfer would.
 func (e *Engine) copyTo(p *Engine, x *run, handle string) {
-	e.link <- struct{}{}
-	defer func() { <-e.link }()
+	e.linkSlot <- struct{}{}
+	defer func() { <-e.linkSlot }()
 	e.mutex.Lock()
 	m := x.kv
 	e.mutex.Unlock()
@@ -36,8 +36,8 @@
 	p.copies[handle] = &m
 }
 
-// move handles an order to copy a run to another engine. The last copy stops the run here first.
-func (e *Engine) move(w http.ResponseWriter, r *http.Request, f *Faults) {
+// handleMove handles an order to copy a run to another engine. The last copy stops the run here first.
+func (e *Engine) handleMove(w http.ResponseWriter, r *http.Request, f *Faults) {
 	var o struct {
 		ID   string `json:"id"`
 		Last bool   `json:"last"`
@@ -63,34 +63,34 @@
 		return
 	}
 	if o.Last {
-		e.stop(x)
+		e.stopRun(x)
 	}
 	handle := "h-" + o.ID
 	e.copyTo(p, x, handle)
 	e.mutex.Lock()
-	dead, made := e.crashed, x.kv.events
+	crashed, events := e.crashed, x.kv.events
 	if o.Last { // the run may also be resumed here
 		m := x.kv
 		m.peer = p
 		e.copies[handle] = &m
 	}
 	e.mutex.Unlock()
-	if dead || f.LoseCopyAnswers {
+	if crashed || f.LoseCopyAnswers {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(map[string]any{"handle": handle, "made": made})
+	_ = json.NewEncoder(w).Encode(map[string]any{"handle": handle, "made": events})
 }
 
-// release deletes a copy on this engine and on its peer.
-func (e *Engine) release(handle string) {
-	if m := e.drop(handle); m != nil && m.peer != nil {
-		m.peer.drop(handle)
+// releaseCopy deletes a copy on this engine and on its peer.
+func (e *Engine) releaseCopy(handle string) {
+	if m := e.deleteCopy(handle); m != nil && m.peer != nil {
+		m.peer.deleteCopy(handle)
 	}
 }
 
-// drop deletes a copy and returns it, or nil if there is none.
-func (e *Engine) drop(handle string) *kvState {
+// deleteCopy deletes a copy and returns it, or nil if there is none.
+func (e *Engine) deleteCopy(handle string) *kvState {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	m := e.copies[handle]
--- a/internal/fake/routed/engine.go
+++ b/internal/fake/routed/engine.go
@@ -26,29 +26,29 @@
 	// Peer is a test hook that returns the engine at an address, or nil if there is none.
 	Peer func(address string) *Engine
 
-	id       string
-	mutex    sync.Mutex
-	changed  chan struct{} // closed and replaced when the engine crashes
-	cold     coldStart
-	copies   map[string]*kvState
-	crashed  bool
-	faults   Faults
-	leaving  bool
-	limit    string        // in requests per second, as answers name it; "" for none
-	link     chan struct{} // semaphore of the link that copies use; a channel, because waiting for a mutex would stop virtual time
-	requests []http.Header
-	runs     map[string]*run
-	settings Settings
-	started  map[string]int // by request ID: runs that were started from the first event
-	arrivals []Arrival
+	id          string
+	mutex       sync.Mutex
+	changed     chan struct{} // closed and replaced when the engine crashes
+	cold        coldStart
+	copies      map[string]*kvState
+	crashed     bool
+	faults      Faults
+	leaving     bool
+	limit       string        // in requests per second, as answers name it; "" for none
+	linkSlot    chan struct{} // semaphore of the link that copies use; a channel, because waiting for a mutex would stop virtual time
+	requests    []http.Header
+	runs        map[string]*run
+	settings    Settings
+	startCounts map[string]int // by request ID: runs that were started from the first event
+	arrivals    []Arrival
 }
 
 // New returns an engine with an ID.
 func New(id string, s Settings) *Engine {
 	return &Engine{
 		OnCrash: func(string) {}, OnCrashBody: func(string) {},
-		Peer: func(string) *Engine { return nil }, changed: make(chan struct{}), copies: make(map[string]*kvState), id: id, link: make(chan struct{}, 1),
-		runs: make(map[string]*run), settings: s, started: make(map[string]int),
+		Peer: func(string) *Engine { return nil }, changed: make(chan struct{}), copies: make(map[string]*kvState), id: id, linkSlot: make(chan struct{}, 1),
+		runs: make(map[string]*run), settings: s, startCounts: make(map[string]int),
 	}
 }
 
@@ -93,8 +93,8 @@
 	return append([]http.Header(nil), e.requests...)
 }
 
-// Running returns how many requests the engine is processing.
-func (e *Engine) Running() int {
+// RunningRequests returns how many requests the engine is processing.
+func (e *Engine) RunningRequests() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return len(e.runs)
@@ -107,19 +107,19 @@
 	e.faults = f
 }
 
-// Started returns how often a request was run from its beginning.
-func (e *Engine) Started(request string) int {
+// StartCount returns how often a request was run from its beginning.
+func (e *Engine) StartCount(request string) int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.started[request]
+	return e.startCounts[request]
 }
 
 // ServeHTTP answers one call.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.mutex.Lock()
-	f, dead := e.faults, e.crashed
+	f, crashed := e.faults, e.crashed
 	e.mutex.Unlock()
-	if dead {
+	if crashed {
 		panic(http.ErrAbortHandler)
 	}
 	if f.Silent {
@@ -128,13 +128,13 @@
 	}
 	switch {
 	case r.URL.Path == "/report":
-		e.report(w)
+		e.writeReport(w)
 	case r.URL.Path == "/kv-move":
-		e.move(w, r, &f)
+		e.handleMove(w, r, &f)
 	case strings.HasPrefix(r.URL.Path, "/kv-handle/"):
-		e.release(strings.TrimPrefix(r.URL.Path, "/kv-handle/"))
+		e.releaseCopy(strings.TrimPrefix(r.URL.Path, "/kv-handle/"))
 	default:
-		e.serve(w, r, &f)
+		e.serveRequest(w, r, &f)
 	}
 }
 
@@ -151,8 +151,8 @@
 	e.refuse(w, f.RefuseStatus)
 }
 
-// report answers with the engine's load.
-func (e *Engine) report(w http.ResponseWriter) {
+// writeReport answers with the engine's load.
+func (e *Engine) writeReport(w http.ResponseWriter) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	used := 0
@@ -169,8 +169,8 @@
 	_ = json.NewEncoder(w).Encode(map[string]any{"kv_total": e.settings.KVTokens, "kv_used": used, "queued": 0, "running": len(e.runs), "state": state})
 }
 
-// serve answers a request of a route.
-func (e *Engine) serve(w http.ResponseWriter, r *http.Request, f *Faults) {
+// serveRequest answers a request of a route.
+func (e *Engine) serveRequest(w http.ResponseWriter, r *http.Request, f *Faults) {
 	b, _ := io.ReadAll(r.Body)
 	e.mutex.Lock()
 	e.requests = append(e.requests, r.Header.Clone())
@@ -180,7 +180,7 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	arrival := e.arrive(id)
+	arrival := e.recordArrival(id)
 	if strings.HasPrefix(string(b), PoisonPrefix) && f.Status == 0 {
 		time.Sleep(f.CrashDelay)
 		e.Crash()
@@ -207,7 +207,7 @@
 	}
 	if r.Header.Get("Kv-From") == "" { // otherwise it continues a run that began elsewhere
 		e.mutex.Lock()
-		e.started[id]++
+		e.startCounts[id]++
 		e.mutex.Unlock()
 	}
 	e.writeStateHeaders(h, arrival, 0)
--- a/internal/fake/routed/streams.go
+++ b/internal/fake/routed/streams.go
@@ -11,9 +11,9 @@
 
 // run is a request that the engine is processing.
 type run struct {
-	kv      kvState
-	stopped chan struct{} // closed when the run is stopped for a move
-	stop    bool
+	kv            kvState
+	stopped       chan struct{} // closed when the run is stopped for a move
+	stopRequested bool
 }
 
 // admit starts or resumes the run of a request: at the first event, or after the last event that
@@ -21,16 +21,16 @@
 // on either engine, so the peer's copy is deleted.
 func (e *Engine) admit(r *http.Request) *run {
 	_, handle, _ := strings.Cut(r.Header.Get("Kv-From"), "/")
-	x := e.begin(r, handle)
+	x := e.createRun(r, handle)
 	if x != nil && x.kv.peer != nil {
-		x.kv.peer.drop(handle)
+		x.kv.peer.deleteCopy(handle)
 	}
 	return x
 }
 
-// begin creates the run of a request, from the copy of that handle, or from scratch if the handle
+// createRun creates the run of a request, from the copy of that handle, or from scratch if the handle
 // is empty. It returns nil if there is no such copy.
-func (e *Engine) begin(r *http.Request, handle string) *run {
+func (e *Engine) createRun(r *http.Request, handle string) *run {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	id := r.Header.Get("X-Linetiller-Request-Id")
@@ -46,19 +46,19 @@
 		delete(e.copies, handle)
 		x.kv = *m
 	} else {
-		e.started[id]++
+		e.startCounts[id]++
 	}
 	x.kv.events = last
 	e.runs[id] = x
 	return x
 }
 
-// stop stops a run for a move. The engine keeps its KV cache.
-func (e *Engine) stop(x *run) {
+// stopRun stops a run for a move. The engine keeps its KV cache.
+func (e *Engine) stopRun(x *run) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if !x.stop {
-		x.stop = true
+	if !x.stopRequested {
+		x.stopRequested = true
 		close(x.stopped)
 	}
 }
@@ -75,7 +75,7 @@
 	defer func() {
 		e.mutex.Lock()
 		defer e.mutex.Unlock()
-		if !x.stop && e.runs[id] == x {
+		if !x.stopRequested && e.runs[id] == x {
 			delete(e.runs, id)
 		}
 	}()
@@ -96,10 +96,10 @@
 		if f.StallAfter > 0 && n > f.StallAfter {
 			<-r.Context().Done()
 		}
-		if !e.wait(r, x) {
+		if !e.awaitNextEvent(r, x) {
 			panic(http.ErrAbortHandler)
 		}
-		e.write(w, f, id, n)
+		e.writeEvent(w, f, id, n)
 		_ = c.Flush()
 		e.mutex.Lock()
 		x.kv.events = n
@@ -108,12 +108,12 @@
 	}
 }
 
-// wait waits until the next event is due, and reports whether the run continues.
-func (e *Engine) wait(r *http.Request, x *run) bool {
+// awaitNextEvent waits until the next event is due, and reports whether the run continues.
+func (e *Engine) awaitNextEvent(r *http.Request, x *run) bool {
 	e.mutex.Lock()
-	c, dead := e.changed, e.crashed
+	c, crashed := e.changed, e.crashed
 	e.mutex.Unlock()
-	if dead {
+	if crashed {
 		return false
 	}
 	select {
@@ -132,8 +132,8 @@
 	e.changed = make(chan struct{})
 }
 
-// write writes event n, altered by the faults.
-func (e *Engine) write(w io.Writer, f *Faults, id string, n int) {
+// writeEvent writes event n, altered by the faults.
+func (e *Engine) writeEvent(w io.Writer, f *Faults, id string, n int) {
 	const faultAt = 3
 	switch {
 	case f.SkipEvent && n == faultAt:
--- a/internal/fake/service/service.go
+++ b/internal/fake/service/service.go
@@ -17,7 +17,7 @@
 	loseAnswers int
 	retryAfter  time.Duration
 	runs        int
-	refused     int
+	refusals    int
 }
 
 // Answer is the body of the answer to a call.
@@ -42,11 +42,11 @@
 	s.loseAnswers = n
 }
 
-// Refused returns how many calls were refused.
-func (s *Service) Refused() int {
+// Refusals returns how many calls were refused.
+func (s *Service) Refusals() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.refused
+	return s.refusals
 }
 
 // Runs returns how many calls ran.
@@ -72,7 +72,7 @@
 	}
 	s.mutex.Lock()
 	if s.retryAfter > 0 {
-		s.refused++
+		s.refusals++
 		w.Header().Set("Retry-After", strconv.FormatFloat(s.retryAfter.Seconds(), 'f', -1, 64))
 		s.mutex.Unlock()
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/fake/soak/caller.go
+++ b/internal/fake/soak/caller.go
@@ -48,9 +48,9 @@
 
 // call sends one request, checks its answer, and reports whether it was served in full.
 func (c *callers) call(ctx context.Context, box *soakBox, s *callerRequest) (served bool) {
-	q, err := http.NewRequestWithContext(ctx, s.method, "http://"+box.entry.address()+s.path, strings.NewReader(s.body))
+	q, err := http.NewRequestWithContext(ctx, s.method, "http://"+box.entryProxy.address()+s.path, strings.NewReader(s.body))
 	if err != nil {
-		c.fail("%s: %v", s.id, err)
+		c.addViolation("%s: %v", s.id, err)
 		return false
 	}
 	q.Host = soakHost
@@ -95,8 +95,8 @@
 	}
 }
 
-// fail records a violation of a guarantee.
-func (c *callers) fail(format string, arguments ...any) {
+// addViolation records a violation of a guarantee.
+func (c *callers) addViolation(format string, arguments ...any) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.violations = append(c.violations, fmt.Sprintf(format, arguments...))
@@ -114,7 +114,7 @@
 			s := &callerRequest{id: fmt.Sprintf("in-force-%d-%d", i, v), path: fmt.Sprintf("/extra%d/x", v), method: http.MethodGet, routeRemoved: !want}
 			served := c.call(ctx, b, s)
 			if served != want || (!want && s.status != http.StatusNotFound) {
-				c.fail("%s: the route of version %d of %d: served %v, status %d", b.name, v, latest, served, s.status)
+				c.addViolation("%s: the route of version %d of %d: served %v, status %d", b.name, v, latest, served, s.status)
 			}
 			cancel()
 		}
@@ -142,12 +142,12 @@
 // visibly breaks off, complete.
 func (c *callers) readAnswer(s *callerRequest, w *http.Response) bool {
 	if w.Header.Get("X-Linetiller-Server-Stamp") == "" {
-		c.fail("%s: a success without an upstream's mark", s.id)
+		c.addViolation("%s: a success without an upstream's mark", s.id)
 	}
 	if s.tokens == 0 {
 		b, err := io.ReadAll(w.Body)
 		if err == nil && !strings.Contains(string(b), " of "+s.id+": ") {
-			c.fail("%s: got the answer %q", s.id, b)
+			c.addViolation("%s: got the answer %q", s.id, b)
 		}
 		return err == nil
 	}
@@ -159,12 +159,12 @@
 		}
 		s.events++
 		if want := routed.Event(s.id, s.lastEvent+s.events); data != want {
-			c.fail("%s: event %d: got %q, want %q", s.id, s.lastEvent+s.events, data, want)
+			c.addViolation("%s: event %d: got %q, want %q", s.id, s.lastEvent+s.events, data, want)
 			return false
 		}
 	}
 	if n := s.lastEvent + s.events; x.Err() == nil && n != s.tokens/4 {
-		c.fail("%s: a stream ended as if whole after %d of %d events", s.id, n, s.tokens/4)
+		c.addViolation("%s: a stream ended as if whole after %d of %d events", s.id, n, s.tokens/4)
 	}
 	return x.Err() == nil
 }
@@ -203,19 +203,19 @@
 func (c *callers) checkExecutions() {
 	runs := func(id string) int {
 		n := 0
-		for _, u := range append(c.cluster.liveUpstreams(), c.cluster.dead...) {
-			n += u.engine.Started(id)
+		for _, u := range append(c.cluster.liveUpstreams(), c.cluster.endedUpstreams...) {
+			n += u.engine.StartCount(id)
 		}
 		return n
 	}
 	for _, id := range c.atMostOnce {
 		if n := runs(id); n > 1 {
-			c.fail("%s: ran %d times", id, n)
+			c.addViolation("%s: ran %d times", id, n)
 		}
 	}
 	for _, id := range c.refused {
 		if n := runs(id); n > 0 {
-			c.fail("%s: ran although its caller was told that it had not", id)
+			c.addViolation("%s: ran although its caller was told that it had not", id)
 		}
 	}
 }
--- a/internal/fake/soak/changechecker.go
+++ b/internal/fake/soak/changechecker.go
@@ -30,7 +30,7 @@
 type probe struct {
 	answeredAt time.Time
 	box        string
-	known      bool // the box knew the route
+	routeKnown bool // the box knew the route
 	sentAt     time.Time
 	version    int
 }
@@ -71,7 +71,7 @@
 		c, _ := j.changeOf(p.version)
 		d := p.sentAt.Sub(c.acknowledgedAt)
 		k := key{p.box, p.version}
-		if known, ok := first[k]; p.known && (!ok || d < known) && j.faultFree(p.box, c.writtenAt.Add(-contactBound), p.answeredAt) {
+		if known, ok := first[k]; p.routeKnown && (!ok || d < known) && j.faultFree(p.box, c.writtenAt.Add(-propagationBound), p.answeredAt) {
 			first[k] = d
 		}
 	}
@@ -102,18 +102,18 @@
 // replaced one, later than applyBound after the acknowledgement.
 func (j *changeChecker) checkProbe(p *probe) (wrong string, checked bool) {
 	c, next := j.changeOf(p.version)
-	if !j.faultFree(p.box, p.sentAt.Add(-contactBound), p.answeredAt) {
+	if !j.faultFree(p.box, p.sentAt.Add(-propagationBound), p.answeredAt) {
 		return "", false
 	}
 	newest := next.writtenAt.IsZero() || p.answeredAt.Before(next.writtenAt)
 	if d := p.sentAt.Sub(c.acknowledgedAt); newest && d > applyBound {
-		if !p.known {
+		if !p.routeKnown {
 			wrong = fmt.Sprintf("%s did not go by version %d %s after its acknowledgement", p.box, p.version, d.Round(time.Millisecond))
 		}
 		return wrong, true
 	}
 	if d := p.sentAt.Sub(next.acknowledgedAt); !newest && d > applyBound {
-		if p.known {
+		if p.routeKnown {
 			wrong = fmt.Sprintf("%s went by version %d %s after the acknowledgement of version %d", p.box, p.version, d.Round(time.Millisecond), next.version)
 		}
 		return wrong, true
@@ -125,17 +125,17 @@
 // disturbed in between.
 func (j *changeChecker) rollbacks() []string {
 	var l []string
-	known := make(map[string]probe) // by box: the probe with the highest version that the box knew
+	newestKnown := make(map[string]probe) // by box: the probe with the highest version that the box knew
 	ordered := slices.SortedStableFunc(slices.Values(j.probes), func(a, b probe) int { return cmp.Compare(a.sentAt.UnixNano(), b.sentAt.UnixNano()) })
 	for _, p := range ordered {
-		k, ok := known[p.box]
+		k, ok := newestKnown[p.box]
 		_, next := j.changeOf(p.version)
 		newest := next.writtenAt.IsZero() || p.answeredAt.Before(next.writtenAt)
-		if ok && !p.known && newest && k.version == p.version && p.sentAt.Sub(k.answeredAt) > rollbackBound && j.undisturbed(p.box, k.sentAt, p.answeredAt) {
+		if ok && !p.routeKnown && newest && k.version == p.version && p.sentAt.Sub(k.answeredAt) > rollbackBound && j.undisturbed(p.box, k.sentAt, p.answeredAt) {
 			l = append(l, fmt.Sprintf("%s went back from version %d %s after it had gone by it", p.box, p.version, p.sentAt.Sub(k.answeredAt).Round(time.Millisecond)))
 		}
-		if p.known && (!ok || p.version > k.version) {
-			known[p.box] = p
+		if p.routeKnown && (!ok || p.version > k.version) {
+			newestKnown[p.box] = p
 		}
 	}
 	return l
--- a/internal/fake/soak/changes.go
+++ b/internal/fake/soak/changes.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	changeInterval   = 3 * time.Second        // on average
-	seriesInterval   = 150 * time.Millisecond // between two changes of a series
-	changesStream    = 1<<20 + 5              // of the random generator, distinct from the others
-	drainsStream     = 1<<20 + 7              // of the random generator, as above
-	drainPeriod      = 6 * time.Second        // how long an upstream serves on that only the store lists as leaving
-	probeInterval    = 50 * time.Millisecond  // between two probes of one box
-	probeTimeout     = 2 * time.Second        // of one probe
-	readerWindow     = 4 * time.Second        // a box counts as a reader of the store for this long after an answer of the store
-	maxSeries        = 8                      // maximum number of changes in a series
-	slowCycle        = 50 * time.Millisecond  // a slowed box runs for a tenth of each cycle
-	slowdownInterval = 4 * time.Second        // on average, between two slowdowns
-	maxSlowdown      = 3 * time.Second        // in addition to one second
-	slowdownsStream  = 1<<20 + 8              // of the random generator, as above
-	stallInterval    = 3 * time.Second        // on average, between two stalls of connections
-	stallsStream     = 1<<20 + 6              // of the random generator, as above
+	changeInterval     = 3 * time.Second        // on average
+	seriesInterval     = 150 * time.Millisecond // between two changes of a series
+	changesRNGStream   = 1<<20 + 5              // of the random generator, distinct from the others
+	drainsRNGStream    = 1<<20 + 7              // of the random generator, as above
+	drainPeriod        = 6 * time.Second        // how long an upstream serves on that only the store lists as leaving
+	probeInterval      = 50 * time.Millisecond  // between two probes of one box
+	probeTimeout       = 2 * time.Second        // of one probe
+	readerWindow       = 4 * time.Second        // a box counts as a reader of the store for this long after an answer of the store
+	maxSeries          = 8                      // maximum number of changes in a series
+	slowCycle          = 50 * time.Millisecond  // a slowed box runs for a tenth of each cycle
+	slowdownInterval   = 4 * time.Second        // on average, between two slowdowns
+	maxSlowdown        = 3 * time.Second        // in addition to one second
+	slowdownsRNGStream = 1<<20 + 8              // of the random generator, as above
+	stallInterval      = 3 * time.Second        // on average, between two stalls of connections
+	stallsRNGStream    = 1<<20 + 6              // of the random generator, as above
 )
 
 // prober probes each box repeatedly for the version of the configuration that it applies.
@@ -71,7 +71,7 @@
 		}
 		gap := time.Duration(r.IntN(3)) * 300 * time.Millisecond
 		for _, i := range targets {
-			w.boxes[i].store.stallConnections()
+			w.boxes[i].storeProxy.stallConnections()
 			pause(ctx, gap)
 		}
 		if r.IntN(2) == 0 {
@@ -84,7 +84,7 @@
 func (w *cluster) readers() []int {
 	var l []int
 	for i, b := range w.boxes {
-		if time.Since(b.store.lastReply()) < readerWindow {
+		if time.Since(b.storeProxy.lastReply()) < readerWindow {
 			l = append(l, i)
 		}
 	}
@@ -160,8 +160,8 @@
 	defer p.mutex.Unlock()
 	return &changeChecker{
 		changes: w.writtenChanges(), probes: p.probes,
-		faultFree:   func(box string, from, to time.Time) bool { return w.faultFree(w.boxNamed(box), from, to) },
-		undisturbed: func(box string, from, to time.Time) bool { return w.boxNamed(box).undisturbed(from, to) },
+		faultFree:   func(box string, from, to time.Time) bool { return w.faultFree(w.findBox(box), from, to) },
+		undisturbed: func(box string, from, to time.Time) bool { return w.findBox(box).undisturbed(from, to) },
 	}
 }
 
@@ -171,13 +171,13 @@
 	c := p.callers
 	for _, l := range p.drains {
 		for _, v := range l.upstream.engine.Arrivals() {
-			late := v.At.Sub(l.acknowledgedAt) - drainBound
+			overdue := v.At.Sub(l.acknowledgedAt) - drainBound
 			j := c.dispatchOf(v.Request)
-			from := v.At.Add(-contactBound)
-			if late <= 0 || j.box == nil || l.upstream.proxy.faultyWithin(from, v.At) || !c.cluster.faultFree(j.box, from, v.At) {
+			from := v.At.Add(-propagationBound)
+			if overdue <= 0 || j.box == nil || l.upstream.proxy.faultyWithin(from, v.At) || !c.cluster.faultFree(j.box, from, v.At) {
 				continue
 			}
-			c.fail("%s: reached %s from %s %s after the bound of its leaving, which the list had told", v.Request, l.upstream.name, j.box.name, late.Round(time.Millisecond))
+			c.addViolation("%s: reached %s from %s %s after the bound of its leaving, which the list had told", v.Request, l.upstream.name, j.box.name, overdue.Round(time.Millisecond))
 		}
 	}
 }
@@ -190,7 +190,7 @@
 	}
 	violations, checked := j.violations()
 	for _, x := range violations {
-		p.callers.fail("%s", x)
+		p.callers.addViolation("%s", x)
 	}
 	p.checkDrains()
 	delays := j.applyDelays()
@@ -206,10 +206,10 @@
 // leaving and probes every box, until the context ends.
 func (p *prober) runAll(ctx context.Context, seed uint64) {
 	var g sync.WaitGroup
-	g.Go(func() { p.callers.cluster.runChanges(ctx, rand.New(rand.NewPCG(seed, changesStream))) })
-	g.Go(func() { p.callers.cluster.runStalls(ctx, rand.New(rand.NewPCG(seed, stallsStream))) })
-	g.Go(func() { p.callers.cluster.runSlowdowns(ctx, rand.New(rand.NewPCG(seed, slowdownsStream))) })
-	g.Go(func() { p.runDrains(ctx, rand.New(rand.NewPCG(seed, drainsStream))) })
+	g.Go(func() { p.callers.cluster.runChanges(ctx, rand.New(rand.NewPCG(seed, changesRNGStream))) })
+	g.Go(func() { p.callers.cluster.runStalls(ctx, rand.New(rand.NewPCG(seed, stallsRNGStream))) })
+	g.Go(func() { p.callers.cluster.runSlowdowns(ctx, rand.New(rand.NewPCG(seed, slowdownsRNGStream))) })
+	g.Go(func() { p.runDrains(ctx, rand.New(rand.NewPCG(seed, drainsRNGStream))) })
 	g.Go(func() { p.runProbes(ctx) })
 	g.Wait()
 }
@@ -233,9 +233,9 @@
 func (p *prober) probe(b *soakBox, version, number int) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/probe%d/x", b.entry.address(), version), http.NoBody)
+	q, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/probe%d/x", b.entryProxy.address(), version), http.NoBody)
 	if err != nil {
-		p.callers.fail("probe: %v", err)
+		p.callers.addViolation("probe: %v", err)
 		return
 	}
 	q.Host = soakHost
@@ -252,7 +252,7 @@
 	switch strings.TrimSpace(string(reason)) {
 	case "route_unknown":
 	case "service_unknown": // the box knew the route, whose service does not exist
-		x.known = true
+		x.routeKnown = true
 	default:
 		return // the answer does not tell whether the box knew the route
 	}
--- a/internal/fake/soak/cluster.go
+++ b/internal/fake/soak/cluster.go
@@ -28,32 +28,32 @@
 	cold         bool       // engines are cold when they start
 	evacuations  []evacuation
 	// evacuating are the halls that are being evacuated.
-	evacuating    map[byte]bool
-	configVersion int // the latest version of the configuration
-	directory     string
-	halls         string // one letter for each
-	logs          *logFile
-	mutex         sync.Mutex // guards changes, configVersion, crashes, dead, evacuating, evacuations, harnessErrors, sequence, storeOutages and upstreams
-	crashes       []crash
-	dead          []*soakUpstream // upstreams that have ended
-	platform      *fakeplatform.Platform
-	programs      string
-	store         *httptest.Server
-	harnessErrors []error // of the soak itself
-	upstreams     map[string]*soakUpstream
-	sequence      int // last number given to a version of the configuration or to a replacement upstream
-	workers       sync.WaitGroup
+	evacuating     map[byte]bool
+	configVersion  int // the latest version of the configuration
+	directory      string
+	halls          string // one letter for each
+	logs           *logFile
+	mutex          sync.Mutex // guards changes, configVersion, crashes, dead, evacuating, evacuations, harnessErrors, sequence, storeOutages and upstreams
+	crashes        []crash
+	endedUpstreams []*soakUpstream // upstreams that have ended
+	platform       *fakeplatform.Platform
+	programFolder  string
+	storeServer    *httptest.Server
+	harnessErrors  []error // of the soak itself
+	upstreams      map[string]*soakUpstream
+	sequence       int // last number given to a version of the configuration or to a replacement upstream
+	workers        sync.WaitGroup
 }
 
 // soakBox is a box and what surrounds it.
 type soakBox struct {
 	disturbedAt []time.Time // when it was killed, stopped, started, paused or resumed
-	entry       *proxy      // between callers and the box
+	entryProxy  *proxy      // between callers and the box
 	mutex       sync.Mutex  // guards disturbedAt and process
 	name        string
 	process     *process.Process
 	settings    string // path of its settings file
-	store       *proxy // between the box and the store
+	storeProxy  *proxy // between the box and the store
 }
 
 // soakUpstream is an engine or a service.
@@ -86,11 +86,11 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &cluster{cold: cold, directory: d, halls: "ab", logs: newLogFile(filepath.Join(d, "boxes.log")), evacuating: make(map[byte]bool), platform: fakeplatform.New(), programs: programs, upstreams: make(map[string]*soakUpstream)}
+	w := &cluster{cold: cold, directory: d, halls: "ab", logs: newLogFile(filepath.Join(d, "boxes.log")), evacuating: make(map[byte]bool), platform: fakeplatform.New(), programFolder: programs, upstreams: make(map[string]*soakUpstream)}
 	if wide {
 		w.halls = "abc"
 	}
-	w.store = httptest.NewServer(w.platform)
+	w.storeServer = httptest.NewServer(w.platform)
 	w.configure()
 	for i := range engineCount {
 		if err := w.startUpstream(fmt.Sprintf("i-%c%d", w.halls[i%len(w.halls)], i), serviceLLM); err != nil {
@@ -123,10 +123,10 @@
 	if err != nil {
 		return err
 	}
-	if b.store, err = newProxy(w.store.Listener.Addr().String()); err != nil {
+	if b.storeProxy, err = newProxy(w.storeServer.Listener.Addr().String()); err != nil {
 		return err
 	}
-	if b.entry, err = newProxy(addresses[3]); err != nil {
+	if b.entryProxy, err = newProxy(addresses[3]); err != nil {
 		return err
 	}
 	b.settings = filepath.Join(w.directory, b.name+".toml")
@@ -147,7 +147,7 @@
 platform = "1s"
 drain = "500ms"
 leave = "3s"
-`, b.name, w.halls[i%len(w.halls)], addresses[0], addresses[1], addresses[2], b.store.address(), addresses[3], addresses[4], addresses[5], coldSlack)
+`, b.name, w.halls[i%len(w.halls)], addresses[0], addresses[1], addresses[2], b.storeProxy.address(), addresses[3], addresses[4], addresses[5], coldSlack)
 	if err := os.WriteFile(b.settings, []byte(s), 0o600); err != nil {
 		return err
 	}
@@ -168,8 +168,8 @@
 	return l
 }
 
-// boxNamed returns the box of a name, or nil.
-func (w *cluster) boxNamed(name string) *soakBox {
+// findBox returns the box of a name, or nil.
+func (w *cluster) findBox(name string) *soakBox {
 	for _, b := range w.boxes {
 		if b.name == name {
 			return b
@@ -180,7 +180,7 @@
 
 // faultFree reports whether a box, its proxies and the store had no fault between two times.
 func (w *cluster) faultFree(b *soakBox, from, to time.Time) bool {
-	return b.undisturbed(from, to) && !b.store.faultyWithin(from, to) && !b.entry.faultyWithin(from, to) && w.storeOutageWithin(from, to) == 0
+	return b.undisturbed(from, to) && !b.storeProxy.faultyWithin(from, to) && !b.entryProxy.faultyWithin(from, to) && w.storeOutageDuration(from, to) == 0
 }
 
 // writtenChanges returns the versions of the configuration that were written, in order.
@@ -199,17 +199,17 @@
 			b.process.Kill()
 		}
 		b.mutex.Unlock()
-		b.entry.close()
-		b.store.close()
+		b.entryProxy.close()
+		b.storeProxy.close()
 	}
-	for _, u := range append(w.liveUpstreams(), w.dead...) {
+	for _, u := range append(w.liveUpstreams(), w.endedUpstreams...) {
 		u.engine.Crash()
 		u.proxy.close()
 		u.server.CloseClientConnections()
 		u.server.Close()
 	}
-	w.store.CloseClientConnections()
-	w.store.Close()
+	w.storeServer.CloseClientConnections()
+	w.storeServer.Close()
 	w.workers.Wait()
 	w.logs.close()
 	if !keep {
@@ -261,18 +261,18 @@
 // removeUpstream ends an upstream and then removes its row from the store.
 func (w *cluster) removeUpstream(u *soakUpstream) {
 	w.mutex.Lock()
-	lost := w.upstreams[u.name] != u
-	if !lost {
+	ended := w.upstreams[u.name] != u
+	if !ended {
 		delete(w.upstreams, u.name)
-		w.dead = append(w.dead, u)
+		w.endedUpstreams = append(w.endedUpstreams, u)
 	}
 	w.mutex.Unlock()
-	if lost {
+	if ended {
 		return // another fault has ended it already
 	}
 	u.engine.Crash()
 	u.server.CloseClientConnections()
-	u.proxy.reset()
+	u.proxy.resetConnections()
 	w.platform.Remove("servers/" + u.name)
 }
 
@@ -294,7 +294,7 @@
 }
 
 func (w *cluster) startBox(b *soakBox) error {
-	p, _, err := process.StartBox(filepath.Join(w.programs, "linetiller"), b.settings, b.name, w.logs)
+	p, _, err := process.StartBox(filepath.Join(w.programFolder, "linetiller"), b.settings, b.name, w.logs)
 	if err != nil {
 		return err
 	}
--- a/internal/fake/soak/faults.go
+++ b/internal/fake/soak/faults.go
@@ -31,7 +31,7 @@
 		return nil, nil
 	}},
 	{"connections of callers reset", func(w *cluster, r *rand.Rand) (func(), error) {
-		w.boxes[r.IntN(len(w.boxes))].entry.reset()
+		w.boxes[r.IntN(len(w.boxes))].entryProxy.resetConnections()
 		return nil, nil
 	}},
 	{"every box started while the store is away", startWithoutStore},
@@ -39,7 +39,7 @@
 	{"engine given notice", func(w *cluster, r *rand.Rand) (func(), error) { return replaceUpstream(w, r, time.Second) }},
 	{"link to an upstream bad", func(w *cluster, r *rand.Rand) (func(), error) { return proxyFault(pickUpstream(w, r, "").proxy, r) }},
 	{"link to the store bad", func(w *cluster, r *rand.Rand) (func(), error) {
-		return proxyFault(w.boxes[r.IntN(len(w.boxes))].store, r)
+		return proxyFault(w.boxes[r.IntN(len(w.boxes))].storeProxy, r)
 	}},
 	{"store bad", storeFault},
 }
@@ -127,7 +127,7 @@
 // startWithoutStore kills every box and restarts them while the store refuses all calls. The boxes
 // have no configuration then, and must not refuse any request for good.
 func startWithoutStore(w *cluster, _ *rand.Rand) (func(), error) {
-	w.setStore(fakeplatform.Faults{Down: true})
+	w.setStoreFaults(fakeplatform.Faults{Down: true})
 	var g sync.WaitGroup
 	for _, b := range w.boxes {
 		if p := b.takeProcess(); p != nil {
@@ -136,7 +136,7 @@
 		}
 	}
 	g.Wait()
-	return func() { w.setStore(fakeplatform.Faults{}) }, nil
+	return func() { w.setStoreFaults(fakeplatform.Faults{}) }, nil
 }
 
 // proxyFault delays a proxy's data, withholds it in one or both directions, or resets the
@@ -144,13 +144,13 @@
 func proxyFault(p *proxy, r *rand.Rand) (func(), error) {
 	m := []proxyMode{modeDelay, modeOneWay, modeBlackhole, modePass}[r.IntN(4)]
 	if m == modePass {
-		p.reset()
+		p.resetConnections()
 		return nil, nil
 	}
-	p.set(m)
+	p.setMode(m)
 	return func() {
-		p.set(modePass)
-		p.reset() // so that data withheld by the fault does not arrive late
+		p.setMode(modePass)
+		p.resetConnections() // so that data withheld by the fault does not arrive late
 	}, nil
 }
 
@@ -206,13 +206,13 @@
 func storeFault(w *cluster, r *rand.Rand) (func(), error) {
 	switch r.IntN(4) {
 	case 0:
-		w.setStore(fakeplatform.Faults{Down: true})
+		w.setStoreFaults(fakeplatform.Faults{Down: true})
 	case 1:
-		w.setStore(fakeplatform.Faults{DelayMilliseconds: 400})
+		w.setStoreFaults(fakeplatform.Faults{DelayMilliseconds: 400})
 	case 2:
-		w.setStore(fakeplatform.Faults{LateMilliseconds: 1500, LoseAnswers: 3})
+		w.setStoreFaults(fakeplatform.Faults{LateMilliseconds: 1500, LoseAnswers: 3})
 	default:
 		w.platform.CompactHistory()
 	}
-	return func() { w.setStore(fakeplatform.Faults{}) }, nil
+	return func() { w.setStoreFaults(fakeplatform.Faults{}) }, nil
 }
--- a/internal/fake/soak/halls.go
+++ b/internal/fake/soak/halls.go
@@ -23,9 +23,9 @@
 	coldSlack     = 2                       // requests in excess of that in any second
 	// evacuationBound is how long after the store's acknowledgement requests may still reach an
 	// evacuated hall. Times when the store is faulty do not count.
-	evacuationBound   = 5 * time.Second
-	minEvacuation     = 6 * time.Second // minimum duration of an evacuation
-	evacuationsStream = 1 << 20         // of the random generator, distinct from those of faults and callers
+	evacuationBound      = 5 * time.Second
+	minEvacuation        = 6 * time.Second // minimum duration of an evacuation
+	evacuationsRNGStream = 1 << 20         // of the random generator, distinct from those of faults and callers
 )
 
 // runEvacuations evacuates one hall after another for some seconds until the context ends.
@@ -53,8 +53,8 @@
 	return 0
 }
 
-// setStore sets the faults of the store, and records the time as the start or end of an outage.
-func (w *cluster) setStore(f fakeplatform.Faults) {
+// setStoreFaults sets the faults of the store, and records the time as the start or end of an outage.
+func (w *cluster) setStoreFaults(f fakeplatform.Faults) {
 	w.platform.SetFaults(f)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -67,8 +67,8 @@
 	}
 }
 
-// storeOutageWithin returns for how long the store was faulty between two times.
-func (w *cluster) storeOutageWithin(from, to time.Time) time.Duration {
+// storeOutageDuration returns for how long the store was faulty between two times.
+func (w *cluster) storeOutageDuration(from, to time.Time) time.Duration {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	var d time.Duration
@@ -90,7 +90,7 @@
 	l := w.liveUpstreams()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return append(l, w.dead...)
+	return append(l, w.endedUpstreams...)
 }
 
 // checkEvacuations checks that no request reached an evacuated hall later than evacuationBound.
@@ -102,9 +102,9 @@
 				continue
 			}
 			for _, at := range u.engine.ArrivalTimes() {
-				late := at.Sub(e.from) - evacuationBound - w.storeOutageWithin(e.from, at)
-				if at.Before(e.to) && late > 0 {
-					c.fail("a request reached %s %s after the bound of its hall's evacuation", u.name, late.Round(time.Millisecond))
+				overdue := at.Sub(e.from) - evacuationBound - w.storeOutageDuration(e.from, at)
+				if at.Before(e.to) && overdue > 0 {
+					c.addViolation("a request reached %s %s after the bound of its hall's evacuation", u.name, overdue.Round(time.Millisecond))
 				}
 			}
 		}
@@ -129,7 +129,7 @@
 				}
 			}
 			if n > coldPerSecond+coldSlack {
-				c.fail("%s got %d requests in a second while it was cold, and bears %d", u.name, n, coldPerSecond+coldSlack)
+				c.addViolation("%s got %d requests in a second while it was cold, and bears %d", u.name, n, coldPerSecond+coldSlack)
 				break
 			}
 		}
--- a/internal/fake/soak/limits.go
+++ b/internal/fake/soak/limits.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	limitExclusion = time.Second            // requests this close to a disturbance of their box are not checked
-	minLimit       = 0.2                    // requests per second that an upstream accepts
-	maxLimit       = 2.5                    // requests per second that an upstream accepts
-	limitPeriod    = 5 * time.Second        // how long an upstream names one limit
-	limitPause     = 500 * time.Millisecond // between two rounds, and how long an invalid limit lasts
-	limitsStream   = 1<<20 + 4              // of the random generator, distinct from the others
+	limitExclusion  = time.Second            // requests this close to a disturbance of their box are not checked
+	minLimit        = 0.2                    // requests per second that an upstream accepts
+	maxLimit        = 2.5                    // requests per second that an upstream accepts
+	limitPeriod     = 5 * time.Second        // how long an upstream names one limit
+	limitPause      = 500 * time.Millisecond // between two rounds, and how long an invalid limit lasts
+	limitsRNGStream = 1<<20 + 4              // of the random generator, distinct from the others
 
 	loadCallInterval = 25 * time.Millisecond
 	loadPlanInterval = 100 * time.Millisecond
@@ -77,8 +77,8 @@
 // checkLimits checks that no upstream got more requests than the limits that it named allow.
 func (c *callers) checkLimits() {
 	for _, u := range c.cluster.allUpstreams() {
-		if broken := u.engine.LimitViolation(func(request string) (string, time.Time) { return c.senderOf(u, request) }); broken != "" {
-			c.fail("%s: %s", u.name, broken)
+		if violation := u.engine.LimitViolation(func(request string) (string, time.Time) { return c.senderOf(u, request) }); violation != "" {
+			c.addViolation("%s: %s", u.name, violation)
 		}
 	}
 }
--- a/internal/fake/soak/notices.go
+++ b/internal/fake/soak/notices.go
@@ -19,7 +19,7 @@
 	retryAfterJitter = 1500 * time.Millisecond // range of a random part added to it
 	backoffPeriod    = time.Second             // for which the upstream refuses requests
 	unlistedPeriod   = 4 * time.Second         // how long an upstream serves on that announces its leaving only in its answers
-	noticesStream    = 1<<20 + 1               // of the random generator, distinct from those of faults, callers and halls
+	noticesRNGStream = 1<<20 + 1               // of the random generator, distinct from those of faults, callers and halls
 )
 
 // dispatch tells which box a caller sent a request to, and when.
@@ -129,23 +129,23 @@
 // checkNotices checks that boxes obeyed what upstreams had told them in answers.
 func (c *callers) checkNotices() {
 	for _, u := range c.cluster.allUpstreams() {
-		visits := u.engine.Arrivals()
-		c.checkLeaving(u, visits)
-		c.checkBackoff(u, visits)
+		arrivals := u.engine.Arrivals()
+		c.checkLeaving(u, arrivals)
+		c.checkBackoff(u, arrivals)
 	}
 }
 
 // checkLeaving checks that boxes did not send new requests to an upstream that they knew is
 // leaving, later than drainBound after they learned it.
-func (c *callers) checkLeaving(u *soakUpstream, visits []routed.Arrival) {
+func (c *callers) checkLeaving(u *soakUpstream, arrivals []routed.Arrival) {
 	for _, p := range c.leavingNotices {
 		if p.upstream != u.name {
 			continue
 		}
-		for _, v := range visits {
+		for _, v := range arrivals {
 			j := c.dispatchOf(v.Request)
-			if late := j.sentAt.Sub(p.at) - drainBound; j.box == p.box && late > 0 && p.box.undisturbed(p.at, j.sentAt) {
-				c.fail("%s: reached %s, which leaves, from %s, which had passed that on, %s after the bound", v.Request, u.name, p.box.name, late.Round(time.Millisecond))
+			if overdue := j.sentAt.Sub(p.at) - drainBound; j.box == p.box && overdue > 0 && p.box.undisturbed(p.at, j.sentAt) {
+				c.addViolation("%s: reached %s, which leaves, from %s, which had passed that on, %s after the bound", v.Request, u.name, p.box.name, overdue.Round(time.Millisecond))
 			}
 		}
 	}
@@ -153,21 +153,21 @@
 
 // checkBackoff checks that boxes kept the back-off that an upstream asked for. It skips times
 // around faults of the upstream's proxy, because the answer may not have reached the box.
-func (c *callers) checkBackoff(u *soakUpstream, visits []routed.Arrival) {
-	for _, v := range visits {
-		asker := c.dispatchOf(v.Request)
+func (c *callers) checkBackoff(u *soakUpstream, arrivals []routed.Arrival) {
+	for _, v := range arrivals {
+		sender := c.dispatchOf(v.Request)
 		end := v.AnsweredAt.Add(v.RetryAfter)
-		if v.RetryAfter == 0 || asker.box == nil || !asker.box.undisturbed(asker.sentAt, end) || u.proxy.faultyWithin(v.At.Add(-time.Second), end) {
+		if v.RetryAfter == 0 || sender.box == nil || !sender.box.undisturbed(sender.sentAt, end) || u.proxy.faultyWithin(v.At.Add(-time.Second), end) {
 			continue
 		}
 		n := 0
-		for _, x := range visits {
-			if x.At.After(v.AnsweredAt.Add(routed.BackoffGrace)) && x.At.Before(end) && c.dispatchOf(x.Request).box == asker.box {
+		for _, x := range arrivals {
+			if x.At.After(v.AnsweredAt.Add(routed.BackoffGrace)) && x.At.Before(end) && c.dispatchOf(x.Request).box == sender.box {
 				n++
 			}
 		}
 		if n > routed.BackoffMaxRequests {
-			c.fail("%s got %d requests from %s in the %s of rest that it had asked for", u.name, n, asker.box.name, v.RetryAfter)
+			c.addViolation("%s got %d requests from %s in the %s of rest that it had asked for", u.name, n, sender.box.name, v.RetryAfter)
 			return
 		}
 	}
--- a/internal/fake/soak/poison.go
+++ b/internal/fake/soak/poison.go
@@ -20,11 +20,11 @@
 }
 
 const (
-	contactBound     = 3 * time.Second        // after which an undisturbed box knows what the other boxes know
+	propagationBound = 3 * time.Second        // after which an undisturbed box knows what the other boxes know
 	maxOwnCrashes    = 2                      // that one caller's poison may cause through one box
 	maxKnownCrashes  = 3                      // that one caller's poison may cause through all boxes, as far as a box could know of the crashes
 	poisonInterval   = time.Second            // between two callers that send poison
-	poisonStream     = 1<<20 + 2              // of the random generator, distinct from the others
+	poisonRNGStream  = 1<<20 + 2              // of the random generator, distinct from the others
 	poisonPause      = 150 * time.Millisecond // minimum between two tries; a random part of up to the same length is added
 	poisonBurstEvery = 6                      // every so many tries, two more requests are sent at once
 	poisonBurstTries = 24                     // per caller, with bursts
@@ -39,7 +39,7 @@
 	w.mutex.Lock()
 	w.crashes = append(w.crashes, crash{time.Now(), u.leaving, request, u})
 	w.mutex.Unlock()
-	u.proxy.refuse()
+	u.proxy.refuseConnections()
 	w.workers.Go(func() {
 		time.Sleep(replacementDelay)
 		w.replace(u)()
@@ -90,7 +90,7 @@
 			id := fmt.Sprintf("deadly-%d-%d-%d", n, try, i)
 			s := &callerRequest{id: id, path: fmt.Sprintf("/often/deadly-%d", n), method: http.MethodPost, body: routed.PoisonPrefix}
 			if c.call(ctx, b, s) {
-				c.fail("%s: was answered", id)
+				c.addViolation("%s: was answered", id)
 			}
 		})
 	}
@@ -110,18 +110,18 @@
 			if l[j].leaving || !samePoison(l[i].request, l[j].request) {
 				continue
 			}
-			if c.sawItself(&l[i], &l[j]) && !correlated(l, j) {
+			if c.observedBySameBox(&l[i], &l[j]) && !correlated(l, j) {
 				ownCrashes++
 			}
-			if c.couldKnow(&l[i], &l[j]) {
+			if c.mustKnow(&l[i], &l[j]) {
 				knownCrashes++
 			}
 		}
 		if ownCrashes >= maxOwnCrashes {
-			c.fail("%s ended an upstream, as %d before it through the same box", l[i].request, ownCrashes)
+			c.addViolation("%s ended an upstream, as %d before it through the same box", l[i].request, ownCrashes)
 		}
 		if knownCrashes >= maxKnownCrashes {
-			c.fail("%s ended an upstream, as %d before it of which its box could know", l[i].request, knownCrashes)
+			c.addViolation("%s ended an upstream, as %d before it of which its box could know", l[i].request, knownCrashes)
 		}
 	}
 }
@@ -138,21 +138,21 @@
 	return n >= correlatedMin
 }
 
-// sawItself reports whether the box of a crash also forwarded the request of an earlier one, saw
+// observedBySameBox reports whether the box of a crash also forwarded the request of an earlier one, saw
 // that crash, and was undisturbed since.
-func (c *callers) sawItself(x, earlier *crash) bool {
+func (c *callers) observedBySameBox(x, earlier *crash) bool {
 	a, b := c.dispatchOf(x.request), c.dispatchOf(earlier.request)
 	return a.box == b.box && b.sentAt.Before(earlier.at) && earlier.at.Before(a.sentAt) && a.box.undisturbed(b.sentAt, a.sentAt)
 }
 
-// couldKnow reports whether the box of a crash must know of an earlier one: the earlier box saw
+// mustKnow reports whether the box of a crash must know of an earlier one: the earlier box saw
 // it, some box has been undisturbed since, and the box of this crash was undisturbed for long
 // enough to be told.
-func (c *callers) couldKnow(x, earlier *crash) bool {
+func (c *callers) mustKnow(x, earlier *crash) bool {
 	a, b := c.dispatchOf(x.request), c.dispatchOf(earlier.request)
 	seenBy := earlier.at.Add(time.Second)
 	switch {
-	case a.sentAt.Sub(earlier.at) < contactBound || !a.box.undisturbed(a.sentAt.Add(-contactBound), a.sentAt):
+	case a.sentAt.Sub(earlier.at) < propagationBound || !a.box.undisturbed(a.sentAt.Add(-propagationBound), a.sentAt):
 		return false
 	case !b.box.undisturbed(b.sentAt, seenBy) || earlier.upstream.proxy.faultyWithin(b.sentAt, seenBy):
 		return false
--- a/internal/fake/soak/proxy.go
+++ b/internal/fake/soak/proxy.go
@@ -68,19 +68,19 @@
 func (p *proxy) close() {
 	close(p.closed)
 	_ = p.listener.Close()
-	p.reset()
+	p.resetConnections()
 	p.workers.Wait()
 }
 
-// refuse makes the proxy refuse connections for good, like a machine on which nothing listens any
+// refuseConnections makes the proxy refuse connections for good, like a machine on which nothing listens any
 // more.
-func (p *proxy) refuse() {
+func (p *proxy) refuseConnections() {
 	_ = p.listener.Close()
-	p.reset()
+	p.resetConnections()
 }
 
-// reset resets every connection.
-func (p *proxy) reset() {
+// resetConnections resets every connection.
+func (p *proxy) resetConnections() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for c := range p.connections {
@@ -94,8 +94,8 @@
 	p.faulty = append(p.faulty, interval{now, now})
 }
 
-// set switches the mode.
-func (p *proxy) set(m proxyMode) {
+// setMode switches the mode.
+func (p *proxy) setMode(m proxyMode) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.mode = m
--- a/internal/fake/soak/restores.go
+++ b/internal/fake/soak/restores.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	restoresStream = 1 << 23                 // of the random generator, distinct from those of faults and callers
-	maxSnapshotAge = 4 * time.Second         // maximum time from the snapshot until the store fails
-	entryExpiry    = 3600 * time.Millisecond // after which a restored row of an upstream that has ended is removed again
+	restoresRNGStream = 1 << 23                 // of the random generator, distinct from those of faults and callers
+	maxSnapshotAge    = 4 * time.Second         // maximum time from the snapshot until the store fails
+	entryExpiry       = 3600 * time.Millisecond // after which a restored row of an upstream that has ended is removed again
 	// maxLostWrites bounds the unrelated writes that a restore loses, and so how far the store's
 	// revision goes back.
 	maxLostWrites    = 200
@@ -42,10 +42,10 @@
 	w.configure()
 	time.Sleep(time.Duration(r.Int64N(int64(maxSnapshotAge))))
 	from := time.Now()
-	w.setStore(fakeplatform.Faults{Down: true})
+	w.setStoreFaults(fakeplatform.Faults{Down: true})
 	time.Sleep(minRestoreOutage + time.Duration(r.Int64N(int64(restoreJitter))))
 	w.platform.Restore()
-	w.setStore(fakeplatform.Faults{})
+	w.setStoreFaults(fakeplatform.Faults{})
 	time.Sleep(time.Duration(r.Int64N(int64(restoreJitter))))
 	w.rewriteStore()
 	w.mutex.Lock()
@@ -65,7 +65,7 @@
 	for _, u := range w.upstreams {
 		w.putUpstream(u)
 	}
-	ended := append([]*soakUpstream(nil), w.dead...)
+	ended := append([]*soakUpstream(nil), w.endedUpstreams...)
 	w.workers.Go(func() {
 		time.Sleep(entryExpiry)
 		for _, u := range ended {
--- a/internal/fake/soak/soak.go
+++ b/internal/fake/soak/soak.go
@@ -46,11 +46,11 @@
 	rows := f.Bool("rows", true, "have rows that name no upstream be written beside those of upstreams")
 	words := f.Bool("words", true, "have upstreams say that they leave, or ask for rest, with their answers, and requests end them")
 	wide := f.Bool("wide", false, "run nine boxes in three halls in place of four in two")
-	span := f.Duration("for", 20*time.Second, "how long faults strike")
+	duration := f.Duration("for", 20*time.Second, "how long faults strike")
 	if f.Parse(arguments[1:]) != nil {
 		return exitUsage
 	}
-	only, err := regexp.Compile(*kinds)
+	pattern, err := regexp.Compile(*kinds)
 	if err != nil {
 		_, _ = fmt.Fprintln(output, "soak:", err)
 		return exitUsage
@@ -59,7 +59,7 @@
 	if *seed == 0 {
 		*seed = rand.Uint64N(1 << 32)
 	}
-	violations, err := run(*programs, *seed, *span, activities{changes: *changes, restores: *copies, faults: only, evacuations: *halls, limits: *limits, poisonBursts: *many, invalidRows: *rows, wide: *wide, notices: *words}, output)
+	violations, err := run(*programs, *seed, *duration, activities{changes: *changes, restores: *copies, faults: pattern, evacuations: *halls, limits: *limits, poisonBursts: *many, invalidRows: *rows, wide: *wide, notices: *words}, output)
 	if err != nil {
 		_, _ = fmt.Fprintln(output, "soak:", err)
 		return exitFailure
@@ -94,25 +94,25 @@
 		g.Go(func() { p.runAll(ctx, seed) })
 	}
 	if x.restores {
-		g.Go(func() { w.runRestores(ctx, rand.New(rand.NewPCG(seed, restoresStream))) })
+		g.Go(func() { w.runRestores(ctx, rand.New(rand.NewPCG(seed, restoresRNGStream))) })
 	}
 	if x.evacuations {
-		g.Go(func() { w.runEvacuations(ctx, rand.New(rand.NewPCG(seed, evacuationsStream))) })
+		g.Go(func() { w.runEvacuations(ctx, rand.New(rand.NewPCG(seed, evacuationsRNGStream))) })
 	}
 	if x.limits {
-		g.Go(func() { c.runLimits(ctx, rand.New(rand.NewPCG(seed, limitsStream))) })
+		g.Go(func() { c.runLimits(ctx, rand.New(rand.NewPCG(seed, limitsRNGStream))) })
 	}
 	if x.invalidRows {
-		g.Go(func() { w.runInvalidRows(ctx, rand.New(rand.NewPCG(seed, invalidRowsStream))) })
+		g.Go(func() { w.runInvalidRows(ctx, rand.New(rand.NewPCG(seed, invalidRowsRNGStream))) })
 	}
 	if x.notices {
-		g.Go(func() { w.runNotices(ctx, rand.New(rand.NewPCG(seed, noticesStream))) })
-		g.Go(func() { c.runPoison(ctx, rand.New(rand.NewPCG(seed, poisonStream)), x.poisonBursts) })
+		g.Go(func() { w.runNotices(ctx, rand.New(rand.NewPCG(seed, noticesRNGStream))) })
+		g.Go(func() { c.runPoison(ctx, rand.New(rand.NewPCG(seed, poisonRNGStream)), x.poisonBursts) })
 	}
 }
 
 // run runs one soak and returns the violations of the guarantees.
-func run(programs string, seed uint64, span time.Duration, x activities, output io.Writer) (violations []string, err error) {
+func run(programs string, seed uint64, duration time.Duration, x activities, output io.Writer) (violations []string, err error) {
 	w, err := newCluster(programs, x.evacuations, x.wide)
 	if err != nil {
 		return nil, err
@@ -122,7 +122,7 @@
 	if !c.awaitServing() {
 		return nil, fmt.Errorf("the boxes did not serve before any fault: %v", c.statusCounts)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), span)
+	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
 	var g sync.WaitGroup
 	for i := range callerCount {
@@ -134,7 +134,7 @@
 	g.Wait()
 	time.Sleep(settlePeriod)
 	if !c.awaitServing() {
-		c.fail("not every box serves %s after the last fault", recoveryPeriod)
+		c.addViolation("not every box serves %s after the last fault", recoveryPeriod)
 	}
 	c.checkConfiguration()
 	c.checkEvacuations()
@@ -179,14 +179,14 @@
 
 // injectAll injects random faults whose names match only, overlapping, until the context ends, and
 // waits until all of them have ended. It returns how often each was injected.
-func (w *cluster) injectAll(ctx context.Context, r *rand.Rand, only *regexp.Regexp) map[string]int {
+func (w *cluster) injectAll(ctx context.Context, r *rand.Rand, pattern *regexp.Regexp) map[string]int {
 	counts := make(map[string]int)
 	var g sync.WaitGroup
 	for ctx.Err() == nil {
 		x := faults[r.IntN(len(faults))]
 		duration := time.Duration(r.Int64N(int64(maxFaultDuration)))
 		rng := rand.New(rand.NewPCG(r.Uint64(), 0))
-		if only.MatchString(x.name) {
+		if pattern.MatchString(x.name) {
 			counts[x.name]++
 			g.Go(func() { inject(w, x, rng, duration) })
 		}
--- a/internal/logging/handler.go
+++ b/internal/logging/handler.go
@@ -22,13 +22,13 @@
 
 // shared is the state that a handler shares with those derived from it by WithAttrs and WithGroup.
 type shared struct {
-	budget  int // lines per second of each event
-	mutex   sync.Mutex
-	now     func() time.Time
-	omitted map[int64]int // by event number: lines omitted in the current second
-	second  int64         // the current one, in Unix time
-	used    map[int64]int // by event number: lines written in the current second
-	writer  *Writer
+	budget        int // lines per second of each event
+	mutex         sync.Mutex
+	now           func() time.Time
+	omitted       map[int64]int // by event number: lines omitted in the current second
+	currentSecond int64         // the current one, in Unix time
+	written       map[int64]int // by event number: lines written in the current second
+	writer        *Writer
 }
 
 // Option configures a Handler.
@@ -47,7 +47,7 @@
 // New returns a handler that writes to output, and its writer, which is to be closed at exit.
 func New(output io.Writer, level slog.Level, options ...Option) (*Handler, *Writer) {
 	w := NewWriter(output)
-	s := &shared{budget: defaultBudget, now: time.Now, omitted: make(map[int64]int), used: make(map[int64]int), writer: w}
+	s := &shared{budget: defaultBudget, now: time.Now, omitted: make(map[int64]int), written: make(map[int64]int), writer: w}
 	for _, o := range options {
 		o(s)
 	}
@@ -73,7 +73,7 @@
 // omitted in an earlier second.
 func (h *Handler) Handle(ctx context.Context, r slog.Record) error {
 	e := eventOf(&r)
-	take, omitted := h.shared.allow(e, r.Level)
+	allowed, omitted := h.shared.allow(e, r.Level)
 	for number, n := range omitted {
 		o := slog.NewRecord(r.Time, event.LinesOmitted.Level, event.LinesOmitted.Name, 0)
 		o.AddAttrs(slog.Int(eventKey, event.LinesOmitted.Number), slog.Int64("of", number), slog.Int("lines", n))
@@ -81,7 +81,7 @@
 			return err
 		}
 	}
-	if !take {
+	if !allowed {
 		return nil
 	}
 	return h.inner.Handle(ctx, r)
@@ -103,11 +103,11 @@
 func (s *shared) allow(e int64, l slog.Level) (ok bool, omitted map[int64]int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if second := s.now().Unix(); second != s.second {
-		s.second = second
+	if second := s.now().Unix(); second != s.currentSecond {
+		s.currentSecond = second
 		omitted, s.omitted = s.omitted, make(map[int64]int)
-		clear(s.used)
-		if n := s.writer.takeDropped(); n > 0 {
+		clear(s.written)
+		if n := s.writer.resetDropped(); n > 0 {
 			omitted[0] = n
 		}
 	}
@@ -115,11 +115,11 @@
 	if l >= slog.LevelWarn {
 		budget *= warningFactor
 	}
-	if s.used[e] >= budget {
+	if s.written[e] >= budget {
 		s.omitted[e]++
 		return false, omitted
 	}
-	s.used[e]++
+	s.written[e]++
 	return true, omitted
 }
 
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -79,7 +79,7 @@
 			t.Fatal(err)
 		}
 	}
-	if got := w.takeDropped(); got < more-1 || got > more {
+	if got := w.resetDropped(); got < more-1 || got > more {
 		t.Errorf("dropped: got %d, want %d, or one less if the output has taken a line", got, more)
 	}
 	close(s.release)
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// takeDropped returns the number of lines dropped since its last call.
-func (w *Writer) takeDropped() int {
+// resetDropped returns the number of lines dropped since its last call.
+func (w *Writer) resetDropped() int {
 	return int(w.dropped.Swap(0))
 }
--- a/internal/measure/boxes.go
+++ b/internal/measure/boxes.go
@@ -97,7 +97,7 @@
 	e.scheduler.Each(func(g *engine.Generation) {
 		r := g.UserData.(*request)
 		notified[r.box] = true
-		e.owner.Progress(r.work.ID, g.Produced, s.now)
+		e.owner.Progress(r.work.ID, g.ProducedTokens, s.now)
 	})
 	l := e.owner.Load(s.now)
 	for b := range notified {
@@ -146,7 +146,7 @@
 	}
 	r.state, r.engine = stateRunning, e
 	r.generation = &engine.Generation{
-		UserData: r, ID: r.work.ID, MaxOutput: r.work.MaxTokens, OutputLength: r.outputTokens, Prefix: r.work.Prefix, Priority: r.work.Priority, Prompt: r.work.Prompt,
+		UserData: r, ID: r.work.ID, MaxOutputTokens: r.work.MaxTokens, OutputTokens: r.outputTokens, Prefix: r.work.Prefix, Priority: r.work.Priority, PromptTokens: r.work.Prompt,
 	}
 	e.scheduler.Submit(r.generation)
 	if !e.busy {
--- a/internal/measure/engines.go
+++ b/internal/measure/engines.go
@@ -65,7 +65,7 @@
 	r.state = stateFinished
 	if !s.scenario.Naive {
 		s.after(messageDelay, func() {
-			e.owner.Finish(r.work.ID, g.Produced, true, s.now)
+			e.owner.Finish(r.work.ID, g.ProducedTokens, true, s.now)
 			s.dispatch(e)
 		})
 	}
@@ -79,8 +79,8 @@
 		return
 	}
 	r := policy.Report{
-		AsOf: at, Preemptions: e.scheduler.Preemptions, Running: e.scheduler.Running(),
-		StepSeconds: e.step.Seconds(), UsedTokens: e.scheduler.UsedTokens, Waiting: e.scheduler.Waiting(),
+		AsOf: at, Preemptions: e.scheduler.Preemptions, Running: e.scheduler.RunningCount(),
+		StepSeconds: e.step.Seconds(), UsedTokens: e.scheduler.UsedTokens, Waiting: e.scheduler.WaitingCount(),
 	}
 	s.after(reportDelay, func() {
 		if !s.scenario.Naive {
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -16,11 +16,11 @@
 const (
 	Boxes                Name = "linetiller_boxes"                        // gauge, by hall: boxes that are considered alive
 	Generations          Name = "linetiller_generations_total"            // counter, by outcome
-	KeptRequests         Name = "linetiller_kept_requests"                // gauge: requests that are known to have completed at any box of the hall, from the records of its keepers
+	CompletedRequests    Name = "linetiller_kept_requests"                // gauge: requests that are known to have completed at any box of the hall, from the records of its keepers
 	RequestKeyCommits    Name = "linetiller_request_key_commits_total"    // counter: transactions that write request keys
 	RequestKeyRewrites   Name = "linetiller_request_key_rewrites_total"   // counter, by outcome: claims written again after the platform's store was restored
 	RequestKeyWrites     Name = "linetiller_request_key_writes_total"     // counter: rows written for request keys
-	CrashesIgnored       Name = "linetiller_crashes_not_counted_total"    // counter, by reason: broken requests that were not counted as crashes of their upstreams
+	CrashesNotCounted    Name = "linetiller_crashes_not_counted_total"    // counter, by reason: broken requests that were not counted as crashes of their upstreams
 	LimitedUpstreams     Name = "linetiller_limited_upstreams"            // gauge: upstreams that announced a limit on the request rate from all boxes together
 	LoadAge              Name = "linetiller_load_age_seconds"             // histogram: age of the load report of an engine when the engine is chosen
 	MovePause            Name = "linetiller_move_pause_seconds"           // histogram: from the last event before a move to the first after it
@@ -33,8 +33,8 @@
 	PlatformReadFailing  Name = "linetiller_platform_away"                // gauge, by source: 1 if the last read failed
 	PlatformCalls        Name = "linetiller_platform_calls_total"         // counter, by step and outcome
 	PlatformEra          Name = "linetiller_platform_era"                 // gauge: how many times the platform's store was restored, as last reported to this box
-	PlatformOlderAnswers Name = "linetiller_platform_older_answers_total" // counter, by source: answers ignored because they are older than the data held
-	PlatformLateReads    Name = "linetiller_platform_late_reads_total"    // counter, by source: reads that were not answered in time
+	PlatformStaleAnswers Name = "linetiller_platform_older_answers_total" // counter, by source: answers ignored because they are older than the data held
+	PlatformOverdueReads Name = "linetiller_platform_late_reads_total"    // counter, by source: reads that were not answered in time
 	PlatformReader       Name = "linetiller_platform_reader"              // gauge: 1 if this box reads the platform's store for its hall
 	PromptTokens         Name = "linetiller_prompt_tokens"                // histogram, by outcome: prompt tokens of requests to routes of engines
 	QuarantinedRequests  Name = "linetiller_quarantined_requests"         // gauge: requests that are not sent to any upstream because upstreams crashed while running them
@@ -60,8 +60,8 @@
 
 // Names lists every metric.
 var Names = []Name{
-	Boxes, CrashesIgnored, Generations, KeptRequests, RequestKeyCommits, RequestKeyRewrites, RequestKeyWrites, LimitedUpstreams, LoadAge, Moves, MovePause, Orders, OwnedUpstreams, LimitPermits, PlaceWait, PlatformReadAge, PlatformReadFailing, PlatformCalls,
-	PlatformEra, PlatformLateReads, PlatformOlderAnswers, PlatformReader, PromptTokens, QuarantinedRequests, QueuedRequests, Refusals, Requests, Reservations, Resumptions, Retries,
+	Boxes, CrashesNotCounted, Generations, CompletedRequests, RequestKeyCommits, RequestKeyRewrites, RequestKeyWrites, LimitedUpstreams, LoadAge, Moves, MovePause, Orders, OwnedUpstreams, LimitPermits, PlaceWait, PlatformReadAge, PlatformReadFailing, PlatformCalls,
+	PlatformEra, PlatformOverdueReads, PlatformStaleAnswers, PlatformReader, PromptTokens, QuarantinedRequests, QueuedRequests, Refusals, Requests, Reservations, Resumptions, Retries,
 	Revision, RowsIgnored, RefusalsByShortage, StallTime, Streams, TimeBetweenTokens, TimeToFirstToken, Tokens, UpstreamCrashes, UpstreamReportErrors,
 	UpstreamNotices, ViewAge,
 }
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -62,7 +62,7 @@
 	// restoreGracePeriod is how long writes are refused after the store was restored from a backup,
 	// so that boxes can first write back the rows that it lost.
 	restoreGracePeriod = 5 * time.Second
-	commitAttempts     = 5
+	maxCommitAttempts  = 5
 	commitBackoff      = 100 * time.Millisecond
 	statusTimeout      = 2 * time.Second
 )
@@ -108,7 +108,7 @@
 
 func (s *Server) deleteResource(w http.ResponseWriter, r *http.Request) {
 	k, n := resource.Kind(r.PathValue("kind")), r.PathValue("name")
-	row, old, err := s.current(r.Context(), k, n)
+	row, old, err := s.readRow(r.Context(), k, n)
 	if err != nil {
 		s.refuseTableError(w, err)
 		return
@@ -124,7 +124,7 @@
 		s.refuse(w, http.StatusConflict, &Problem{Code: "resource_used", Message: "still named by " + strings.Join(l, ", ")})
 		return
 	}
-	s.write(w, r, row, &configuration.ResourceRow{Deleted: true, Resource: old})
+	s.writeResource(w, r, row, &configuration.ResourceRow{Deleted: true, Resource: old})
 }
 
 func (s *Server) getList(w http.ResponseWriter, r *http.Request) {
@@ -199,7 +199,7 @@
 		s.refuse(w, http.StatusUnprocessableEntity, &Problem{Code: "bad_resource", Faults: f, Message: f.Error()})
 		return
 	}
-	row, old, err := s.current(r.Context(), x.Kind, x.Metadata.Name)
+	row, old, err := s.readRow(r.Context(), x.Kind, x.Metadata.Name)
 	if err != nil {
 		s.refuseTableError(w, err)
 		return
@@ -216,7 +216,7 @@
 		}
 		x.Metadata.Generation++
 	}
-	s.write(w, r, row, &configuration.ResourceRow{Resource: x})
+	s.writeResource(w, r, row, &configuration.ResourceRow{Resource: x})
 }
 
 // referrers returns the kind and name of each resource that references the given one.
@@ -247,13 +247,13 @@
 	s.refuse(w, http.StatusServiceUnavailable, p)
 }
 
-// write replaces row, as read before, by v and responds with the resource as stored. It takes the
+// writeResource replaces row, as read before, by v and responds with the resource as stored. It takes the
 // era of the store only now, since reading row may have shown that the store was restored from a
 // backup. If the era changes during the commit, the outcome is unknown.
-func (s *Server) write(w http.ResponseWriter, r *http.Request, row *table.Row, v *configuration.ResourceRow) {
+func (s *Server) writeResource(w http.ResponseWriter, r *http.Request, row *table.Row, v *configuration.ResourceRow) {
 	era, since := s.Era()
 	if !since.IsZero() && time.Since(since) < restoreGracePeriod {
-		s.refuseTableError(w, errRestored(fail.Unavailable, "the store was restored from a backup, and boxes are writing back what it lost"))
+		s.refuseTableError(w, storeRestoredError(fail.Unavailable, "the store was restored from a backup, and boxes are writing back what it lost"))
 		return
 	}
 	v.WriteID = rand.Text()
@@ -261,7 +261,7 @@
 	v.Resource.Metadata.ResourceVersion = ""
 	other, at, err := s.commit(r.Context(), row.Key, row.Revision, v)
 	if err == nil && other == nil && revision.Era(at) != era {
-		err = errRestored(fail.Unknown, "the store was restored meanwhile")
+		err = storeRestoredError(fail.Unknown, "the store was restored meanwhile")
 	}
 	if err != nil {
 		s.refuseTableError(w, err)
@@ -282,9 +282,9 @@
 	writeJSON(w, http.StatusOK, configuration.WithRevision(v.Resource, at))
 }
 
-// errRestored returns the error of a write that coincides with a restore of the store from a
+// storeRestoredError returns the error of a write that coincides with a restore of the store from a
 // backup.
-func errRestored(t *errorx.Type, message string) error {
+func storeRestoredError(t *errorx.Type, message string) error {
 	return fail.New(t, fail.Origin{Peer: "platform", Step: "write resource"}, "platform_restored", "%s", message)
 }
 
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -15,7 +15,7 @@
 // the condition over all halls.
 func statusOf(x *resource.Resource, halls []box.HallRevisions, now time.Time) *resource.Status {
 	st := &resource.Status{ObservedGeneration: x.Metadata.Generation}
-	missing, unknown := 0, 0
+	behind, unanswered := 0, 0
 	for _, h := range halls {
 		v := resource.HallStatus{Boxes: len(h.Revisions) + h.Unanswered, Hall: h.Hall, Unknown: h.Unanswered}
 		for _, r := range h.Revisions {
@@ -23,16 +23,16 @@
 				v.InForce++
 			}
 		}
-		missing += len(h.Revisions) - v.InForce
-		unknown += h.Unanswered
+		behind += len(h.Revisions) - v.InForce
+		unanswered += h.Unanswered
 		st.Halls = append(st.Halls, v)
 	}
 	c := resource.Condition{LastTransitionTime: now, Reason: "EveryBox", Status: "True", Type: conditionInForce}
 	switch {
-	case missing > 0:
-		c.Reason, c.Status, c.Message = "Spreading", "False", strconv.Itoa(missing)+" boxes are behind"
-	case unknown > 0:
-		c.Reason, c.Status, c.Message = "BoxesSilent", "Unknown", strconv.Itoa(unknown)+" boxes did not answer"
+	case behind > 0:
+		c.Reason, c.Status, c.Message = "Spreading", "False", strconv.Itoa(behind)+" boxes are behind"
+	case unanswered > 0:
+		c.Reason, c.Status, c.Message = "BoxesSilent", "Unknown", strconv.Itoa(unanswered)+" boxes did not answer"
 	}
 	st.Conditions = []resource.Condition{c}
 	return st
--- a/internal/operator/table.go
+++ b/internal/operator/table.go
@@ -35,7 +35,7 @@
 			return nil, r.Revision, nil
 		case err == nil:
 			return resolveConflict(r, v.WriteID)
-		case attempt == commitAttempts || !outcomeUnknown(err, attempt):
+		case attempt == maxCommitAttempts || !outcomeUnknown(err, attempt):
 			return nil, 0, err
 		}
 		select {
@@ -46,9 +46,9 @@
 	}
 }
 
-// current reads the row of a resource, and the resource in it. The resource is nil if it does not
+// readRow reads the row of a resource, and the resource in it. The resource is nil if it does not
 // exist or is deleted; a row that does not exist is returned with revision 0.
-func (s *Server) current(ctx context.Context, k resource.Kind, name string) (*table.Row, *resource.Resource, error) {
+func (s *Server) readRow(ctx context.Context, k resource.Kind, name string) (*table.Row, *resource.Resource, error) {
 	key := configuration.ResourceKey(k, name)
 	row, err := s.Get(ctx, key)
 	if err != nil {
--- a/internal/order/reconciler.go
+++ b/internal/order/reconciler.go
@@ -148,12 +148,12 @@
 		return &upstream.Order{Kind: upstream.OrderRole, Role: upstream.RoleServing}
 	}
 	for _, m := range u.Spec.Models {
-		if v := r.defaultVersion(m); v != "" && l.Loaded[m] != v {
+		if v := r.defaultVersion(m); v != "" && l.LoadedVersions[m] != v {
 			return &upstream.Order{Kind: upstream.OrderLoad, Model: m, Version: v}
 		}
 	}
 	var loaded []string
-	for m := range l.Loaded {
+	for m := range l.LoadedVersions {
 		loaded = append(loaded, m)
 	}
 	slices.Sort(loaded)
--- a/internal/order/reconciler_test.go
+++ b/internal/order/reconciler_test.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return l.Loaded["m"]
+	return l.LoadedVersions["m"]
 }
 
 func TestOneBoxGivesOrders(t *testing.T) {
@@ -214,7 +214,7 @@
 			t.Fatal(ok, err)
 		}
 		l, err := b.ReadLoad(t.Context(), "http://u1")
-		if err != nil || !l.Leaving || len(l.Loaded) != 1 || l.Loaded["m"] != "v1" {
+		if err != nil || !l.Leaving || len(l.LoadedVersions) != 1 || l.LoadedVersions["m"] != "v1" {
 			t.Errorf("got %+v %v, want a leaving engine with m at v1 alone", l, err)
 		}
 		if ok, err := b.Step(t.Context(), r.view.Upstream("u1")); ok || err != nil {
--- a/internal/ownership/ownedupstream.go
+++ b/internal/ownership/ownedupstream.go
@@ -45,7 +45,7 @@
 	x.instance = l.Instance
 	x.owner.SetReport(policy.Report{
 		AsOf: l.AsOf, Preemptions: l.Preemptions, Running: l.Running,
-		StepSeconds: float64(l.StepMicros) / 1e6, UsedTokens: l.Used, Waiting: l.Waiting,
+		StepSeconds: float64(l.StepMicros) / 1e6, UsedTokens: l.UsedTokens, Waiting: l.Waiting,
 	}, time.Now())
 }
 
--- a/internal/ownership/reports.go
+++ b/internal/ownership/reports.go
@@ -25,7 +25,7 @@
 	}
 	if err != nil {
 		if x.countReportFailure() == 1 && ctx.Err() == nil {
-			event.ReportMissing.Log(o.log, "upstream", u.Name, "error", err.Error())
+			event.LoadReportMissing.Log(o.log, "upstream", u.Name, "error", err.Error())
 		}
 		o.metrics.Add(metric.UpstreamReportErrors, 1)
 		return
--- a/internal/placement/naive.go
+++ b/internal/placement/naive.go
@@ -58,7 +58,7 @@
 				continue
 			}
 			p.mutex.Lock()
-			p.policy.SetReport(u.Name, policy.Report{AsOf: l.AsOf, Running: l.Running, UsedTokens: l.Used, Waiting: l.Waiting})
+			p.policy.SetReport(u.Name, policy.Report{AsOf: l.AsOf, Running: l.Running, UsedTokens: l.UsedTokens, Waiting: l.Waiting})
 			p.mutex.Unlock()
 		}
 		select {
--- a/internal/placement/search.go
+++ b/internal/placement/search.go
@@ -214,7 +214,7 @@
 func refusalError(upstream string, a *policy.Answer) error {
 	err := fail.New(fail.NotRun, fail.Origin{Peer: "upstream " + upstream, Step: "ask"}, string(a.Reason), "refused: %s", a.Reason)
 	if a.ShortOf != "" {
-		err = fail.WithShortOf(err, string(a.ShortOf))
+		err = fail.WithShortage(err, string(a.ShortOf))
 	}
 	if a.RetryAt.IsZero() {
 		return err
--- a/internal/placement/surge_test.go
+++ b/internal/placement/surge_test.go
@@ -152,20 +152,20 @@
 				if finished {
 					done = append(done, g)
 				}
-				if g.Produced == 1 || g.Produced%20 == 0 {
-					e.owner.Progress(g.ID, g.Produced, now)
+				if g.ProducedTokens == 1 || g.ProducedTokens%20 == 0 {
+					e.owner.Progress(g.ID, g.ProducedTokens, now)
 				}
-				if g.Produced == 1 {
+				if g.ProducedTokens == 1 {
 					g.UserData.(chan time.Time) <- now
 				}
 			})
 		}
 		for _, g := range done {
-			e.owner.Finish(g.ID, g.Produced, true, now)
+			e.owner.Finish(g.ID, g.ProducedTokens, true, now)
 		}
 		if !now.Before(report) {
 			report = now.Add(surgeReportInterval)
-			e.owner.SetReport(policy.Report{AsOf: now, Running: e.scheduler.Running(), UsedTokens: e.scheduler.UsedTokens, Waiting: e.scheduler.Waiting()}, now)
+			e.owner.SetReport(policy.Report{AsOf: now, Running: e.scheduler.RunningCount(), UsedTokens: e.scheduler.UsedTokens, Waiting: e.scheduler.WaitingCount()}, now)
 		}
 		if !now.Before(next) || len(done) > 0 {
 			next = now.Add(surgeTick)
@@ -194,7 +194,7 @@
 		p, err := c.placement.Place(ctx, w, nil)
 		if err != nil {
 			x.refusalTime += time.Since(now)
-			x.refusals[fail.Reason(err)+"/"+fail.ShortOf(err)]++
+			x.refusals[fail.Reason(err)+"/"+fail.Shortage(err)]++
 			time.Sleep(min(time.Until(fail.RetryAt(err)), 5*time.Second))
 			if time.Since(began) > x.route.deadline {
 				return
@@ -204,7 +204,7 @@
 		e := c.engines[p.Upstream.Name]
 		first := make(chan time.Time, 1)
 		e.mutex.Lock()
-		e.scheduler.Submit(&engine.Generation{UserData: first, ID: w.ID, MaxOutput: 1760, OutputLength: x.output, Priority: x.route.priority, Prompt: x.prompt})
+		e.scheduler.Submit(&engine.Generation{UserData: first, ID: w.ID, MaxOutputTokens: 1760, OutputTokens: x.output, Priority: x.route.priority, PromptTokens: x.prompt})
 		e.mutex.Unlock()
 		select {
 		case at := <-first:
--- a/internal/relay/crash.go
+++ b/internal/relay/crash.go
@@ -108,7 +108,7 @@
 // ignoreCrash records in the metrics and the log that a broken request is not counted as a crash.
 func (e *exchange) ignoreCrash(u *resource.Upstream, reason string) {
 	x := e.relay
-	x.metrics.Count(metric.CrashesIgnored, "reason", reason)
+	x.metrics.Count(metric.CrashesNotCounted, "reason", reason)
 	event.CrashNotCounted.Log(x.log, "request", e.request.ID, "upstream", u.Name, "reason", reason, "asked", e.fingerprint().String())
 }
 
--- a/internal/relay/gone_test.go
+++ b/internal/relay/gone_test.go
@@ -46,7 +46,7 @@
 				synctest.Wait()
 				arrived := r.requestsArrived()
 				for n, e := range r.engines {
-					if got := e.Running(); got != 0 {
+					if got := e.RunningRequests(); got != 0 {
 						t.Errorf("%s: running requests: got %d, want 0", n, got)
 					}
 				}
--- a/internal/relay/leaving_test.go
+++ b/internal/relay/leaving_test.go
@@ -99,7 +99,7 @@
 			t.Errorf("streams in the end: got %d, want none", got)
 		}
 		for n, e := range r.engines {
-			if e.Started("late") != 0 {
+			if e.StartCount("late") != 0 {
 				t.Errorf("%s ran the refused stream", n)
 			}
 		}
--- a/internal/relay/migration.go
+++ b/internal/relay/migration.go
@@ -118,7 +118,7 @@
 	if c != nil {
 		m.copy = c
 	}
-	event.MoveCopied.Log(x.log, "request", e.request.ID, "from", m.from.Name, "to", to.Name, "first_ms", firstCopyTime.Milliseconds(),
+	event.MemoryCopied.Log(x.log, "request", e.request.ID, "from", m.from.Name, "to", to.Name, "first_ms", firstCopyTime.Milliseconds(),
 		"rest_ms", (time.Since(began) - firstCopyTime).Milliseconds(), "made", m.copy.Events, "error", errorText(err))
 	if err != nil && errorx.IsOfType(err, fail.NotFound) {
 		m.stopped = false // the generation had completed by itself
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -149,7 +149,7 @@
 			}()
 			time.Sleep(4 * time.Second)
 			for n, e := range r.engines {
-				if e.Running() != 0 && n != "u1" {
+				if e.RunningRequests() != 0 && n != "u1" {
 					t.Errorf("caller left after %s: %s still runs a generation", after, n)
 				}
 			}
@@ -189,7 +189,7 @@
 			if !stop {
 				return migrate(ctx, from, to, id, stop)
 			}
-			for r.engines[from.Name].Running() > 0 {
+			for r.engines[from.Name].RunningRequests() > 0 {
 				time.Sleep(time.Millisecond)
 			}
 			return &relay.Copy{Handle: "of-a-run-that-has-ended", Events: events}, nil
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -129,7 +129,7 @@
 	for _, o := range options {
 		o(x)
 	}
-	m.Gauge(metric.KeptRequests, func() float64 { return float64(x.frequentRuns.Size()) })
+	m.Gauge(metric.CompletedRequests, func() float64 { return float64(x.frequentRuns.Size()) })
 	m.Gauge(metric.LimitedUpstreams, func() float64 { return float64(x.limiter.Limits().Size(time.Now())) })
 	m.Gauge(metric.QuarantinedRequests, func() float64 { return float64(x.quarantine.Size(time.Now())) })
 	return x
@@ -377,7 +377,7 @@
 		x.metrics.Count(metric.Requests, "outcome", "refused")
 		x.metrics.Count(metric.Refusals, "reason", fail.Reason(err))
 		x.recordPromptSize(e, "refused")
-		if s := fail.ShortOf(err); s != "" {
+		if s := fail.Shortage(err); s != "" {
 			x.metrics.Count(metric.RefusalsByShortage, "short_of", s)
 			l = append(l, "short_of", s)
 		}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -264,12 +264,12 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			go func() { _, _ = r.readStream(planRequest(ctx, "id", 2000), nil) }()
 			time.Sleep(after)
-			if got := r.engines["u1"].Running(); got != 1 {
+			if got := r.engines["u1"].RunningRequests(); got != 1 {
 				t.Fatalf("running requests: got %d, want 1", got)
 			}
 			cancel()
 			time.Sleep(500 * time.Millisecond)
-			if got := r.engines["u1"].Running(); got != 0 {
+			if got := r.engines["u1"].RunningRequests(); got != 0 {
 				t.Errorf("running requests half a second after the caller left: got %d, want 0", got)
 			}
 			if got := len(r.engines["u1"].Requests()); got != 1 {
--- a/internal/relay/resume.go
+++ b/internal/relay/resume.go
@@ -95,7 +95,7 @@
 	}
 	x.metrics.Count(metric.Moves, "result", "moved")
 	x.metrics.Histogram(metric.MovePause).Update(pause.Seconds())
-	event.MoveDone.Log(x.log, "request", s.exchange.request.ID, "from", m.from.Name, "to", u.Name, "pause_ms", pause.Milliseconds(), "events", s.eventsDelivered())
+	event.MoveCompleted.Log(x.log, "request", s.exchange.request.ID, "from", m.from.Name, "to", u.Name, "pause_ms", pause.Milliseconds(), "events", s.eventsDelivered())
 	x.startMoves()
 }
 
--- a/internal/relay/rig_test.go
+++ b/internal/relay/rig_test.go
@@ -258,7 +258,7 @@
 func (r *rig) startedRuns(id string) int {
 	n := 0
 	for _, e := range r.engines {
-		n += e.Started(id)
+		n += e.StartCount(id)
 	}
 	return n
 }
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -55,7 +55,7 @@
 	mismatch := a.EchoMismatch || (a.Status < http.StatusBadRequest && !a.Stamped)
 	x.health.RecordAnswer(u.Name, mismatch || a.Status >= http.StatusInternalServerError, a.Load, now)
 	if mismatch {
-		event.UpstreamMismatch.Log(x.log, "request", e.request.ID, "upstream", u.Name, "status", a.Status)
+		event.UpstreamFrameMismatch.Log(x.log, "request", e.request.ID, "upstream", u.Name, "status", a.Status)
 		return fail.New(fail.Unknown, p, "answer_crossed", "the answer belongs to another request or has no server stamp")
 	}
 	return nil
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -81,7 +81,7 @@
 	if n, ok := eventNumber(id); ok && n == last+1 {
 		return nil
 	}
-	event.UpstreamMismatch.Log(s.exchange.relay.log, "request", s.exchange.request.ID, "upstream", s.upstream().Name, "event_id", id, "last_id", last)
+	event.UpstreamFrameMismatch.Log(s.exchange.relay.log, "request", s.exchange.request.ID, "upstream", s.upstream().Name, "event_id", id, "last_id", last)
 	return fail.New(fail.Interrupted, s.upstreamOrigin("read stream"), "stream_gap", "event id %q does not follow %d", id, last)
 }
 
--- a/internal/requestkey/requestkey.go
+++ b/internal/requestkey/requestkey.go
@@ -115,7 +115,7 @@
 	}
 	b, err := k.GetObject(ctx, r.Object)
 	if err == nil && b == nil {
-		return "", fail.New(fail.Unknown, writePlace(), "answer_lost", "the store has no object %q", r.Object)
+		return "", fail.New(fail.Unknown, writeOrigin(), "answer_lost", "the store has no object %q", r.Object)
 	}
 	return string(b), err
 }
@@ -130,11 +130,11 @@
 // Insert claims a key. If another attempt holds it, Insert returns that attempt's claim and false.
 //
 // An error means that the key is not claimed: a row that reached the table all the same is deleted
-// once the table answers. For claimHoldOff after the store was restored, Insert refuses every claim,
+// once the table answers. For restoreGracePeriod after the store was restored, Insert refuses every claim,
 // because other boxes may not yet have rewritten the rows of theirs.
 func (k *Keys) Insert(ctx context.Context, key string, r Record) (*Claim, bool, error) {
 	era, since := k.Era()
-	if !since.IsZero() && time.Since(since) < claimHoldOff {
+	if !since.IsZero() && time.Since(since) < restoreGracePeriod {
 		return nil, false, storeRestoredError()
 	}
 	i := newWrite(key, 0, &r)
@@ -217,16 +217,16 @@
 		}
 		condition = next
 	}
-	return fail.New(fail.Conflict, writePlace(), "key_taken", "the key %q is held by another attempt", c.Key)
+	return fail.New(fail.Conflict, writeOrigin(), "key_taken", "the key %q is held by another attempt", c.Key)
 }
 
 func decodeClaim(r *table.Row) (*Claim, error) {
 	c := &Claim{Key: r.Key, Revision: r.Revision}
 	if r.Deleted {
-		return nil, fail.New(fail.Conflict, writePlace(), "key_taken", "the row of the request key was deleted concurrently")
+		return nil, fail.New(fail.Conflict, writeOrigin(), "key_taken", "the row of the request key was deleted concurrently")
 	}
 	if err := json.Unmarshal(r.Value, &c.Record); err != nil {
-		return nil, fail.Wrap(fail.Unknown, writePlace(), "platform_garbled", err)
+		return nil, fail.Wrap(fail.Unknown, writeOrigin(), "platform_garbled", err)
 	}
 	return c, nil
 }
@@ -245,6 +245,6 @@
 	return &pendingWrite{condition: table.Condition{Key: key, Revision: condition}, write: table.Write{Key: key, Value: encodeRecord(r)}}
 }
 
-func writePlace() fail.Origin {
+func writeOrigin() fail.Origin {
 	return fail.Origin{Peer: "platform", Step: "write request key"}
 }
--- a/internal/requestkey/requestkey_test.go
+++ b/internal/requestkey/requestkey_test.go
@@ -38,14 +38,14 @@
 	select {
 	case <-time.After(b.delay):
 	case <-ctx.Done():
-		return nil, fail.Wrap(fail.Unknown, writePlace(), "platform_lost", ctx.Err())
+		return nil, fail.Wrap(fail.Unknown, writeOrigin(), "platform_lost", ctx.Err())
 	}
 	if b.unavailable != nil && b.unavailable() {
-		return nil, fail.New(fail.Unavailable, writePlace(), "platform_down", "down")
+		return nil, fail.New(fail.Unavailable, writeOrigin(), "platform_down", "down")
 	}
 	r := b.platform.Commit(t)
 	if b.loseAnswer != nil && b.loseAnswer(n) {
-		return nil, fail.New(fail.Unknown, writePlace(), "platform_lost", "lost")
+		return nil, fail.New(fail.Unknown, writeOrigin(), "platform_lost", "lost")
 	}
 	return &r, nil
 }
--- a/internal/requestkey/restored.go
+++ b/internal/requestkey/restored.go
@@ -19,9 +19,9 @@
 	rewriteInterval = 500 * time.Millisecond
 	// maxConcurrentRewrites bounds the concurrent rewrites, which share transactions.
 	maxConcurrentRewrites = maxBatchWrites
-	// claimHoldOff is how long a box claims no keys after it learned that the store was restored.
+	// restoreGracePeriod is how long a box claims no keys after it learned that the store was restored.
 	// The other boxes learn of it within one or two seconds and rewrite their claims at once.
-	claimHoldOff = 5 * time.Second
+	restoreGracePeriod = 5 * time.Second
 )
 
 // StoreRestored reports that the store was restored from a backup. The claims of this box are then
@@ -46,11 +46,11 @@
 }
 
 // rewriteLostClaims rewrites all claims that the store may have lost. It retries until the store has
-// them all or claimHoldOff has passed, after which other boxes may claim their keys.
+// them all or restoreGracePeriod has passed, after which other boxes may claim their keys.
 func (k *Keys) rewriteLostClaims() {
 	t := time.NewTicker(rewriteInterval)
 	defer t.Stop()
-	for until := time.Now().Add(claimHoldOff); time.Now().Before(until) && k.ctx.Err() == nil; {
+	for until := time.Now().Add(restoreGracePeriod); time.Now().Before(until) && k.ctx.Err() == nil; {
 		era, _ := k.Era()
 		keys := k.recent.keysBeforeEra(era)
 		if len(keys) == 0 {
@@ -84,10 +84,10 @@
 
 // The outcomes of rewriting a claim.
 const (
-	rewriteFailed  rewriteOutcome = "failed"  // the store did not answer or rejected the write
-	rewriteKept    rewriteOutcome = "kept"    // the store already has the outcome of the request
-	rewriteTaken   rewriteOutcome = "taken"   // another attempt holds the key
-	rewriteWritten rewriteOutcome = "written" // the claim was written
+	rewriteFailed      rewriteOutcome = "failed"  // the store did not answer or rejected the write
+	rewriteUnnecessary rewriteOutcome = "kept"    // the store already has the outcome of the request
+	rewriteConflict    rewriteOutcome = "taken"   // another attempt holds the key
+	rewriteWritten     rewriteOutcome = "written" // the claim was written
 )
 
 // rewriteClaim rewrites a claim if its row is lost or is an older one of the same attempt.
@@ -99,10 +99,10 @@
 		case err != nil:
 			return rewriteFailed
 		case x.Record.AttemptID != c.Record.AttemptID:
-			return rewriteTaken
+			return rewriteConflict
 		case c.Record.State == StateRunning && x.Record.State != StateRunning:
 			k.recent.setRevision(c, x.Revision)
-			return rewriteKept
+			return rewriteUnnecessary
 		}
 		o = k.write(k.ctx, newWrite(c.Key, x.Revision, &c.Record))
 	}
@@ -119,7 +119,7 @@
 
 // storeRestoredError returns the error for a claim that is refused because the store was restored.
 func storeRestoredError() error {
-	return fail.New(fail.Unavailable, writePlace(), "platform_restored", "the store was restored from a backup and may have lost a claim on the key")
+	return fail.New(fail.Unavailable, writeOrigin(), "platform_restored", "the store was restored from a backup and may have lost a claim on the key")
 }
 
 // retryCondition returns the revision on which a write of c should be conditioned after o reported a
--- a/internal/requestkey/restored_test.go
+++ b/internal/requestkey/restored_test.go
@@ -133,7 +133,7 @@
 					repeat()
 				}
 				b.learnEra(p)
-				time.Sleep(claimHoldOff)
+				time.Sleep(restoreGracePeriod)
 				c, ours, err := b.Insert(ctx, testRowKey, record("third"))
 				if ours || err != nil || c.Record.AttemptID != "first" {
 					t.Errorf("later repeat: got %+v %v %v, want the first claim", c, ours, err)
@@ -188,7 +188,7 @@
 		if err := a.Release(ctx, c); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(2 * claimHoldOff)
+		time.Sleep(2 * restoreGracePeriod)
 		checkRow(t, p, "released", "none", "")
 	})
 }
@@ -221,9 +221,9 @@
 		if _, _, err := a.Insert(ctx, "request/w/other", record("t")); err == nil {
 			t.Fatal("first claim, which reveals the era: got no error, want a refusal")
 		}
-		asked := 0
+		calls := 0
 		a.Era = func() (int64, time.Time) {
-			if asked++; asked == 1 {
+			if calls++; calls == 1 {
 				return 0, time.Time{}
 			}
 			return 1, time.Now()
--- a/internal/requestkey/writer.go
+++ b/internal/requestkey/writer.go
@@ -154,7 +154,7 @@
 	select {
 	case k.pending <- i:
 	default:
-		return writeResult{err: fail.New(fail.Unavailable, writePlace(), "key_queue_full", "the write queue for request keys is full")}
+		return writeResult{err: fail.New(fail.Unavailable, writeOrigin(), "key_queue_full", "the write queue for request keys is full")}
 	}
 	select {
 	case o := <-i.done:
@@ -162,7 +162,7 @@
 	case <-ctx.Done():
 		return k.abandon(i, ctx.Err())
 	case <-k.ctx.Done():
-		return writeResult{err: fail.Wrap(fail.Unavailable, writePlace(), "closing", k.ctx.Err())}
+		return writeResult{err: fail.Wrap(fail.Unavailable, writeOrigin(), "closing", k.ctx.Err())}
 	}
 }
 
@@ -177,7 +177,7 @@
 		}
 	default:
 	}
-	return writeResult{err: fail.Wrap(fail.Unavailable, writePlace(), "platform_slow", err)}
+	return writeResult{err: fail.Wrap(fail.Unavailable, writeOrigin(), "platform_slow", err)}
 }
 
 // alreadyApplied reports whether r is the result of i, written by an earlier commit whose answer was
@@ -193,15 +193,15 @@
 // the answer to a commit was lost and the rows may be written; all writes are then kept until their
 // result is known, so that abandoned inserts can be undone.
 func dropAbandoned(batch []*pendingWrite, err error, uncertain bool) []*pendingWrite {
-	var kept []*pendingWrite
+	var remaining []*pendingWrite
 	for _, i := range batch {
 		if i.abandoned.Load() && !uncertain {
 			i.done <- writeResult{err: err}
 			continue
 		}
-		kept = append(kept, i)
+		remaining = append(remaining, i)
 	}
-	return kept
+	return remaining
 }
 
 func newTransaction(batch []*pendingWrite) *table.Transaction {
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -53,7 +53,7 @@
 			_, _ = r.get(t.Context())
 			time.Sleep(20 * time.Millisecond)
 		}
-		if got, want := upstreams[0].Refused(), 1; got != want {
+		if got, want := upstreams[0].Refusals(), 1; got != want {
 			t.Errorf("rejected calls: got %d, want %d", got, want)
 		}
 		upstreams[1].SetRetryAfter(3 * time.Second)
@@ -75,7 +75,7 @@
 func TestServiceAtRestWhileTheOtherFails(t *testing.T) {
 	withRouter(t, func(t *testing.T, r *Router, l *link.Link, upstreams []*fakeservice.Service) {
 		upstreams[0].SetRetryAfter(3 * time.Second)
-		for upstreams[0].Refused() == 0 {
+		for upstreams[0].Refusals() == 0 {
 			_, _ = r.get(t.Context())
 		}
 		l.SetDown("desk-1", true)
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -71,7 +71,7 @@
 // checkTLS checks that either all three files are given or none, and that TLS for clients is not
 // enabled without them.
 func checkTLS(s *Settings, add func(key, message string)) {
-	if given := s.TLS.Authority != "" || s.TLS.Certificate != "" || s.TLS.Key != ""; given || s.TLS.Clients {
+	if anySet := s.TLS.Authority != "" || s.TLS.Certificate != "" || s.TLS.Key != ""; anySet || s.TLS.Clients {
 		if s.TLS.Authority == "" || s.TLS.Certificate == "" || s.TLS.Key == "" {
 			add("tls", "authority, certificate and key must all be set")
 		}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -51,11 +51,11 @@
 
 // Position is the progress of a generation in an engine.
 type Position struct {
-	Generation string `json:"generation"`
-	Produced   int    `json:"produced"` // number of tokens so far
-	Readers    int    `json:"readers"`  // number of open streams
-	State      string `json:"state"`
-	Workspace  string `json:"workspace"`
+	Generation     string `json:"generation"`
+	ProducedTokens int    `json:"produced"` // number of tokens so far
+	Readers        int    `json:"readers"`  // number of open streams
+	State          string `json:"state"`
+	Workspace      string `json:"workspace"`
 }
 
 // Load is the load report of an engine.
@@ -64,14 +64,14 @@
 	Instance string    `json:"instance"` // changes when the engine restarts
 	KVTokens int       `json:"kvTokens"`
 	Leaving  bool      `json:"leaving,omitempty"`
-	// Loaded holds the version of each loaded model, by model name.
-	Loaded      map[string]string `json:"loaded,omitempty"`
-	Preemptions int64             `json:"preemptions"`
-	Role        string            `json:"role,omitempty"` // as set by the last order
-	Running     int               `json:"running"`
-	StepMicros  int64             `json:"stepMicros"` // duration of the last step in microseconds
-	Used        int               `json:"used"`       // occupied part of the KV cache in tokens
-	Waiting     int               `json:"waiting"`
+	// LoadedVersions holds the version of each loaded model, by model name.
+	LoadedVersions map[string]string `json:"loaded,omitempty"`
+	Preemptions    int64             `json:"preemptions"`
+	Role           string            `json:"role,omitempty"` // as set by the last order
+	Running        int               `json:"running"`
+	StepMicros     int64             `json:"stepMicros"` // duration of the last step in microseconds
+	UsedTokens     int               `json:"used"`       // occupied part of the KV cache in tokens
+	Waiting        int               `json:"waiting"`
 }
 
 // CacheEvent reports that a prefix was added to or evicted from an engine's prefix cache.
--- a/recorder.go
+++ b/recorder.go
@@ -100,7 +100,7 @@
 			b.mergeQuarantinedRow(r, hall)
 		}
 	}
-	event.KeptRequestsRead.Log(b.log, "rows", len(c.Rows), "requests", b.relay.FrequentRuns().Size())
+	event.KeptRowsRead.Log(b.log, "rows", len(c.Rows), "requests", b.relay.FrequentRuns().Size())
 	b.relay.ClearCompleted()
 }
 
--- a/region_test.go
+++ b/region_test.go
@@ -263,7 +263,7 @@
 func (r *region) startedGenerations() int {
 	n := 0
 	for _, e := range r.engines {
-		n += e.Started()
+		n += e.StartedGenerations()
 	}
 	return n
 }
--- a/reload.go
+++ b/reload.go
@@ -12,11 +12,11 @@
 // other changes need a restart is logged.
 func (b *Box) Reload(s *settings.Settings, err error) {
 	if err != nil {
-		event.ReloadFailed.Log(b.log, "error", err.Error())
+		event.SettingsReloadFailed.Log(b.log, "error", err.Error())
 		return
 	}
 	b.relay.SetRetryBudget(s.Budget.Ratio, s.Budget.Extra, s.Budget.Window.Duration)
 	rest, old := *s, *b.settings
 	rest.Budget, old.Budget = settings.RetryBudget{}, settings.RetryBudget{}
-	event.Reloaded.Log(b.log, "restart_needed", !reflect.DeepEqual(rest, old))
+	event.SettingsReloaded.Log(b.log, "restart_needed", !reflect.DeepEqual(rest, old))
 }
--- a/routed_test.go
+++ b/routed_test.go
@@ -153,7 +153,7 @@
 func (r *routedRegion) runCount(id string) int {
 	n := 0
 	for _, e := range r.upstreams {
-		n += e.Started(id)
+		n += e.StartCount(id)
 	}
 	return n
 }
@@ -186,7 +186,7 @@
 			})
 		}
 		time.Sleep(2 * time.Second)
-		if r.upstreams["i-a1"].Running() == 0 {
+		if r.upstreams["i-a1"].RunningRequests() == 0 {
 			t.Fatal("no plan runs at i-a1")
 		}
 		r.listUpstream("i-a1", "draining")
--- a/streams_test.go
+++ b/streams_test.go
@@ -41,7 +41,7 @@
 func (h *hall) startedGenerations() int {
 	n := 0
 	for _, e := range h.engines {
-		n += e.Started()
+		n += e.StartedGenerations()
 	}
 	return n
 }
--- a/virtual_test.go
+++ b/virtual_test.go
@@ -137,7 +137,7 @@
 		if got, want := complete, requests; got != want {
 			t.Errorf("complete answers: got %d, want %d", got, want)
 		}
-		if got, want := r.engines["engine-a"].Started(), requests; got != want {
+		if got, want := r.engines["engine-a"].StartedGenerations(), requests; got != want {
 			t.Errorf("generations started: got %d, want %d", got, want)
 		}
 	})
@@ -178,11 +178,11 @@
 		if u := b.view.Upstream("engine-a"); u == nil || !u.Spec.Leaving {
 			t.Error("the box does not know that the upstream is leaving")
 		}
-		before := r.engines["engine-a"].Started()
+		before := r.engines["engine-a"].StartedGenerations()
 		if n, err := r.generate("", "length=20", "box-a1"); err != nil || n != 20 {
 			t.Errorf("got %d tokens, %v; want 20", n, err)
 		}
-		if got := r.engines["engine-a"].Started(); got != before {
+		if got := r.engines["engine-a"].StartedGenerations(); got != before {
 			t.Errorf("generations at the leaving upstream: got %d, want none", got-before)
 		}
 	})
