--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -148,7 +148,7 @@
 }
 
 // TestSizesAreToldApart checks the outcomes of twenty streams by the size of their prompts. The two
-// largest are refused because it was never their turn, and the next one is late.
+// largest are refused because other work was always placed before them, and the next one is late.
 func TestSizesAreToldApart(t *testing.T) {
 	d := new(testDay)
 	for i := range 20 {
--- a/internal/account/attempt.go
+++ b/internal/account/attempt.go
@@ -14,36 +14,13 @@
 type Attempt struct {
 	Cause    Cause
 	EndedAt  time.Time     // time of its last line
-	Hall     string        // of its box
-	Class    string        // of request
+	Hall     string        // hall of its box
+	Class    string        // class of its request
 	Sent     bool          // whether it was sent to an upstream
-	Request  string        // ID
+	Request  string        // request ID
 	Duration time.Duration // until its end; 0 if the logs have none
 }
 
-// unsuccessfulAttempts returns the unsuccessful and late attempts, in order of their end. It leaves
-// out the routes whose class is unknown.
-func (l *Log) unsuccessfulAttempts(targets map[string]latencyTarget) []Attempt {
-	var all []Attempt
-	for id, lines := range l.requests {
-		a := targets[routeOf(lines)]
-		if a.class == "" {
-			continue
-		}
-		last := lines[len(lines)-1]
-		if c := l.causeOf(lines, &a); c != "" {
-			t := Attempt{Cause: c, EndedAt: last.Time, Hall: l.halls[last.Box], Class: a.class, Request: id}
-			t.Sent = slices.ContainsFunc(lines, func(x *explain.Line) bool { return x.Event == event.RequestPlaced.Number })
-			if end := endOf(lines); end != nil {
-				t.Duration = milliseconds(number(end, "took_ms"))
-			}
-			all = append(all, t)
-		}
-	}
-	slices.SortFunc(all, func(a, b Attempt) int { return cmp.Or(a.EndedAt.Compare(b.EndedAt), cmp.Compare(a.Request, b.Request)) })
-	return all
-}
-
 // causeOf returns why an attempt was unsuccessful or late. It is "" if the attempt was in order, ended
 // by its caller or still running at the end of the logs.
 func (l *Log) causeOf(lines []*explain.Line, a *latencyTarget) Cause {
@@ -97,6 +74,29 @@
 	return CauseEngineLost
 }
 
+// unsuccessfulAttempts returns the unsuccessful and late attempts, in order of their end. It leaves
+// out the routes whose class is unknown.
+func (l *Log) unsuccessfulAttempts(targets map[string]latencyTarget) []Attempt {
+	var all []Attempt
+	for id, lines := range l.requests {
+		a := targets[routeOf(lines)]
+		if a.class == "" {
+			continue
+		}
+		last := lines[len(lines)-1]
+		if c := l.causeOf(lines, &a); c != "" {
+			t := Attempt{Cause: c, EndedAt: last.Time, Hall: l.halls[last.Box], Class: a.class, Request: id}
+			t.Sent = slices.ContainsFunc(lines, func(x *explain.Line) bool { return x.Event == event.RequestPlaced.Number })
+			if end := endOf(lines); end != nil {
+				t.Duration = milliseconds(number(end, "took_ms"))
+			}
+			all = append(all, t)
+		}
+	}
+	slices.SortFunc(all, func(a, b Attempt) int { return cmp.Or(a.EndedAt.Compare(b.EndedAt), cmp.Compare(a.Request, b.Request)) })
+	return all
+}
+
 // finishedCause returns why a response that was complete earned less than its full worth, or "".
 func finishedCause(lines []*explain.Line, end *explain.Line, a *latencyTarget) Cause {
 	if number(end, "status") >= http.StatusInternalServerError {
--- a/internal/account/breakdown.go
+++ b/internal/account/breakdown.go
@@ -2,8 +2,8 @@
 // report of the day, the site file and the logs of the boxes.
 //
 // The benchmark gives each request a worth, which is earned in full only by a response in time. The
-// report says how many requests of each class were lost, and which share of their worth. The logs
-// say why attempts ended. A caller that retries makes several attempts, each with its own request
+// report contains the number of lost requests of each class, and the share of their worth that was
+// earned. The logs show why attempts ended. A caller that retries makes several attempts, each with its own request
 // ID, so the attempts in the logs cannot be matched to the requests in the report. Instead, the
 // causes of a class are scaled to the numbers of the report: the sum over all causes always equals
 // the loss in the report.
@@ -24,7 +24,7 @@
 	Attempts          []Attempt // unsuccessful and late ones, in order of their end
 }
 
-// Loss is what one cause cost.
+// Loss is the loss due to one cause.
 type Loss struct {
 	Cause      Cause
 	Requests   map[string]float64 // by class
--- a/internal/account/log.go
+++ b/internal/account/log.go
@@ -31,7 +31,7 @@
 	// time, since some take longer to start than others.
 	restartWindow = 3 * time.Second
 	// allBoxesShare is the share of the boxes that has to restart together for all boxes to be
-	// considered dead. It is below 1 since some boxes may have left for good before.
+	// considered dead. It is below 1 since some boxes may have been removed before.
 	allBoxesShare = 0.6
 	// silentBoxPeriod is the time between the last line of a box and the end of the logs from
 	// which on a box that did not restart is considered dead.
@@ -102,8 +102,8 @@
 	return true, float64(started) >= allBoxesShare*float64(len(l.starts))
 }
 
-// closestCallRoute returns the route of calls, other than those in known, whose number of attempts is
-// closest to n by ratio; "" if there is none.
+// closestCallRoute returns the route of calls, other than those in classified, whose number of attempts
+// is closest to n by ratio; "" if there is none.
 func (l *Log) closestCallRoute(n int, classified map[string]latencyTarget) string {
 	best, least := "", math.Inf(1)
 	for route, x := range l.routes() {
--- a/internal/account/report.go
+++ b/internal/account/report.go
@@ -5,7 +5,7 @@
 	"os"
 )
 
-// Report holds the fields used here of the report that the users' benchmark writes for a day.
+// Report holds the fields that this package uses of the report that the benchmark writes for a day.
 type Report struct {
 	Classes []Class `json:"classes"`
 }
--- a/internal/account/site.go
+++ b/internal/account/site.go
@@ -8,7 +8,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Site holds the fields used here of the site file of the users' benchmark.
+// Site holds the fields of the benchmark's site file that this package uses.
 type Site struct {
 	Classes []SiteClass `toml:"classes"`
 }
@@ -55,6 +55,48 @@
 	return s, nil
 }
 
+// class returns the class of the given name. For one that is not in the site file, it returns an
+// empty class, to which nothing is owed.
+func (s *Site) class(name string) *SiteClass {
+	for i := range s.Classes {
+		if s.Classes[i].Name == name {
+			return &s.Classes[i]
+		}
+	}
+	return new(SiteClass)
+}
+
+// closestClass returns the class whose ratio is closest to 1 on a logarithmic scale, leaving out those
+// of ratio 0; nil if there is none.
+func (s *Site) closestClass(ratio func(c *SiteClass) float64) *SiteClass {
+	var best *SiteClass
+	least := math.Inf(1)
+	for i := range s.Classes {
+		c := &s.Classes[i]
+		if x := ratio(c); x > 0 && math.Abs(math.Log(x)) < least {
+			best, least = c, math.Abs(math.Log(x))
+		}
+	}
+	return best
+}
+
+// lossFraction returns the share of the worth of a request that is lost by the cause.
+func (s *Site) lossFraction(class string, cause Cause) float64 {
+	if c := s.class(class); cause.isLate() && c.Worth > 0 {
+		return 1 - c.LateWorth/c.Worth
+	}
+	return 1
+}
+
+// owedShares returns, by class, the share of the worth owed in the day.
+func (s *Site) owedShares(r *Report) map[string]float64 {
+	m, sum := make(map[string]float64), s.totalOwedWorth(r)
+	for _, c := range r.Classes {
+		m[c.Name] = s.class(c.Name).Worth * float64(c.Count-c.NotOwed) / sum
+	}
+	return m
+}
+
 // targets finds the class of the requests on each route. The names of routes change every day and a
 // class may have several routes, so they are matched by their traffic. A route of streams belongs to
 // the class whose mean stream length is closest to the callers' estimates. A class of calls gets the
@@ -86,40 +128,6 @@
 	return m
 }
 
-// closestClass returns the class whose ratio is closest to 1 on a logarithmic scale, leaving out those
-// of ratio 0; nil if there is none.
-func (s *Site) closestClass(ratio func(c *SiteClass) float64) *SiteClass {
-	var best *SiteClass
-	least := math.Inf(1)
-	for i := range s.Classes {
-		c := &s.Classes[i]
-		if x := ratio(c); x > 0 && math.Abs(math.Log(x)) < least {
-			best, least = c, math.Abs(math.Log(x))
-		}
-	}
-	return best
-}
-
-// class returns the class of the given name. For one that is not in the site file, it returns an
-// empty class, to which nothing is owed.
-func (s *Site) class(name string) *SiteClass {
-	for i := range s.Classes {
-		if s.Classes[i].Name == name {
-			return &s.Classes[i]
-		}
-	}
-	return new(SiteClass)
-}
-
-// owedShares returns, by class, the share of the worth owed in the day.
-func (s *Site) owedShares(r *Report) map[string]float64 {
-	m, sum := make(map[string]float64), s.totalOwedWorth(r)
-	for _, c := range r.Classes {
-		m[c.Name] = s.class(c.Name).Worth * float64(c.Count-c.NotOwed) / sum
-	}
-	return m
-}
-
 // totalOwedWorth returns the worth owed in the day, over all classes.
 func (s *Site) totalOwedWorth(r *Report) float64 {
 	sum := 0.0
@@ -145,14 +153,6 @@
 	return penalty / s.totalOwedWorth(r)
 }
 
-// lossFraction returns the share of the worth of a request that is lost by the cause.
-func (s *Site) lossFraction(class string, cause Cause) float64 {
-	if c := s.class(class); cause.isLate() && c.Worth > 0 {
-		return 1 - c.LateWorth/c.Worth
-	}
-	return 1
-}
-
 func milliseconds(n float64) time.Duration {
 	return time.Duration(n * float64(time.Millisecond))
 }
--- a/internal/account/sizes.go
+++ b/internal/account/sizes.go
@@ -27,7 +27,7 @@
 type sizedAttempt struct {
 	late, served bool
 	promptTokens int
-	refusal      string // as in SizeClass.Refused; "" if it was not refused
+	refusal      string // as in SizeClass.Refusals; "" if it was not refused
 }
 
 // sizeClasses are the size classes, each with the quantile of the prompt length at which it starts.
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -51,10 +51,11 @@
 	HeaderLastEventID    = "Last-Event-ID"
 	HeaderPriority       = "Linetiller-Priority"
 	HeaderRepeated       = "Linetiller-Repeated" // set on a recorded answer to an earlier request with the same key
-	HeaderShouldRetry    = "X-Should-Retry"      // tells client libraries whether to retry
+	HeaderShouldRetry    = "X-Should-Retry"      // whether client libraries should retry
 )
 
-const maxHeaderValue = 256 // characters
+// maxHeaderValue is the maximum length of a request key or kind, in characters.
+const maxHeaderValue = 256
 
 // New returns a server for the workspaces and models in v.
 func New(v *resource.View, m *metric.Set, options ...Option) *Server {
@@ -88,31 +89,6 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-func (s *Server) handleUnknownPath(w http.ResponseWriter, r *http.Request) {
-	s.refuse(w, fail.New(fail.NotFound, origin("route"), "path_unknown", "%s %s is not served", r.Method, r.URL.Path))
-}
-
-func (s *Server) handleServiceCall(w http.ResponseWriter, r *http.Request) {
-	c, err := s.readCall(w, r)
-	if err != nil {
-		s.refuse(w, err)
-		return
-	}
-	a, err := s.CallService(r.Context(), c)
-	if err != nil {
-		s.refuse(w, err)
-		return
-	}
-	if a.ContentType != "" {
-		w.Header().Set("Content-Type", a.ContentType)
-	}
-	if a.Repeated {
-		w.Header().Set(HeaderRepeated, "true")
-	}
-	w.WriteHeader(a.Status)
-	_, _ = w.Write(a.Body)
-}
-
 // authorize returns the workspace of the bearer key of a request.
 func (s *Server) authorize(r *http.Request) (*resource.Workspace, error) {
 	k, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -162,6 +138,33 @@
 	_, _ = io.WriteString(w, "ready\n")
 }
 
+// handleServiceCall serves a call to a plain service, of any method.
+func (s *Server) handleServiceCall(w http.ResponseWriter, r *http.Request) {
+	c, err := s.readCall(w, r)
+	if err != nil {
+		s.refuse(w, err)
+		return
+	}
+	a, err := s.CallService(r.Context(), c)
+	if err != nil {
+		s.refuse(w, err)
+		return
+	}
+	if a.ContentType != "" {
+		w.Header().Set("Content-Type", a.ContentType)
+	}
+	if a.Repeated {
+		w.Header().Set(HeaderRepeated, "true")
+	}
+	w.WriteHeader(a.Status)
+	_, _ = w.Write(a.Body)
+}
+
+// handleUnknownPath answers requests for paths that no other handler serves.
+func (s *Server) handleUnknownPath(w http.ResponseWriter, r *http.Request) {
+	s.refuse(w, fail.New(fail.NotFound, origin("route"), "path_unknown", "%s %s is not served", r.Method, r.URL.Path))
+}
+
 // keyOf returns the request key, or "". A key consists of at most maxHeaderValue printable ASCII
 // characters without spaces.
 func keyOf(r *http.Request) (string, error) {
--- a/internal/client/completion.go
+++ b/internal/client/completion.go
@@ -56,33 +56,33 @@
 }
 
 const (
-	bytesPerToken  = 4   // for estimating the length of a prompt in tokens, for placement and admission
-	maxPrefixBytes = 512 // of the start of a prompt that are hashed at most
+	bytesPerToken  = 4   // average, to estimate the length of a prompt in tokens for placement and admission
+	maxPrefixBytes = 512 // maximum length of the prompt prefix that is hashed
 	minPrefixBytes = 64  // prompts shorter than this have no prefix hash
 )
 
-// postCompletion serves a completion request.
-func (s *Server) postCompletion(w http.ResponseWriter, r *http.Request, f objectType) {
-	now := time.Now()
-	q, stream, err := s.readCompletion(w, r, f, now)
+// fillWork fills in the description of the request that placement and admission decide on.
+func (s *Server) fillWork(w *policy.Work, c *completionRequest, r *http.Request, x *resource.Workspace, prompt string, now time.Time) error {
+	m, err := s.modelOf(c.Model)
 	if err != nil {
-		s.refuse(w, err)
-		return
-	}
-	a := &completionWriter{
-		created: now.Unix(), object: f, model: q.Work.Model, promptTokens: q.Work.Prompt, writer: w, control: http.NewResponseController(w),
-	}
-	sink := a.collect
-	if stream {
-		sink = a.send
+		return err
 	}
-	if err := s.Generate(r.Context(), q, sink); err != nil {
-		a.fail(err)
-		return
+	w.Arrived = now
+	w.ID = newWorkID()
+	w.Kind = r.Header.Get(HeaderKind)
+	w.MaxTokens, err = maxTokensOf(c, m.MaxTokens)
+	if err != nil {
+		return err
 	}
-	if !stream {
-		a.writeCompletion()
+	w.Model = c.Model
+	w.Prompt = 1 + len(prompt)/bytesPerToken
+	if len(prompt) >= minPrefixBytes {
+		w.Prefix = xxhash.Sum64String(c.Model + "\x00" + prompt[:min(len(prompt), maxPrefixBytes)])
 	}
+	w.Weight = x.Spec.Weight
+	w.Workspace = x.Name
+	w.Priority, err = s.priorityOf(r.Header.Get(HeaderPriority), x.Spec.Priority)
+	return err
 }
 
 // promptOf returns the prompt of a request, or an error if the field that carries it is malformed.
@@ -140,69 +140,40 @@
 	return b.String(), nil
 }
 
-// readCompletion reads and validates a completion request, and reports whether the response is to be
-// streamed.
-func (s *Server) readCompletion(w http.ResponseWriter, r *http.Request, f objectType, now time.Time) (*delivery.Request, bool, error) {
-	x, err := s.authorize(r)
-	if err != nil {
-		return nil, false, err
-	}
-	b, err := s.readBody(w, r)
-	if err != nil {
-		return nil, false, err
-	}
-	c := new(completionRequest)
-	if err := json.Unmarshal(b, c); err != nil {
-		return nil, false, fail.Wrap(fail.BadInput, origin("read body"), "bad_json", err)
-	}
-	if c.N != nil && *c.N != 1 {
-		return nil, false, badField("n", "must be 1")
+func (s *Server) modelOf(name string) (*resource.ModelSpec, error) {
+	x := s.view.Get(resource.KindModel, name)
+	if x == nil {
+		return nil, fail.New(fail.NotFound, origin("read body"), "model_unknown", "model %q is not served", name)
 	}
-	t, err := promptOf(c, f)
+	m, err := resource.Decode[resource.ModelSpec](x)
 	if err != nil {
-		return nil, false, err
-	}
-	q := &delivery.Request{MaxQueued: x.Spec.MaxQueued, Fingerprint: fingerprint([]byte(f), b), Prompt: t}
-	if err := s.readHeaders(r, q, now); err != nil {
-		return nil, false, err
+		return nil, fail.Wrap(fail.NotFound, origin("read body"), "model_unknown", err)
 	}
-	return q, c.Stream, s.fillWork(&q.Work, c, r, x, t, now)
+	return m, nil
 }
 
-// fillWork fills in the description of the request that placement and admission decide on.
-func (s *Server) fillWork(w *policy.Work, c *completionRequest, r *http.Request, x *resource.Workspace, prompt string, now time.Time) error {
-	m, err := s.modelOf(c.Model)
+// postCompletion serves a completion request.
+func (s *Server) postCompletion(w http.ResponseWriter, r *http.Request, f objectType) {
+	now := time.Now()
+	q, stream, err := s.readCompletion(w, r, f, now)
 	if err != nil {
-		return err
+		s.refuse(w, err)
+		return
 	}
-	w.Arrived = now
-	w.ID = newWorkID()
-	w.Kind = r.Header.Get(HeaderKind)
-	w.MaxTokens, err = maxTokensOf(c, m.MaxTokens)
-	if err != nil {
-		return err
+	a := &completionWriter{
+		created: now.Unix(), object: f, model: q.Work.Model, promptTokens: q.Work.Prompt, writer: w, control: http.NewResponseController(w),
 	}
-	w.Model = c.Model
-	w.Prompt = 1 + len(prompt)/bytesPerToken
-	if len(prompt) >= minPrefixBytes {
-		w.Prefix = xxhash.Sum64String(c.Model + "\x00" + prompt[:min(len(prompt), maxPrefixBytes)])
+	sink := a.collect
+	if stream {
+		sink = a.send
 	}
-	w.Weight = x.Spec.Weight
-	w.Workspace = x.Name
-	w.Priority, err = s.priorityOf(r.Header.Get(HeaderPriority), x.Spec.Priority)
-	return err
-}
-
-func (s *Server) modelOf(name string) (*resource.ModelSpec, error) {
-	x := s.view.Get(resource.KindModel, name)
-	if x == nil {
-		return nil, fail.New(fail.NotFound, origin("read body"), "model_unknown", "model %q is not served", name)
+	if err := s.Generate(r.Context(), q, sink); err != nil {
+		a.fail(err)
+		return
 	}
-	m, err := resource.Decode[resource.ModelSpec](x)
-	if err != nil {
-		return nil, fail.Wrap(fail.NotFound, origin("read body"), "model_unknown", err)
+	if !stream {
+		a.writeCompletion()
 	}
-	return m, nil
 }
 
 // priorityOf returns the value of the requested priority, or of the workspace's own if none is
@@ -232,6 +203,35 @@
 	return p.Value, nil
 }
 
+// readCompletion reads and validates a completion request, and reports whether the response is to be
+// streamed.
+func (s *Server) readCompletion(w http.ResponseWriter, r *http.Request, f objectType, now time.Time) (*delivery.Request, bool, error) {
+	x, err := s.authorize(r)
+	if err != nil {
+		return nil, false, err
+	}
+	b, err := s.readBody(w, r)
+	if err != nil {
+		return nil, false, err
+	}
+	c := new(completionRequest)
+	if err := json.Unmarshal(b, c); err != nil {
+		return nil, false, fail.Wrap(fail.BadInput, origin("read body"), "bad_json", err)
+	}
+	if c.N != nil && *c.N != 1 {
+		return nil, false, badField("n", "must be 1")
+	}
+	t, err := promptOf(c, f)
+	if err != nil {
+		return nil, false, err
+	}
+	q := &delivery.Request{MaxQueued: x.Spec.MaxQueued, Fingerprint: fingerprint([]byte(f), b), Prompt: t}
+	if err := s.readHeaders(r, q, now); err != nil {
+		return nil, false, err
+	}
+	return q, c.Stream, s.fillWork(&q.Work, c, r, x, t, now)
+}
+
 // readHeaders fills in the parts of a request that come from its headers.
 func (s *Server) readHeaders(r *http.Request, q *delivery.Request, now time.Time) error {
 	var err error
--- a/internal/client/completionwriter.go
+++ b/internal/client/completionwriter.go
@@ -86,37 +86,6 @@
 	_ = a.write(sse.Append(nil, sse.Event{Data: b}))
 }
 
-// send writes one token as a server-sent event.
-func (a *completionWriter) send(t *delivery.Token) error {
-	if !a.started {
-		a.id = t.Generation
-		a.start()
-	}
-	e := delivery.EventID{Generation: t.Generation, Index: t.Index, Upstream: t.Upstream}
-	a.eventID = e.Append(a.eventID[:0])
-	a.fillChunk(t)
-	a.buffer = sse.Append(a.buffer[:0], sse.Event{Data: a.chunk, ID: a.eventID})
-	if t.Finish != "" {
-		a.buffer = sse.Append(a.buffer, sse.Event{Data: []byte("[DONE]")})
-	}
-	return a.write(a.buffer)
-}
-
-// writeCompletion writes the collected tokens as a single JSON object.
-func (a *completionWriter) writeCompletion() {
-	t := a.text.String()
-	c := choice{FinishReason: &a.finish}
-	if a.object == objectChat {
-		c.Message = &chatMessage{Content: t, Role: "assistant"}
-	} else {
-		c.Text = &t
-	}
-	u := &usage{CompletionTokens: a.tokens, PromptTokens: a.promptTokens, TotalTokens: a.tokens + a.promptTokens}
-	writeJSON(a.writer, http.StatusOK, completion{
-		Choices: []choice{c}, Created: a.created, ID: a.id, Model: a.model, Object: string(a.object), Usage: u,
-	})
-}
-
 // fillChunk encodes the data of a token's event. Except for the first token of a chat and the last
 // token, chunks of one response differ only in their text. A text that needs no escaping is inserted
 // between two parts that were encoded in advance.
@@ -153,6 +122,22 @@
 	return b
 }
 
+// send writes one token as a server-sent event.
+func (a *completionWriter) send(t *delivery.Token) error {
+	if !a.started {
+		a.id = t.Generation
+		a.start()
+	}
+	e := delivery.EventID{Generation: t.Generation, Index: t.Index, Upstream: t.Upstream}
+	a.eventID = e.Append(a.eventID[:0])
+	a.fillChunk(t)
+	a.buffer = sse.Append(a.buffer[:0], sse.Event{Data: a.chunk, ID: a.eventID})
+	if t.Finish != "" {
+		a.buffer = sse.Append(a.buffer, sse.Event{Data: []byte("[DONE]")})
+	}
+	return a.write(a.buffer)
+}
+
 // start sends the response header and prepares the parts that all chunks share.
 func (a *completionWriter) start() {
 	a.started = true
@@ -173,6 +158,21 @@
 	return a.control.Flush()
 }
 
+// writeCompletion writes the collected tokens as a single JSON object.
+func (a *completionWriter) writeCompletion() {
+	t := a.text.String()
+	c := choice{FinishReason: &a.finish}
+	if a.object == objectChat {
+		c.Message = &chatMessage{Content: t, Role: "assistant"}
+	} else {
+		c.Text = &t
+	}
+	u := &usage{CompletionTokens: a.tokens, PromptTokens: a.promptTokens, TotalTokens: a.tokens + a.promptTokens}
+	writeJSON(a.writer, http.StatusOK, completion{
+		Choices: []choice{c}, Created: a.created, ID: a.id, Model: a.model, Object: string(a.object), Usage: u,
+	})
+}
+
 // isPlain reports whether a non-empty text can be put into a JSON string without escaping.
 func isPlain(text []byte) bool {
 	for _, c := range text {
--- a/internal/client/error.go
+++ b/internal/client/error.go
@@ -11,8 +11,8 @@
 	"github.com/linetiller/linetiller/internal/fail"
 )
 
-// apiError is an error in the format of the OpenAI API. Type tells the caller whether the request ran
-// and may be retried; Code is the reason label of metric.Refusals.
+// apiError is an error in the format of the OpenAI API. Type indicates whether the request ran and may
+// be retried; Code is the reason label of metric.Refusals.
 type apiError struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
@@ -24,7 +24,7 @@
 	Error apiError `json:"error"`
 }
 
-// errorStatus is how an error type is reported to callers.
+// errorStatus determines how an error type is reported to callers.
 type errorStatus struct {
 	apiType string
 	status  int
--- a/internal/client/generator.go
+++ b/internal/client/generator.go
@@ -56,8 +56,8 @@
 // Run runs the generation q and passes its tokens to OnToken. It returns the finish reason and the
 // number of boxes tried.
 //
-// It goes on to the next box only after a fail.Unavailable error, and only if there is an event ID to
-// resume from or a request key, either of which prevents a second run, or if the box sent no response.
+// It tries the next box only after a fail.Unavailable error, and only if there is an event ID to resume
+// from or a request key, either of which prevents a second run, or if the box sent no response.
 func (g *Generator) Run(ctx context.Context, q *GenerationRequest) (finish string, boxesTried int, err error) {
 	lastEventID := ""
 	for boxesTried < len(g.Boxes) {
--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -13,7 +13,7 @@
 const minReportedWaitMS = 100
 
 // leavingNotice returns the last line, at or before a time, by which a box learned that an upstream
-// is leaving or is gone from the configuration; nil if there is none.
+// is leaving or was removed from the configuration; nil if there is none.
 func leavingNotice(lines []Line, upstream string, before time.Time) *Line {
 	var best *Line
 	for i := range lines {
@@ -28,8 +28,8 @@
 	return best
 }
 
-// causeText explains why a request ended as it did. The lines of the request are own; all are those
-// of every request and box, which may say that its upstream was leaving.
+// causeText explains why a request ended as it did. own are the lines of the request; all are the lines
+// of every request and box, among which may be the notice that its upstream was leaving.
 func causeText(own, all []Line) string {
 	end := endLine(own)
 	if end == nil {
--- a/internal/explain/reconnect.go
+++ b/internal/explain/reconnect.go
@@ -7,7 +7,7 @@
 )
 
 // reconnectWindow limits how long after the placement of a request its caller may have reconnected.
-// It exceeds the time for which any route of a benchmark day holds a request.
+// It exceeds the timeouts that routes usually have.
 const reconnectWindow = 2 * time.Minute
 
 // findReconnects returns the IDs of the requests with which the caller of a request probably resumed
--- a/internal/explain/timeline.go
+++ b/internal/explain/timeline.go
@@ -68,8 +68,8 @@
 	return b.String()
 }
 
-// afterEvent describes after which event of its stream a request resumes. It is empty for a request
-// that starts from the beginning.
+// afterEvent names the event of its stream after which a request resumes. It is empty for a request that
+// starts from the beginning.
 func afterEvent(x *Line) string {
 	if id := x.text("last_event"); id != "" {
 		return ", after event " + id
--- a/internal/fail/fail.go
+++ b/internal/fail/fail.go
@@ -13,7 +13,7 @@
 // Namespace holds every error type of linetiller.
 var Namespace = errorx.NewNamespace("linetiller")
 
-// Error types. They tell callers whether the work ran and whether it may be retried.
+// Error types. They indicate whether the work ran and whether it may be retried.
 var (
 	// BadInput means that the request is invalid and must not be retried unchanged.
 	BadInput = Namespace.NewType("bad_input")
@@ -65,7 +65,7 @@
 	return "internal"
 }
 
-// RetryAt returns the time from which a caller may retry, or the zero time.
+// RetryAt returns the time from which a caller may retry, or the zero time if e has none.
 func RetryAt(e error) time.Time {
 	x := errorx.Cast(e)
 	if x == nil {
--- a/internal/fake/engine/scheduler.go
+++ b/internal/fake/engine/scheduler.go
@@ -25,7 +25,7 @@
 // Generation is one request to generate tokens.
 type Generation struct {
 	Arrival         int64 // order of arrival, from 1
-	UserData        any   // belongs to whoever submitted it; not used by the scheduler
+	UserData        any   // for the caller of Submit; not used by the scheduler
 	ID              string
 	MaxOutputTokens int    // maximum number of output tokens
 	OutputTokens    int    // output tokens after which it ends by itself
@@ -34,7 +34,7 @@
 	ProducedTokens  int    // output tokens so far
 	PromptTokens    int    // prompt tokens
 
-	prefillTokens int // tokens still to be computed before the next output token
+	prefillTokens int // tokens still to be computed before the next output token, after a preemption including earlier output
 	state         State
 }
 
@@ -48,8 +48,7 @@
 	StateWaiting  State = "waiting"
 )
 
-// Scheduler decides what an engine computes in each step. It is not safe for
-// concurrent use.
+// Scheduler decides what an engine computes in each step. It is not safe for concurrent use.
 type Scheduler struct {
 	Preemptions int64
 	UsedTokens  int // tokens of the KV cache in use
@@ -170,6 +169,8 @@
 	}
 }
 
+// decode produces one output token for each running generation whose prompt is computed, and removes the
+// generations that are finished.
 func (s *Scheduler) decode(emit func(g *Generation, finished bool)) {
 	remaining := s.running[:0]
 	for _, g := range s.running {
--- a/internal/fake/engine/server.go
+++ b/internal/fake/engine/server.go
@@ -62,7 +62,7 @@
 
 const (
 	maxCacheEvents     = 256
-	charactersPerToken = 4 // of a prompt
+	charactersPerToken = 4 // average of a prompt
 	maxBodyBytes       = 16 << 20
 	maxLoadReports     = 64
 )
--- a/internal/fake/engine/streams.go
+++ b/internal/fake/engine/streams.go
@@ -9,15 +9,15 @@
 	"github.com/linetiller/linetiller/internal/upstream"
 )
 
-// closeReader counts a reader of v out.
+// closeReader decrements the number of readers of v.
 func (s *Server) closeReader(v *record) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	v.readers--
 }
 
-// cutOrStall cuts or stalls the stream if a fault asks for it after this many tokens, and reports
-// whether the stream has ended.
+// cutOrStall cuts or stalls the stream if the faults say so after this many tokens, and reports whether
+// the stream has ended.
 func (s *Server) cutOrStall(r *http.Request, c *http.ResponseController, sent int, f *Faults) bool {
 	if f.CutAfter > 0 && sent >= f.CutAfter {
 		_ = c.Flush()
@@ -34,7 +34,7 @@
 	return true
 }
 
-// openReader counts a reader of v in and returns the faults of its stream.
+// openReader increments the number of readers of v and returns the faults of the new stream.
 func (s *Server) openReader(v *record) Faults {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -86,7 +86,7 @@
 }
 
 // writeWithFaults writes the frame number sent of a stream, counted from 1: with another
-// generation's ID, twice or not at all if a fault asks for it.
+// generation's ID, twice or not at all if the faults say so.
 func writeWithFaults(w io.Writer, x upstream.Frame, sent int, f *Faults) {
 	const faultyFrame = 3
 	if f.CrossFrames > 0 && sent == faultyFrame {
--- a/internal/fake/link/link.go
+++ b/internal/fake/link/link.go
@@ -25,7 +25,7 @@
 
 // responseWriter is the writing end of one response.
 type responseWriter struct {
-	headerSent bool // the header was sent
+	headerSent bool
 	header     http.Header
 	aborted    bool          // the handler panicked before it sent a header
 	ready      chan struct{} // closed when the header was sent or the handler ended
--- a/internal/fake/platform/platform.go
+++ b/internal/fake/platform/platform.go
@@ -37,13 +37,13 @@
 	counters     Counters
 	era          int64 // how often the store was restored from a snapshot
 	faults       Faults
-	compactedTo  int64 // feeds that ask for changes after a lower revision are answered that the history is gone
+	compactedTo  int64 // feeds after a lower revision fail with status 410, because the history was dropped
 	mux          *http.ServeMux
 	objects      map[string][]byte
 	revision     int64
 	rows         map[string]table.Row // by table and key; removed ones stay as tombstones
 	startedAt    time.Time
-	fullReads    map[string]int // reads from the first row, by table
+	fullReads    map[string]int // by table: number of reads from the first row
 }
 
 // maxBodyBytes bounds how much of a request's body is read.
@@ -223,6 +223,9 @@
 	writeJSON(w, p.Counters())
 }
 
+// now returns the platform's monotonic clock in milliseconds. It is not the time of day.
+func (p *Platform) now() int64 { return 1 + time.Since(p.startedAt).Milliseconds() }
+
 func (p *Platform) putFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
@@ -232,9 +235,6 @@
 	p.SetFaults(f)
 }
 
-// now returns the platform's monotonic clock in milliseconds. It is not the time of day.
-func (p *Platform) now() int64 { return 1 + time.Since(p.startedAt).Milliseconds() }
-
 // wakeFeeds wakes the waiting feeds; the lock is held.
 func (p *Platform) wakeFeeds() {
 	close(p.changed)
--- a/internal/fake/platform/rows.go
+++ b/internal/fake/platform/rows.go
@@ -42,7 +42,7 @@
 const maxRows = 500
 
 // getFeed answers with the changes of a table after a revision. It waits up to wait_ms for one. It
-// answers 410 if the history after that revision is gone.
+// answers 410 if the history after that revision was dropped, or the store has not reached it.
 func (p *Platform) getFeed(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.FormValue("after_rev"), 10, 64)
 	if err != nil {
--- a/internal/fake/platform/snapshot.go
+++ b/internal/fake/platform/snapshot.go
@@ -8,7 +8,7 @@
 	"github.com/linetiller/linetiller/internal/table"
 )
 
-// headerEra is the header of every answer that tells how often the store was restored.
+// headerEra is the header that states in every answer how often the store was restored.
 const headerEra = "Store-Era"
 
 // snapshot is a copy of the store's contents.
--- a/internal/fake/routed/arrivals.go
+++ b/internal/fake/routed/arrivals.go
@@ -9,23 +9,23 @@
 // Arrival is a request that reached an engine and was not rejected with 421 as meant for another
 // instance.
 type Arrival struct {
-	AnsweredAt time.Time // when the header of its answer was written; zero if there was none
+	AnsweredAt time.Time // when the header of its answer was written; zero if none was
 	At         time.Time
-	Leaving    bool          // the answer says that the engine is leaving
-	Limit      float64       // the rate limit that the answer names, in requests per second
-	HasLimit   bool          // the answer names a rate limit
+	Leaving    bool          // the answer announces that the engine is leaving
+	Limit      float64       // the rate limit that the answer announces, in requests per second
+	HasLimit   bool          // the answer announces a valid rate limit
 	Request    string        // its ID
-	RetryAfter time.Duration // back-off that the answer asks for; 0 for none
+	RetryAfter time.Duration // back-off that the answer requests; 0 for none
 }
 
-// Sender returns which box sent a request, and when the caller had sent it to that box. A box that
-// was restarted or paused since counts as another one.
+// Sender returns the box that sent a request, and the time at which the caller sent it to that box. A
+// box that was restarted or paused in between counts as a different one.
 type Sender func(request string) (box string, sentAt time.Time)
 
-// Requests that the documented rules allow while an engine asks for back-off.
+// Requests that the documented rules allow while an engine requests back-off.
 const (
-	// BackoffGrace is how long requests may still arrive after an answer that asks for back-off,
-	// because they were already on their way.
+	// BackoffGrace is how long requests may still arrive after an answer that requests back-off,
+	// because they were already in flight.
 	BackoffGrace = 500 * time.Millisecond
 	// BackoffMaxRequests is how many requests one box may send during the back-off.
 	BackoffMaxRequests = 2
@@ -40,7 +40,7 @@
 
 // NoticeViolations returns a description of each violation by a box that had received a notice
 // from this engine: a request sent there later than drain after an answer that the engine is
-// leaving, or too many requests during the back-off that an answer asked for.
+// leaving, or too many requests during the back-off that an answer requested.
 func (e *Engine) NoticeViolations(sender Sender, drain time.Duration) []string {
 	var violations []string
 	l := e.Arrivals()
--- a/internal/fake/routed/copies.go
+++ b/internal/fake/routed/copies.go
@@ -8,10 +8,10 @@
 
 // kvState is the KV cache of a run, on the engine that runs it or as a copy on another one.
 type kvState struct {
-	events  int     // emitted so far
+	events  int     // number emitted so far
 	peer    *Engine // set in a copy: the engine that holds the other copy; nil if there is none
 	request string
-	tokens  int // size of the cache
+	tokens  int // size of the cache in tokens
 }
 
 // copyTo copies the part of a run's KV cache that the peer does not have yet, and stores it there
@@ -36,6 +36,15 @@
 	p.copies[handle] = &m
 }
 
+// deleteCopy deletes a copy and returns it, or nil if there is none.
+func (e *Engine) deleteCopy(handle string) *kvState {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	m := e.copies[handle]
+	delete(e.copies, handle)
+	return m
+}
+
 // handleMove handles an order to copy a run to another engine. The last copy stops the run here first.
 func (e *Engine) handleMove(w http.ResponseWriter, r *http.Request, f *Faults) {
 	var o struct {
@@ -88,12 +97,3 @@
 		m.peer.deleteCopy(handle)
 	}
 }
-
-// deleteCopy deletes a copy and returns it, or nil if there is none.
-func (e *Engine) deleteCopy(handle string) *kvState {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	m := e.copies[handle]
-	delete(e.copies, handle)
-	return m
-}
--- a/internal/fake/routed/engine.go
+++ b/internal/fake/routed/engine.go
@@ -1,7 +1,6 @@
-// Package routed is a small fake of the engines and services of the users' platform that requests
-// of routes are sent to. It speaks the published protocol: event streams, load reports, refusals
-// that say that the request did not run, and copies of a run's KV cache with which another engine
-// resumes it.
+// Package routed is a small fake of the platform's engines and services that requests of routes are
+// sent to. It implements the published protocol: event streams, load reports, refusals which state that
+// the request did not run, and copies of a run's KV cache from which another engine resumes it.
 package routed
 
 import (
@@ -34,7 +33,7 @@
 	crashed     bool
 	faults      Faults
 	leaving     bool
-	limit       string        // in requests per second, as answers name it; "" for none
+	limit       string        // in requests per second, as announced in answers; "" for none
 	linkSlot    chan struct{} // semaphore of the link that copies use; a channel, because waiting for a mutex would stop virtual time
 	requests    []http.Header
 	runs        map[string]*run
@@ -79,7 +78,7 @@
 	e.wakeStreams()
 }
 
-// Leave makes the engine's load report and all its answers say that it is leaving.
+// Leave makes the engine announce in its load report and in all answers that it is leaving.
 func (e *Engine) Leave() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -100,20 +99,6 @@
 	return len(e.runs)
 }
 
-// SetFaults replaces the injected faults.
-func (e *Engine) SetFaults(f Faults) {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	e.faults = f
-}
-
-// StartCount returns how often a request was run from its beginning.
-func (e *Engine) StartCount(request string) int {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	return e.startCounts[request]
-}
-
 // ServeHTTP answers one call.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.mutex.Lock()
@@ -138,37 +123,33 @@
 	}
 }
 
-// refuse answers that the request did not run.
+// SetFaults replaces the injected faults.
+func (e *Engine) SetFaults(f Faults) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	e.faults = f
+}
+
+// StartCount returns how often a request was started from its beginning, not resumed.
+func (e *Engine) StartCount(request string) int {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	return e.startCounts[request]
+}
+
+// refuse answers with a status and the header that marks the request as not run.
 func (e *Engine) refuse(w http.ResponseWriter, status int) {
 	w.Header().Set("X-Linetiller-Not-Executed", "1")
 	w.WriteHeader(status)
 }
 
-// refuseArrival answers with RefuseStatus that an arrival did not run, and asks for back-off if
-// the faults say so.
+// refuseArrival answers with RefuseStatus that an arrival did not run, and requests back-off if
+// RetryAfter is set.
 func (e *Engine) refuseArrival(w http.ResponseWriter, arrival int, f *Faults) {
 	e.writeStateHeaders(w.Header(), arrival, f.RetryAfter)
 	e.refuse(w, f.RefuseStatus)
 }
 
-// writeReport answers with the engine's load.
-func (e *Engine) writeReport(w http.ResponseWriter) {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	used := 0
-	for _, x := range e.runs {
-		used += x.kv.tokens
-	}
-	state := "ready"
-	if e.leaving {
-		state = "draining"
-		w.Header().Set("Server-Leaving", "1")
-	}
-	e.writeLimit(w.Header())
-	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(map[string]any{"kv_total": e.settings.KVTokens, "kv_used": used, "queued": 0, "running": len(e.runs), "state": state})
-}
-
 // serveRequest answers a request of a route.
 func (e *Engine) serveRequest(w http.ResponseWriter, r *http.Request, f *Faults) {
 	b, _ := io.ReadAll(r.Body)
@@ -217,8 +198,26 @@
 	_, _ = fmt.Fprintf(w, "%s of %s: %s %s %s%s", e.id, id, r.Method, r.RequestURI, b, f.Body) //nolint:gosec // No browser renders the answers of this fake.
 }
 
+// writeReport answers with the engine's load.
+func (e *Engine) writeReport(w http.ResponseWriter) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	used := 0
+	for _, x := range e.runs {
+		used += x.kv.tokens
+	}
+	state := "ready"
+	if e.leaving {
+		state = "draining"
+		w.Header().Set("Server-Leaving", "1")
+	}
+	e.writeLimit(w.Header())
+	w.Header().Set("Content-Type", "application/json")
+	_ = json.NewEncoder(w).Encode(map[string]any{"kv_total": e.settings.KVTokens, "kv_used": used, "queued": 0, "running": len(e.runs), "state": state})
+}
+
 // writeStateHeaders adds the headers of an answer that describe the engine: whether it is leaving,
-// its rate limit and the back-off it asks for.
+// its rate limit and the back-off that it requests.
 func (e *Engine) writeStateHeaders(h http.Header, arrival int, retryAfter time.Duration) {
 	e.recordAnswer(h, arrival, retryAfter)
 	if retryAfter > 0 {
--- a/internal/fake/routed/faults.go
+++ b/internal/fake/routed/faults.go
@@ -5,7 +5,7 @@
 // Faults selects the faults that the fake injects.
 type Faults struct {
 	Body            string        // appended to answers that are not streams
-	CutAfter        int           // streams are cut in the middle of the event after this many; 0 is never
+	CutAfter        int           // streams are cut within the event that follows this many complete ones; 0 is never
 	CrashDelay      time.Duration // between a poison request's arrival and the crash
 	CopyStatus      int           // status of the answers to copy orders, which then copy nothing; 0 for none
 	SkipEvent       bool          // streams leave out their third event
@@ -13,11 +13,11 @@
 	LoseCopyAnswers bool          // copies are made, but the answers are lost
 	StallAfter      int           // streams send nothing after this many events; 0 is never
 	WrongRequestID  bool          // answers name another request
-	RefuseStatus    int           // status of answers that say that the request did not run; 0 refuses none
-	RepeatLastEvent bool          // a resumed run repeats the last event that the caller has
-	RetryAfter      time.Duration // back-off that refusals by RefuseStatus ask for; 0 for none
+	RefuseStatus    int           // requests are refused as not run with this status; 0 refuses none
+	RepeatLastEvent bool          // a resumed run repeats the last event that the caller has received
+	RetryAfter      time.Duration // back-off that refusals by RefuseStatus request; 0 for none
 	Silent          bool          // no call is answered
 	BadEventID      bool          // the ID of a stream's third event is not a number
-	Status          int           // answers have this status and are not streams; 0 is off
+	Status          int           // status of all answers, which are not streams then; 0 is off
 	OmitStamp       bool          // answers lack the engine's stamp
 }
--- a/internal/fake/routed/streams.go
+++ b/internal/fake/routed/streams.go
@@ -28,6 +28,24 @@
 	return x
 }
 
+// awaitNextEvent waits until the next event is due, and reports whether the run continues.
+func (e *Engine) awaitNextEvent(r *http.Request, x *run) bool {
+	e.mutex.Lock()
+	c, crashed := e.changed, e.crashed
+	e.mutex.Unlock()
+	if crashed {
+		return false
+	}
+	select {
+	case <-time.After(e.settings.EventInterval):
+		return true
+	case <-c:
+	case <-x.stopped:
+	case <-r.Context().Done():
+	}
+	return false
+}
+
 // createRun creates the run of a request, from the copy of that handle, or from scratch if the handle
 // is empty. It returns nil if there is no such copy.
 func (e *Engine) createRun(r *http.Request, handle string) *run {
@@ -108,24 +126,6 @@
 	}
 }
 
-// awaitNextEvent waits until the next event is due, and reports whether the run continues.
-func (e *Engine) awaitNextEvent(r *http.Request, x *run) bool {
-	e.mutex.Lock()
-	c, crashed := e.changed, e.crashed
-	e.mutex.Unlock()
-	if crashed {
-		return false
-	}
-	select {
-	case <-time.After(e.settings.EventInterval):
-		return true
-	case <-c:
-	case <-x.stopped:
-	case <-r.Context().Done():
-	}
-	return false
-}
-
 // wakeStreams wakes all streams; the lock is held.
 func (e *Engine) wakeStreams() {
 	close(e.changed)
--- a/internal/fake/service/service.go
+++ b/internal/fake/service/service.go
@@ -56,13 +56,6 @@
 	return s.runs
 }
 
-// SetRetryAfter makes the service refuse calls with this Retry-After; 0 ends that.
-func (s *Service) SetRetryAfter(d time.Duration) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.retryAfter = d
-}
-
 // ServeHTTP runs one call.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	b, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
@@ -91,3 +84,10 @@
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(Answer{Body: string(b), Method: r.Method, Path: r.URL.RequestURI(), Run: n})
 }
+
+// SetRetryAfter makes the service refuse calls with this Retry-After; 0 makes it run them again.
+func (s *Service) SetRetryAfter(d time.Duration) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.retryAfter = d
+}
--- a/internal/fake/soak/caller.go
+++ b/internal/fake/soak/caller.go
@@ -16,12 +16,12 @@
 
 // callers send requests through the boxes and check every answer.
 type callers struct {
-	violations     []string       // of the guarantees
-	statusCounts   map[string]int // answers by status
+	violations     []string       // descriptions of violated guarantees
+	statusCounts   map[string]int // number of answers by status
 	http           *http.Client
 	mutex          sync.Mutex // guards atMostOnce, dispatches, leavingNotices, refused, statusCounts and violations
 	leavingNotices []leavingNotice
-	refused        []string            // IDs of requests whose callers were told that they did not run
+	refused        []string            // IDs of requests that were answered as not run
 	dispatches     map[string]dispatch // by request ID
 	atMostOnce     []string            // IDs of requests that may run at most once
 	cluster        *cluster
@@ -31,21 +31,28 @@
 type callerRequest struct {
 	id, path, method string
 	body             string
-	events           int  // number received
+	events           int  // number of events received
 	lastEvent        int  // the last event that the caller has when it resumes a stream; 0 for none
 	resumable        bool // streams of its route may be resumed
-	status           int  // of its answer; 0 for none
-	tokens           int  // length of the stream; 0 if the answer is not a stream
-	routeRemoved     bool // its route is not in the configuration any more, so 404 is right
+	status           int  // status of its answer; 0 for none
+	tokens           int  // length of the stream in tokens; 0 if the answer is not a stream
+	routeRemoved     bool // its route was removed from the configuration, so 404 is correct
 }
 
-// maxAttempts is how often a caller sends a request to get a stream, including the first time.
+// maxAttempts is how often a caller sends a request, including the first time and resumptions.
 const maxAttempts = 5
 
 func newCallers(w *cluster) *callers {
 	return &callers{statusCounts: make(map[string]int), dispatches: make(map[string]dispatch), http: &http.Client{Transport: transport()}, cluster: w}
 }
 
+// addViolation records a violation of a guarantee.
+func (c *callers) addViolation(format string, arguments ...any) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.violations = append(c.violations, fmt.Sprintf(format, arguments...))
+}
+
 // call sends one request, checks its answer, and reports whether it was served in full.
 func (c *callers) call(ctx context.Context, box *soakBox, s *callerRequest) (served bool) {
 	q, err := http.NewRequestWithContext(ctx, s.method, "http://"+box.entryProxy.address()+s.path, strings.NewReader(s.body))
@@ -79,29 +86,6 @@
 	return w.StatusCode == http.StatusOK && c.readAnswer(s, w)
 }
 
-// checkStatus counts and checks the status of an answer.
-func (c *callers) checkStatus(s *callerRequest, w *http.Response) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.statusCounts[fmt.Sprint(w.StatusCode)]++
-	switch w.StatusCode {
-	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		c.refused = append(c.refused, s.id)
-	case http.StatusUnauthorized, http.StatusForbidden, http.StatusNotFound:
-		if s.routeRemoved {
-			return
-		}
-		c.violations = append(c.violations, fmt.Sprintf("%s: status %d for a key and a route that always exist", s.id, w.StatusCode))
-	}
-}
-
-// addViolation records a violation of a guarantee.
-func (c *callers) addViolation(format string, arguments ...any) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.violations = append(c.violations, fmt.Sprintf(format, arguments...))
-}
-
 // checkConfiguration checks, after all faults ended, that every box applies the latest
 // configuration: the route that it adds is served, and the one that it removed is not.
 func (c *callers) checkConfiguration() {
@@ -121,6 +105,44 @@
 	}
 }
 
+// checkExecutions checks, after all faults ended, how often requests ran: those of unsafe kinds at
+// most once, and refused ones never.
+func (c *callers) checkExecutions() {
+	runs := func(id string) int {
+		n := 0
+		for _, u := range append(c.cluster.liveUpstreams(), c.cluster.endedUpstreams...) {
+			n += u.engine.StartCount(id)
+		}
+		return n
+	}
+	for _, id := range c.atMostOnce {
+		if n := runs(id); n > 1 {
+			c.addViolation("%s: ran %d times", id, n)
+		}
+	}
+	for _, id := range c.refused {
+		if n := runs(id); n > 0 {
+			c.addViolation("%s: ran although its caller was told that it had not", id)
+		}
+	}
+}
+
+// checkStatus counts and checks the status of an answer.
+func (c *callers) checkStatus(s *callerRequest, w *http.Response) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.statusCounts[fmt.Sprint(w.StatusCode)]++
+	switch w.StatusCode {
+	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
+		c.refused = append(c.refused, s.id)
+	case http.StatusUnauthorized, http.StatusForbidden, http.StatusNotFound:
+		if s.routeRemoved {
+			return
+		}
+		c.violations = append(c.violations, fmt.Sprintf("%s: status %d for a key and a route that always exist", s.id, w.StatusCode))
+	}
+}
+
 // drawRequest returns a random request.
 func (c *callers) drawRequest(id string, r *rand.Rand) *callerRequest {
 	c.mutex.Lock()
@@ -138,8 +160,17 @@
 	return &callerRequest{id: id, path: "/often/x", method: http.MethodGet}
 }
 
-// readAnswer reads a successful answer and checks that its contents are right and, unless it
-// visibly breaks off, complete.
+// resumption returns the request with which a caller resumes a stream that broke off, or nil if it
+// cannot be resumed. The events of the resumed stream must continue without a gap.
+func (s *callerRequest) resumption(attempt int) *callerRequest {
+	if !s.resumable || s.status != http.StatusOK || s.lastEvent+s.events >= s.tokens/4 {
+		return nil
+	}
+	return &callerRequest{id: fmt.Sprintf("%s-back%d", s.id, attempt), lastEvent: s.lastEvent + s.events, method: s.method, path: s.path, resumable: true, tokens: s.tokens}
+}
+
+// readAnswer reads a successful answer and checks that its contents are correct and, unless the
+// connection breaks, complete.
 func (c *callers) readAnswer(s *callerRequest, w *http.Response) bool {
 	if w.Header.Get("X-Linetiller-Server-Stamp") == "" {
 		c.addViolation("%s: a success without an upstream's mark", s.id)
@@ -169,15 +200,6 @@
 	return x.Err() == nil
 }
 
-// resumption returns the request with which a caller resumes a stream that broke off, or nil if it
-// cannot be resumed. The events of the resumed stream must continue without a gap.
-func (s *callerRequest) resumption(attempt int) *callerRequest {
-	if !s.resumable || s.status != http.StatusOK || s.lastEvent+s.events >= s.tokens/4 {
-		return nil
-	}
-	return &callerRequest{id: fmt.Sprintf("%s-back%d", s.id, attempt), lastEvent: s.lastEvent + s.events, method: s.method, path: s.path, resumable: true, tokens: s.tokens}
-}
-
 // run sends requests until the context ends.
 func (c *callers) run(ctx context.Context, number int, r *rand.Rand) {
 	for i := 0; ctx.Err() == nil; i++ {
@@ -197,25 +219,3 @@
 		time.Sleep(time.Duration(r.IntN(60)) * time.Millisecond)
 	}
 }
-
-// checkExecutions checks, after all faults ended, how often requests ran: those of unsafe kinds at
-// most once, and refused ones never.
-func (c *callers) checkExecutions() {
-	runs := func(id string) int {
-		n := 0
-		for _, u := range append(c.cluster.liveUpstreams(), c.cluster.endedUpstreams...) {
-			n += u.engine.StartCount(id)
-		}
-		return n
-	}
-	for _, id := range c.atMostOnce {
-		if n := runs(id); n > 1 {
-			c.addViolation("%s: ran %d times", id, n)
-		}
-	}
-	for _, id := range c.refused {
-		if n := runs(id); n > 0 {
-			c.addViolation("%s: ran although its caller was told that it had not", id)
-		}
-	}
-}
--- a/internal/fake/soak/changechecker.go
+++ b/internal/fake/soak/changechecker.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Bounds that the users require.
+// Required bounds.
 const (
 	applyBound    = 2 * time.Second        // from the acknowledgement of a configuration until boxes without faults apply it
 	rollbackBound = 250 * time.Millisecond // after this, a box that has applied a configuration must not apply an older one
@@ -20,7 +20,7 @@
 	writtenAt      time.Time
 }
 
-// listedDrain is the publication in the store that an upstream is leaving.
+// listedDrain records that the store listed an upstream as leaving.
 type listedDrain struct {
 	acknowledgedAt time.Time
 	upstream       *soakUpstream
@@ -36,28 +36,15 @@
 }
 
 // changeChecker checks from the changes and the probes whether boxes applied the latest
-// configuration in time. It learns about injected faults and restarts only through its functions.
+// configuration in time. Injected faults and restarts are known to it only through faultFree and
+// undisturbed.
 type changeChecker struct {
 	changes     []change                                  // in the order in which they were written
-	faultFree   func(box string, from, to time.Time) bool // the box could reach the store, undisturbed
-	undisturbed func(box string, from, to time.Time) bool // the box ran without a restart or a pause
+	faultFree   func(box string, from, to time.Time) bool // whether the box ran undisturbed and could reach the store
+	undisturbed func(box string, from, to time.Time) bool // whether the box ran without a restart or a pause
 	probes      []probe
 }
 
-// violations returns a description of each violation, and how many probes could be checked.
-func (j *changeChecker) violations() (l []string, checked int) {
-	for i := range j.probes {
-		x, ok := j.checkProbe(&j.probes[i])
-		if ok {
-			checked++
-		}
-		if x != "" {
-			l = append(l, x)
-		}
-	}
-	return append(l, j.rollbacks()...), checked
-}
-
 // applyDelays returns, for each version and each box without faults, the time from the
 // acknowledgement until the first probe was sent for which the box knew the version. The delays
 // are sorted.
@@ -140,3 +127,17 @@
 	}
 	return l
 }
+
+// violations returns a description of each violation, and how many probes could be checked.
+func (j *changeChecker) violations() (l []string, checked int) {
+	for i := range j.probes {
+		x, ok := j.checkProbe(&j.probes[i])
+		if ok {
+			checked++
+		}
+		if x != "" {
+			l = append(l, x)
+		}
+	}
+	return append(l, j.rollbacks()...), checked
+}
--- a/internal/fake/soak/changes.go
+++ b/internal/fake/soak/changes.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	changeInterval     = 3 * time.Second        // on average
+	changeInterval     = 3 * time.Second        // on average, between two changes or series of changes
 	seriesInterval     = 150 * time.Millisecond // between two changes of a series
-	changesRNGStream   = 1<<20 + 5              // of the random generator, distinct from the others
-	drainsRNGStream    = 1<<20 + 7              // of the random generator, as above
-	drainPeriod        = 6 * time.Second        // how long an upstream serves on that only the store lists as leaving
+	changesRNGStream   = 1<<20 + 5              // stream of the random generator, distinct from the others
+	drainsRNGStream    = 1<<20 + 7              // as above
+	drainPeriod        = 6 * time.Second        // how long an upstream continues to serve after the store lists it as leaving, which it does not announce itself
 	probeInterval      = 50 * time.Millisecond  // between two probes of one box
-	probeTimeout       = 2 * time.Second        // of one probe
+	probeTimeout       = 2 * time.Second        // for one probe
 	readerWindow       = 4 * time.Second        // a box counts as a reader of the store for this long after an answer of the store
 	maxSeries          = 8                      // maximum number of changes in a series
 	slowCycle          = 50 * time.Millisecond  // a slowed box runs for a tenth of each cycle
 	slowdownInterval   = 4 * time.Second        // on average, between two slowdowns
-	maxSlowdown        = 3 * time.Second        // in addition to one second
-	slowdownsRNGStream = 1<<20 + 8              // of the random generator, as above
+	maxSlowdown        = 3 * time.Second        // maximum length of a slowdown, in addition to one second
+	slowdownsRNGStream = 1<<20 + 8              // as above
 	stallInterval      = 3 * time.Second        // on average, between two stalls of connections
-	stallsRNGStream    = 1<<20 + 6              // of the random generator, as above
+	stallsRNGStream    = 1<<20 + 6              // as above
 )
 
 // prober probes each box repeatedly for the version of the configuration that it applies.
@@ -43,43 +43,6 @@
 	return &prober{callers: c, http: &http.Client{Transport: transport()}}
 }
 
-// runChanges changes the configuration repeatedly, sometimes in quick succession, until the
-// context ends.
-func (w *cluster) runChanges(ctx context.Context, r *rand.Rand) {
-	for ctx.Err() == nil {
-		pause(ctx, time.Duration(r.Int64N(int64(2*changeInterval))))
-		series := 1
-		if r.IntN(4) == 0 {
-			series += r.IntN(maxSeries)
-		}
-		for range series {
-			w.configure()
-			pause(ctx, seriesInterval)
-		}
-	}
-}
-
-// runStalls makes open connections to the store carry no more data, while new ones work, until the
-// context ends. It hits random boxes, all at once or one after another, but mostly the readers of
-// the store, and sometimes changes the configuration right after it.
-func (w *cluster) runStalls(ctx context.Context, r *rand.Rand) {
-	for ctx.Err() == nil {
-		pause(ctx, time.Duration(r.Int64N(int64(2*stallInterval))))
-		targets := r.Perm(len(w.boxes))[:1+r.IntN(len(w.boxes))]
-		if r.IntN(3) > 0 {
-			targets = w.readers()
-		}
-		gap := time.Duration(r.IntN(3)) * 300 * time.Millisecond
-		for _, i := range targets {
-			w.boxes[i].storeProxy.stallConnections()
-			pause(ctx, gap)
-		}
-		if r.IntN(2) == 0 {
-			w.configure()
-		}
-	}
-}
-
 // readers returns the indexes of the boxes that got an answer from the store recently.
 func (w *cluster) readers() []int {
 	var l []int
@@ -102,6 +65,22 @@
 	return l[max(0, n-1):]
 }
 
+// runChanges changes the configuration repeatedly, sometimes in quick succession, until the
+// context ends.
+func (w *cluster) runChanges(ctx context.Context, r *rand.Rand) {
+	for ctx.Err() == nil {
+		pause(ctx, time.Duration(r.Int64N(int64(2*changeInterval))))
+		series := 1
+		if r.IntN(4) == 0 {
+			series += r.IntN(maxSeries)
+		}
+		for range series {
+			w.configure()
+			pause(ctx, seriesInterval)
+		}
+	}
+}
+
 // runSlowdowns limits one box after another to a tenth of its processor time for some seconds,
 // mostly a reader of the store, until the context ends.
 func (w *cluster) runSlowdowns(ctx context.Context, r *rand.Rand) {
@@ -118,6 +97,27 @@
 	}
 }
 
+// runStalls repeatedly makes the open connections of some boxes to the store carry no more data, while
+// new connections work, until the context ends. It stalls random boxes, but mostly the readers of the
+// store, all at once or one after another, and sometimes changes the configuration right afterwards.
+func (w *cluster) runStalls(ctx context.Context, r *rand.Rand) {
+	for ctx.Err() == nil {
+		pause(ctx, time.Duration(r.Int64N(int64(2*stallInterval))))
+		targets := r.Perm(len(w.boxes))[:1+r.IntN(len(w.boxes))]
+		if r.IntN(3) > 0 {
+			targets = w.readers()
+		}
+		gap := time.Duration(r.IntN(3)) * 300 * time.Millisecond
+		for _, i := range targets {
+			w.boxes[i].storeProxy.stallConnections()
+			pause(ctx, gap)
+		}
+		if r.IntN(2) == 0 {
+			w.configure()
+		}
+	}
+}
+
 // slowDown pauses a box for nine tenths of a cycle.
 func (b *soakBox) slowDown() {
 	b.mutex.Lock()
@@ -134,26 +134,24 @@
 	time.Sleep(slowCycle / 10)
 }
 
-// runDrains lists one upstream after another as leaving in the store, which the upstream itself
-// does not announce, and replaces it some time later, until the context ends.
-func (p *prober) runDrains(ctx context.Context, r *rand.Rand) {
-	w := p.callers.cluster
-	for ctx.Err() == nil {
-		u := pickUpstream(w, r, []string{serviceDesk, serviceLLM}[r.IntN(2)])
-		if len(w.upstreamsOf(u.service)) < 2 {
-			pause(ctx, time.Second)
-			continue
+// checkDrains checks that no upstream got requests later than drainBound after the store listed it
+// as leaving, from boxes without faults whose link to it was good.
+func (p *prober) checkDrains() {
+	c := p.callers
+	for _, l := range p.drains {
+		for _, v := range l.upstream.engine.Arrivals() {
+			overdue := v.At.Sub(l.acknowledgedAt) - drainBound
+			j := c.dispatchOf(v.Request)
+			from := v.At.Add(-propagationBound)
+			if overdue <= 0 || j.box == nil || l.upstream.proxy.faultyWithin(from, v.At) || !c.cluster.faultFree(j.box, from, v.At) {
+				continue
+			}
+			c.addViolation("%s: reached %s from %s %s after the bound of its leaving, which the list had told", v.Request, l.upstream.name, j.box.name, overdue.Round(time.Millisecond))
 		}
-		w.publishUpstream(u, "draining")
-		p.mutex.Lock()
-		p.drains = append(p.drains, listedDrain{time.Now(), u})
-		p.mutex.Unlock()
-		pause(ctx, drainPeriod)
-		w.replace(u)()
 	}
 }
 
-// checker returns a checker of the probes so far.
+// checker returns a changeChecker of the changes and probes so far.
 func (p *prober) checker() *changeChecker {
 	w := p.callers.cluster
 	p.mutex.Lock()
@@ -165,21 +163,39 @@
 	}
 }
 
-// checkDrains checks that no upstream got requests later than drainBound after the store listed it
-// as leaving, from boxes without faults whose link to it was good.
-func (p *prober) checkDrains() {
-	c := p.callers
-	for _, l := range p.drains {
-		for _, v := range l.upstream.engine.Arrivals() {
-			overdue := v.At.Sub(l.acknowledgedAt) - drainBound
-			j := c.dispatchOf(v.Request)
-			from := v.At.Add(-propagationBound)
-			if overdue <= 0 || j.box == nil || l.upstream.proxy.faultyWithin(from, v.At) || !c.cluster.faultFree(j.box, from, v.At) {
-				continue
-			}
-			c.addViolation("%s: reached %s from %s %s after the bound of its leaving, which the list had told", v.Request, l.upstream.name, j.box.name, overdue.Round(time.Millisecond))
-		}
+// probe requests the route of a version from one box, and records whether the box knew it.
+func (p *prober) probe(b *soakBox, version, number int) {
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
+	defer cancel()
+	q, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/probe%d/x", b.entryProxy.address(), version), http.NoBody)
+	if err != nil {
+		p.callers.addViolation("probe: %v", err)
+		return
 	}
+	q.Host = soakHost
+	q.Header.Set("Authorization", "Bearer "+soakKey)
+	q.Header.Set("X-Linetiller-Request-Id", fmt.Sprintf("probe-%s-%d", b.name, number))
+	x := probe{box: b.name, sentAt: time.Now(), version: version}
+	w, err := p.http.Do(q)
+	if err != nil {
+		return
+	}
+	reason, err := io.ReadAll(w.Body)
+	_ = w.Body.Close()
+	x.answeredAt = time.Now()
+	switch strings.TrimSpace(string(reason)) {
+	case "route_unknown":
+	case "service_unknown": // the box knew the route, whose service does not exist
+		x.routeKnown = true
+	default:
+		return // the answer does not show whether the box knew the route
+	}
+	if err != nil {
+		return
+	}
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.probes = append(p.probes, x)
 }
 
 // report checks the probes, if there are any, and prints how long changes took to be applied.
@@ -214,6 +230,25 @@
 	g.Wait()
 }
 
+// runDrains lists one upstream after another as leaving in the store, which the upstream itself
+// does not announce, and replaces it some time later, until the context ends.
+func (p *prober) runDrains(ctx context.Context, r *rand.Rand) {
+	w := p.callers.cluster
+	for ctx.Err() == nil {
+		u := pickUpstream(w, r, []string{serviceDesk, serviceLLM}[r.IntN(2)])
+		if len(w.upstreamsOf(u.service)) < 2 {
+			pause(ctx, time.Second)
+			continue
+		}
+		w.publishUpstream(u, "draining")
+		p.mutex.Lock()
+		p.drains = append(p.drains, listedDrain{time.Now(), u})
+		p.mutex.Unlock()
+		pause(ctx, drainPeriod)
+		w.replace(u)()
+	}
+}
+
 // runProbes probes every box until the context ends.
 func (p *prober) runProbes(ctx context.Context) {
 	var g sync.WaitGroup
@@ -228,38 +263,3 @@
 	}
 	g.Wait()
 }
-
-// probe requests the route of a version from one box, and records whether the box knew it.
-func (p *prober) probe(b *soakBox, version, number int) {
-	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
-	defer cancel()
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/probe%d/x", b.entryProxy.address(), version), http.NoBody)
-	if err != nil {
-		p.callers.addViolation("probe: %v", err)
-		return
-	}
-	q.Host = soakHost
-	q.Header.Set("Authorization", "Bearer "+soakKey)
-	q.Header.Set("X-Linetiller-Request-Id", fmt.Sprintf("probe-%s-%d", b.name, number))
-	x := probe{box: b.name, sentAt: time.Now(), version: version}
-	w, err := p.http.Do(q)
-	if err != nil {
-		return
-	}
-	reason, err := io.ReadAll(w.Body)
-	_ = w.Body.Close()
-	x.answeredAt = time.Now()
-	switch strings.TrimSpace(string(reason)) {
-	case "route_unknown":
-	case "service_unknown": // the box knew the route, whose service does not exist
-		x.routeKnown = true
-	default:
-		return // the answer does not tell whether the box knew the route
-	}
-	if err != nil {
-		return
-	}
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.probes = append(p.probes, x)
-}
--- a/internal/fake/soak/cluster.go
+++ b/internal/fake/soak/cluster.go
@@ -24,28 +24,28 @@
 type cluster struct {
 	boxes        []*soakBox
 	storeOutages []interval // when the store was faulty
-	changes      []change   // of the configuration
-	cold         bool       // engines are cold when they start
+	changes      []change   // versions of the configuration, in order
+	cold         bool       // upstreams are cold when they start
 	evacuations  []evacuation
 	// evacuating are the halls that are being evacuated.
 	evacuating     map[byte]bool
 	configVersion  int // the latest version of the configuration
 	directory      string
-	halls          string // one letter for each
+	halls          string // one letter for each hall
 	logs           *logFile
-	mutex          sync.Mutex // guards changes, configVersion, crashes, dead, evacuating, evacuations, harnessErrors, sequence, storeOutages and upstreams
+	mutex          sync.Mutex // guards changes, configVersion, crashes, endedUpstreams, evacuating, evacuations, harnessErrors, sequence, storeOutages and upstreams
 	crashes        []crash
 	endedUpstreams []*soakUpstream // upstreams that have ended
 	platform       *fakeplatform.Platform
 	programFolder  string
 	storeServer    *httptest.Server
-	harnessErrors  []error // of the soak itself
+	harnessErrors  []error // failures of the soak itself, as opposed to violations
 	upstreams      map[string]*soakUpstream
 	sequence       int // last number given to a version of the configuration or to a replacement upstream
 	workers        sync.WaitGroup
 }
 
-// soakBox is a box and what surrounds it.
+// soakBox is a box with its proxies and its settings file.
 type soakBox struct {
 	disturbedAt []time.Time // when it was killed, stopped, started, paused or resumed
 	entryProxy  *proxy      // between callers and the box
@@ -157,37 +157,11 @@
 	return nil
 }
 
-// liveUpstreams returns the upstreams that have not ended.
-func (w *cluster) liveUpstreams() []*soakUpstream {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	var l []*soakUpstream
-	for _, u := range w.upstreams {
-		l = append(l, u)
-	}
-	return l
-}
-
-// findBox returns the box of a name, or nil.
-func (w *cluster) findBox(name string) *soakBox {
-	for _, b := range w.boxes {
-		if b.name == name {
-			return b
-		}
-	}
-	return nil
-}
-
-// faultFree reports whether a box, its proxies and the store had no fault between two times.
-func (w *cluster) faultFree(b *soakBox, from, to time.Time) bool {
-	return b.undisturbed(from, to) && !b.storeProxy.faultyWithin(from, to) && !b.entryProxy.faultyWithin(from, to) && w.storeOutageDuration(from, to) == 0
-}
-
-// writtenChanges returns the versions of the configuration that were written, in order.
-func (w *cluster) writtenChanges() []change {
+// addHarnessError records that the soak itself failed to do something.
+func (w *cluster) addHarnessError(err error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return append([]change(nil), w.changes...)
+	w.harnessErrors = append(w.harnessErrors, err)
 }
 
 // close ends everything that was started. It keeps the directory with the logs if keep is set.
@@ -229,6 +203,50 @@
 	w.changes = append(w.changes, x)
 }
 
+// engineAt returns the engine whose proxy listens at an address, or nil if there is none.
+func (w *cluster) engineAt(address string) *routed.Engine {
+	for _, u := range w.liveUpstreams() {
+		if u.proxy.address() == address {
+			return u.engine
+		}
+	}
+	return nil
+}
+
+// faultFree reports whether a box, its proxies and the store had no fault between two times.
+func (w *cluster) faultFree(b *soakBox, from, to time.Time) bool {
+	return b.undisturbed(from, to) && !b.storeProxy.faultyWithin(from, to) && !b.entryProxy.faultyWithin(from, to) && w.storeOutageDuration(from, to) == 0
+}
+
+// findBox returns the box of a name, or nil if there is none.
+func (w *cluster) findBox(name string) *soakBox {
+	for _, b := range w.boxes {
+		if b.name == name {
+			return b
+		}
+	}
+	return nil
+}
+
+// liveUpstreams returns the upstreams that have not ended.
+func (w *cluster) liveUpstreams() []*soakUpstream {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	var l []*soakUpstream
+	for _, u := range w.upstreams {
+		l = append(l, u)
+	}
+	return l
+}
+
+// publishUpstream changes the state of an upstream's row in the store.
+func (w *cluster) publishUpstream(u *soakUpstream, state string) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	u.listedState = state
+	w.putUpstream(u)
+}
+
 // putConfiguration writes a version of the configuration; the lock is held.
 func (w *cluster) putConfiguration(v int) {
 	route := `{"name":%q,"host":"` + soakHost + `","path_prefix":"/%s/","kind":%q,"timeout_ms":%d,"target_latency_ms":1800,"priority":0,"service":%q,"max_attempts":%d,"resumable":%v}`
@@ -243,14 +261,6 @@
 "tenants":[{"name":"w","api_keys":[%q]}]}`, v, w.declaredColdRate(), w.declaredColdRate(), soakKey)))
 }
 
-// publishUpstream changes the state of an upstream's row in the store.
-func (w *cluster) publishUpstream(u *soakUpstream, state string) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	u.listedState = state
-	w.putUpstream(u)
-}
-
 // putUpstream writes an upstream's row to the store; the lock is held.
 func (w *cluster) putUpstream(u *soakUpstream) {
 	left := max(0, time.Until(u.cold.to).Milliseconds())
@@ -276,23 +286,6 @@
 	w.platform.Remove("servers/" + u.name)
 }
 
-// addHarnessError records that the soak itself failed to do something.
-func (w *cluster) addHarnessError(err error) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.harnessErrors = append(w.harnessErrors, err)
-}
-
-// engineAt returns the engine whose proxy has an address, or nil.
-func (w *cluster) engineAt(address string) *routed.Engine {
-	for _, u := range w.liveUpstreams() {
-		if u.proxy.address() == address {
-			return u.engine
-		}
-	}
-	return nil
-}
-
 func (w *cluster) startBox(b *soakBox) error {
 	p, _, err := process.StartBox(filepath.Join(w.programFolder, "linetiller"), b.settings, b.name, w.logs)
 	if err != nil {
@@ -330,6 +323,13 @@
 	return nil
 }
 
+// writtenChanges returns the versions of the configuration that were written, in order.
+func (w *cluster) writtenChanges() []change {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return append([]change(nil), w.changes...)
+}
+
 // freeAddresses returns free loopback addresses. Their ports are below the ephemeral range,
 // because a box that restarts must get its own port again.
 func freeAddresses(n int) ([]string, error) {
--- a/internal/fake/soak/faults.go
+++ b/internal/fake/soak/faults.go
@@ -12,8 +12,8 @@
 	"github.com/linetiller/linetiller/internal/process"
 )
 
-// fault is a kind of fault. The function inject starts one and returns what ends it, or nil if
-// there is nothing to end.
+// fault is a kind of fault. The function inject starts one and returns a function that ends it, or nil
+// if there is nothing to end.
 type fault struct {
 	name   string
 	inject func(w *cluster, r *rand.Rand) (end func(), err error)
@@ -85,15 +85,23 @@
 	return func() { w.restart(b) }, nil
 }
 
-// restart starts a box again.
-func (w *cluster) restart(b *soakBox) {
-	if err := w.startBox(b); err != nil {
-		w.addHarnessError(err)
+// replace ends an upstream and returns a function that starts another one of its service in its
+// hall.
+func (w *cluster) replace(u *soakUpstream) (start func()) {
+	w.removeUpstream(u)
+	w.mutex.Lock()
+	w.sequence++
+	name := fmt.Sprintf("%s%d", u.name[:3], 100+w.sequence)
+	w.mutex.Unlock()
+	return func() {
+		if err := w.startUpstream(name, u.service); err != nil {
+			w.addHarnessError(err)
+		}
 	}
 }
 
-// takeProcess takes a box's process over, so that no other fault uses it, and resumes it if it was
-// paused. It returns nil if another fault has taken it.
+// takeProcess detaches and returns a box's process, so that no other fault uses it, and resumes it if it
+// was paused. It returns nil if another fault has detached it.
 func (b *soakBox) takeProcess() *process.Process {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -125,7 +133,7 @@
 }
 
 // startWithoutStore kills every box and restarts them while the store refuses all calls. The boxes
-// have no configuration then, and must not refuse any request for good.
+// have no configuration then, and must not refuse any request with a permanent error.
 func startWithoutStore(w *cluster, _ *rand.Rand) (func(), error) {
 	w.setStoreFaults(fakeplatform.Faults{Down: true})
 	var g sync.WaitGroup
@@ -154,11 +162,11 @@
 	}, nil
 }
 
-// replaceUpstream ends an engine, announced if notice is not 0, and later starts another one in
-// its hall.
+// replaceUpstream ends an engine and later starts another one in its hall. If notice is not 0, the engine
+// announces its end this long before.
 func replaceUpstream(w *cluster, r *rand.Rand, notice time.Duration) (func(), error) {
 	if len(w.liveUpstreams()) <= engineCount+serviceCount-2 {
-		return nil, nil // at most one may be missing
+		return nil, nil // more than one upstream is missing already
 	}
 	u := pickUpstream(w, r, serviceLLM)
 	if notice > 0 {
@@ -169,18 +177,10 @@
 	return w.replace(u), nil
 }
 
-// replace ends an upstream and returns a function that starts another one of its service in its
-// hall.
-func (w *cluster) replace(u *soakUpstream) (start func()) {
-	w.removeUpstream(u)
-	w.mutex.Lock()
-	w.sequence++
-	name := fmt.Sprintf("%s%d", u.name[:3], 100+w.sequence)
-	w.mutex.Unlock()
-	return func() {
-		if err := w.startUpstream(name, u.service); err != nil {
-			w.addHarnessError(err)
-		}
+// restart starts a box again.
+func (w *cluster) restart(b *soakBox) {
+	if err := w.startBox(b); err != nil {
+		w.addHarnessError(err)
 	}
 }
 
--- a/internal/fake/soak/halls.go
+++ b/internal/fake/soak/halls.go
@@ -8,7 +8,7 @@
 	fakeplatform "github.com/linetiller/linetiller/internal/fake/platform"
 )
 
-// interval is a span of time; its end is zero as long as it lasts.
+// interval is a span of time; to is zero while it has not ended.
 type interval struct{ from, to time.Time }
 
 // evacuation is one evacuation of a data hall.
@@ -18,16 +18,33 @@
 }
 
 const (
-	coldPeriod    = 1500 * time.Millisecond // for which an upstream is cold after its start
-	coldPerSecond = 6                       // requests per second that it can serve meanwhile
-	coldSlack     = 2                       // requests in excess of that in any second
+	coldPeriod    = 1500 * time.Millisecond // how long an upstream is cold after its start
+	coldPerSecond = 6                       // requests per second that a cold upstream can serve
+	coldSlack     = 2                       // requests allowed in excess of that in any second
 	// evacuationBound is how long after the store's acknowledgement requests may still reach an
 	// evacuated hall. Times when the store is faulty do not count.
 	evacuationBound      = 5 * time.Second
 	minEvacuation        = 6 * time.Second // minimum duration of an evacuation
-	evacuationsRNGStream = 1 << 20         // of the random generator, distinct from those of faults and callers
+	evacuationsRNGStream = 1 << 20         // stream of the random generator, distinct from the others
 )
 
+// allUpstreams returns all upstreams, including those that have ended.
+func (w *cluster) allUpstreams() []*soakUpstream {
+	l := w.liveUpstreams()
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return append(l, w.endedUpstreams...)
+}
+
+// declaredColdRate returns the configured limit of requests per second to a cold upstream; 0 is no
+// limit.
+func (w *cluster) declaredColdRate() int {
+	if w.cold {
+		return coldPerSecond
+	}
+	return 0
+}
+
 // runEvacuations evacuates one hall after another for some seconds until the context ends.
 func (w *cluster) runEvacuations(ctx context.Context, r *rand.Rand) {
 	for ctx.Err() == nil {
@@ -44,15 +61,6 @@
 	}
 }
 
-// declaredColdRate returns the configured limit of requests per second to a cold upstream; 0 is no
-// limit.
-func (w *cluster) declaredColdRate() int {
-	if w.cold {
-		return coldPerSecond
-	}
-	return 0
-}
-
 // setStoreFaults sets the faults of the store, and records the time as the start or end of an outage.
 func (w *cluster) setStoreFaults(f fakeplatform.Faults) {
 	w.platform.SetFaults(f)
@@ -85,32 +93,6 @@
 	return d
 }
 
-// allUpstreams returns all upstreams, including those that have ended.
-func (w *cluster) allUpstreams() []*soakUpstream {
-	l := w.liveUpstreams()
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return append(l, w.endedUpstreams...)
-}
-
-// checkEvacuations checks that no request reached an evacuated hall later than evacuationBound.
-func (c *callers) checkEvacuations() {
-	w := c.cluster
-	for _, u := range w.allUpstreams() {
-		for _, e := range w.evacuations {
-			if u.name[2] != e.hall {
-				continue
-			}
-			for _, at := range u.engine.ArrivalTimes() {
-				overdue := at.Sub(e.from) - evacuationBound - w.storeOutageDuration(e.from, at)
-				if at.Before(e.to) && overdue > 0 {
-					c.addViolation("a request reached %s %s after the bound of its hall's evacuation", u.name, overdue.Round(time.Millisecond))
-				}
-			}
-		}
-	}
-}
-
 // checkColdStarts checks that no upstream got more requests in a second than it can serve while it
 // was cold.
 func (c *callers) checkColdStarts() {
@@ -135,3 +117,21 @@
 		}
 	}
 }
+
+// checkEvacuations checks that no request reached an evacuated hall later than evacuationBound.
+func (c *callers) checkEvacuations() {
+	w := c.cluster
+	for _, u := range w.allUpstreams() {
+		for _, e := range w.evacuations {
+			if u.name[2] != e.hall {
+				continue
+			}
+			for _, at := range u.engine.ArrivalTimes() {
+				overdue := at.Sub(e.from) - evacuationBound - w.storeOutageDuration(e.from, at)
+				if at.Before(e.to) && overdue > 0 {
+					c.addViolation("a request reached %s %s after the bound of its hall's evacuation", u.name, overdue.Round(time.Millisecond))
+				}
+			}
+		}
+	}
+}
--- a/internal/fake/soak/invalidrows.go
+++ b/internal/fake/soak/invalidrows.go
@@ -11,7 +11,7 @@
 const (
 	invalidRowInterval   = 300 * time.Millisecond // between two writes of invalid rows
 	invalidRowKeys       = 3                      // number of keys of invalid rows
-	invalidRowsRNGStream = 1<<20 + 3              // of the random generator, distinct from the others
+	invalidRowsRNGStream = 1<<20 + 3              // stream of the random generator, distinct from the others
 )
 
 // invalidRows are values that do not describe an upstream.
--- a/internal/fake/soak/limits.go
+++ b/internal/fake/soak/limits.go
@@ -14,17 +14,26 @@
 	limitExclusion  = time.Second            // requests this close to a disturbance of their box are not checked
 	minLimit        = 0.2                    // requests per second that an upstream accepts
 	maxLimit        = 2.5                    // requests per second that an upstream accepts
-	limitPeriod     = 5 * time.Second        // how long an upstream names one limit
+	limitPeriod     = 5 * time.Second        // how long an upstream announces one limit
 	limitPause      = 500 * time.Millisecond // between two rounds, and how long an invalid limit lasts
-	limitsRNGStream = 1<<20 + 4              // of the random generator, distinct from the others
+	limitsRNGStream = 1<<20 + 4              // stream of the random generator, distinct from the others
 
-	loadCallInterval = 25 * time.Millisecond
-	loadPlanInterval = 100 * time.Millisecond
-	loadTimeout      = 3 * time.Second // of each request
+	loadCallInterval = 25 * time.Millisecond  // between two calls to a plain service
+	loadPlanInterval = 100 * time.Millisecond // between two requests for streams
+	loadTimeout      = 3 * time.Second        // of each request
 )
 
-// runLimits repeats until the context ends: one upstream or all of a service name a limit, perhaps
-// another one and perhaps an invalid one, and then none, while callers send more than the limit
+// checkLimits checks that no upstream got more requests than the limits that it announced allow.
+func (c *callers) checkLimits() {
+	for _, u := range c.cluster.allUpstreams() {
+		if violation := u.engine.LimitViolation(func(request string) (string, time.Time) { return c.senderOf(u, request) }); violation != "" {
+			c.addViolation("%s: %s", u.name, violation)
+		}
+	}
+}
+
+// runLimits repeats until the context ends: one upstream or all of a service announce a limit, sometimes
+// a second one and sometimes an invalid one, and then none, while callers send more than the limit
 // allows.
 func (c *callers) runLimits(ctx context.Context, r *rand.Rand) {
 	for n := 0; ctx.Err() == nil; n++ {
@@ -74,15 +83,6 @@
 	}
 }
 
-// checkLimits checks that no upstream got more requests than the limits that it named allow.
-func (c *callers) checkLimits() {
-	for _, u := range c.cluster.allUpstreams() {
-		if violation := u.engine.LimitViolation(func(request string) (string, time.Time) { return c.senderOf(u, request) }); violation != "" {
-			c.addViolation("%s: %s", u.name, violation)
-		}
-	}
-}
-
 // senderOf returns the name of the box that sent a request to an upstream, and when the caller had
 // sent it. The name is "" if the box was disturbed or the upstream's proxy faulty around that
 // time. It contains the number of earlier disturbances, so that a disturbed box counts as a new
@@ -116,7 +116,7 @@
 	}
 }
 
-// setLimit sets the limit that upstreams name; "" for none.
+// setLimit sets the limit that upstreams announce; "" for none.
 func setLimit(l []*soakUpstream, text string) {
 	for _, u := range l {
 		u.engine.SetLimit(text)
--- a/internal/fake/soak/notices.go
+++ b/internal/fake/soak/notices.go
@@ -10,25 +10,25 @@
 	"github.com/linetiller/linetiller/internal/fake/routed"
 )
 
-// drainBound is how long after a box has forwarded an answer which says that an upstream is
-// leaving new requests to the box may still reach that upstream.
+// drainBound limits how long new requests to a box may still reach an upstream after the box forwarded
+// an answer which announces that the upstream is leaving.
 const drainBound = 2 * time.Second
 
 const (
-	minRetryAfter    = 1500 * time.Millisecond // back-off that an upstream asks for
-	retryAfterJitter = 1500 * time.Millisecond // range of a random part added to it
+	minRetryAfter    = 1500 * time.Millisecond // shortest back-off that an upstream requests
+	retryAfterJitter = 1500 * time.Millisecond // range of the random part of the back-off
 	backoffPeriod    = time.Second             // for which the upstream refuses requests
-	unlistedPeriod   = 4 * time.Second         // how long an upstream serves on that announces its leaving only in its answers
-	noticesRNGStream = 1<<20 + 1               // of the random generator, distinct from those of faults, callers and halls
+	unlistedPeriod   = 4 * time.Second         // how long an upstream continues to serve after it announced its leaving only in answers
+	noticesRNGStream = 1<<20 + 1               // stream of the random generator, distinct from the others
 )
 
-// dispatch tells which box a caller sent a request to, and when.
+// dispatch records to which box a caller sent a request, and when.
 type dispatch struct {
 	box    *soakBox
 	sentAt time.Time
 }
 
-// leavingNotice is an answer, forwarded by a box, which says that the upstream is leaving.
+// leavingNotice is an answer, forwarded by a box, which announces that the upstream is leaving.
 type leavingNotice struct {
 	at       time.Time
 	box      *soakBox
@@ -54,28 +54,16 @@
 	return true
 }
 
-// runNotices makes one upstream after another announce in its answers that it is leaving, or ask
-// for back-off, until the context ends. It picks plain services, whose state boxes learn only from
-// answers, as often as engines.
-func (w *cluster) runNotices(ctx context.Context, r *rand.Rand) {
-	for ctx.Err() == nil {
-		u := pickUpstream(w, r, []string{serviceDesk, serviceLLM}[r.IntN(2)])
-		if r.IntN(2) == 0 {
-			w.leaveUnlisted(u)
-		} else {
-			w.requestBackoff(u, minRetryAfter+time.Duration(r.Int64N(int64(retryAfterJitter))))
-		}
-	}
-}
-
-// requestBackoff makes an upstream refuse requests for a while and ask for back-off.
-func (w *cluster) requestBackoff(u *soakUpstream, retryAfter time.Duration) {
-	u.engine.SetFaults(routed.Faults{RefuseStatus: http.StatusServiceUnavailable, RetryAfter: retryAfter})
-	time.Sleep(backoffPeriod)
-	u.engine.SetFaults(routed.Faults{})
+// leave makes an upstream announce in all its answers that it is leaving.
+func (w *cluster) leave(u *soakUpstream) {
+	w.mutex.Lock()
+	u.leaving = true
+	w.mutex.Unlock()
+	u.engine.Leave()
 }
 
-// leaveUnlisted makes an upstream leave that announces it only in its answers, and replaces it.
+// leaveUnlisted makes an upstream announce only in its answers that it is leaving, and replaces it after
+// unlistedPeriod.
 func (w *cluster) leaveUnlisted(u *soakUpstream) {
 	if len(w.upstreamsOf(u.service)) < 2 {
 		return // it is the last one of its service
@@ -85,12 +73,25 @@
 	w.replace(u)()
 }
 
-// leave makes an upstream announce in all its answers that it is leaving.
-func (w *cluster) leave(u *soakUpstream) {
-	w.mutex.Lock()
-	u.leaving = true
-	w.mutex.Unlock()
-	u.engine.Leave()
+// requestBackoff makes an upstream refuse requests and request back-off, for backoffPeriod.
+func (w *cluster) requestBackoff(u *soakUpstream, retryAfter time.Duration) {
+	u.engine.SetFaults(routed.Faults{RefuseStatus: http.StatusServiceUnavailable, RetryAfter: retryAfter})
+	time.Sleep(backoffPeriod)
+	u.engine.SetFaults(routed.Faults{})
+}
+
+// runNotices makes one upstream after another announce in its answers that it is leaving, or request
+// back-off, until the context ends. It picks plain services, whose state boxes learn only from
+// answers, as often as engines.
+func (w *cluster) runNotices(ctx context.Context, r *rand.Rand) {
+	for ctx.Err() == nil {
+		u := pickUpstream(w, r, []string{serviceDesk, serviceLLM}[r.IntN(2)])
+		if r.IntN(2) == 0 {
+			w.leaveUnlisted(u)
+		} else {
+			w.requestBackoff(u, minRetryAfter+time.Duration(r.Int64N(int64(retryAfterJitter))))
+		}
+	}
 }
 
 // upstreamsOf returns the live upstreams of a service.
@@ -104,54 +105,7 @@
 	return l
 }
 
-// recordDispatch records which box a request was sent to.
-func (c *callers) recordDispatch(id string, j dispatch) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.dispatches[id] = j
-}
-
-// dispatchOf returns the dispatch of a request; its box is nil if no caller sent the request.
-func (c *callers) dispatchOf(request string) dispatch {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	return c.dispatches[request]
-}
-
-// recordLeavingNotice records that a box forwarded an answer which says that the upstream is
-// leaving.
-func (c *callers) recordLeavingNotice(box *soakBox, upstream string) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.leavingNotices = append(c.leavingNotices, leavingNotice{time.Now(), box, strings.TrimPrefix(upstream, "stamp.")})
-}
-
-// checkNotices checks that boxes obeyed what upstreams had told them in answers.
-func (c *callers) checkNotices() {
-	for _, u := range c.cluster.allUpstreams() {
-		arrivals := u.engine.Arrivals()
-		c.checkLeaving(u, arrivals)
-		c.checkBackoff(u, arrivals)
-	}
-}
-
-// checkLeaving checks that boxes did not send new requests to an upstream that they knew is
-// leaving, later than drainBound after they learned it.
-func (c *callers) checkLeaving(u *soakUpstream, arrivals []routed.Arrival) {
-	for _, p := range c.leavingNotices {
-		if p.upstream != u.name {
-			continue
-		}
-		for _, v := range arrivals {
-			j := c.dispatchOf(v.Request)
-			if overdue := j.sentAt.Sub(p.at) - drainBound; j.box == p.box && overdue > 0 && p.box.undisturbed(p.at, j.sentAt) {
-				c.addViolation("%s: reached %s, which leaves, from %s, which had passed that on, %s after the bound", v.Request, u.name, p.box.name, overdue.Round(time.Millisecond))
-			}
-		}
-	}
-}
-
-// checkBackoff checks that boxes kept the back-off that an upstream asked for. It skips times
+// checkBackoff checks that boxes kept the back-off that an upstream requested. It skips times
 // around faults of the upstream's proxy, because the answer may not have reached the box.
 func (c *callers) checkBackoff(u *soakUpstream, arrivals []routed.Arrival) {
 	for _, v := range arrivals {
@@ -172,3 +126,50 @@
 		}
 	}
 }
+
+// checkLeaving checks that boxes did not send new requests to an upstream later than drainBound after
+// they learned that it was leaving.
+func (c *callers) checkLeaving(u *soakUpstream, arrivals []routed.Arrival) {
+	for _, p := range c.leavingNotices {
+		if p.upstream != u.name {
+			continue
+		}
+		for _, v := range arrivals {
+			j := c.dispatchOf(v.Request)
+			if overdue := j.sentAt.Sub(p.at) - drainBound; j.box == p.box && overdue > 0 && p.box.undisturbed(p.at, j.sentAt) {
+				c.addViolation("%s: reached %s, which leaves, from %s, which had passed that on, %s after the bound", v.Request, u.name, p.box.name, overdue.Round(time.Millisecond))
+			}
+		}
+	}
+}
+
+// checkNotices checks that boxes obeyed what upstreams had announced in answers.
+func (c *callers) checkNotices() {
+	for _, u := range c.cluster.allUpstreams() {
+		arrivals := u.engine.Arrivals()
+		c.checkLeaving(u, arrivals)
+		c.checkBackoff(u, arrivals)
+	}
+}
+
+// dispatchOf returns the dispatch of a request; its box is nil if no caller sent the request.
+func (c *callers) dispatchOf(request string) dispatch {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.dispatches[request]
+}
+
+// recordDispatch records which box a request was sent to.
+func (c *callers) recordDispatch(id string, j dispatch) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.dispatches[id] = j
+}
+
+// recordLeavingNotice records that a box forwarded an answer which announces that the upstream is
+// leaving.
+func (c *callers) recordLeavingNotice(box *soakBox, upstream string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.leavingNotices = append(c.leavingNotices, leavingNotice{time.Now(), box, strings.TrimPrefix(upstream, "stamp.")})
+}
--- a/internal/fake/soak/restores.go
+++ b/internal/fake/soak/restores.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	restoresRNGStream = 1 << 23                 // of the random generator, distinct from those of faults and callers
+	restoresRNGStream = 1 << 23                 // stream of the random generator, distinct from the others
 	maxSnapshotAge    = 4 * time.Second         // maximum time from the snapshot until the store fails
 	entryExpiry       = 3600 * time.Millisecond // after which a restored row of an upstream that has ended is removed again
 	// maxLostWrites bounds the unrelated writes that a restore loses, and so how far the store's
@@ -22,18 +22,18 @@
 	restoreJitter = 1500 * time.Millisecond
 )
 
-// runRestores restores the store from snapshots until the context ends, and once more after that,
-// followed by a change of the configuration.
-func (w *cluster) runRestores(ctx context.Context, r *rand.Rand) {
-	for ctx.Err() == nil {
-		w.restoreStore(r)
+// putEvacuation writes to the store whether a hall is evacuated; the lock is held.
+func (w *cluster) putEvacuation(hall byte) {
+	key := "op/evacuate/" + string(hall)
+	if w.evacuating[hall] {
+		w.platform.Put(key, json.RawMessage(`{}`))
+		return
 	}
-	w.restoreStore(r)
-	w.configure()
+	w.platform.Remove(key)
 }
 
-// restoreStore takes a snapshot and restores the store from it after a while. Operators and
-// upstreams go on working meanwhile, and write their rows again some time later.
+// restoreStore takes a snapshot and later restores the store from it. Operators and upstreams keep
+// changing their rows in between, and write them again some time after the restore.
 func (w *cluster) restoreStore(r *rand.Rand) {
 	w.platform.TakeSnapshot()
 	for range r.IntN(maxLostWrites) {
@@ -76,14 +76,14 @@
 	})
 }
 
-// putEvacuation writes to the store whether a hall is evacuated; the lock is held.
-func (w *cluster) putEvacuation(hall byte) {
-	key := "op/evacuate/" + string(hall)
-	if w.evacuating[hall] {
-		w.platform.Put(key, json.RawMessage(`{}`))
-		return
+// runRestores restores the store from snapshots until the context ends, and once more after that,
+// followed by a change of the configuration.
+func (w *cluster) runRestores(ctx context.Context, r *rand.Rand) {
+	for ctx.Err() == nil {
+		w.restoreStore(r)
 	}
-	w.platform.Remove(key)
+	w.restoreStore(r)
+	w.configure()
 }
 
 // setEvacuation starts or ends the evacuation of a hall.
--- a/internal/fake/soak/soak.go
+++ b/internal/fake/soak/soak.go
@@ -79,12 +79,12 @@
 	changes      bool           // the configuration changes often, and connections to the store stall
 	restores     bool           // the store is restored from snapshots
 	faults       *regexp.Regexp // matches the names of the faults to inject
-	evacuations  bool           // halls are evacuated, and engines start cold
-	limits       bool           // upstreams name rate limits
+	evacuations  bool           // halls are evacuated, and upstreams start cold
+	limits       bool           // upstreams announce rate limits
 	poisonBursts bool           // poison requests are also sent several at once, and for longer
 	invalidRows  bool           // invalid rows are written to the table of upstreams
 	wide         bool           // nine boxes in three halls
-	notices      bool           // answers of upstreams say that they are leaving or ask for back-off, and poison requests are sent
+	notices      bool           // upstreams announce in answers that they are leaving or request back-off, and poison requests are sent
 }
 
 // start starts the activities, which go on until the context ends.
@@ -177,7 +177,7 @@
 	return true
 }
 
-// injectAll injects random faults whose names match only, overlapping, until the context ends, and
+// injectAll injects random, overlapping faults whose names match pattern until the context ends, and
 // waits until all of them have ended. It returns how often each was injected.
 func (w *cluster) injectAll(ctx context.Context, r *rand.Rand, pattern *regexp.Regexp) map[string]int {
 	counts := make(map[string]int)
--- a/internal/logging/handler.go
+++ b/internal/logging/handler.go
@@ -26,7 +26,7 @@
 	mutex         sync.Mutex
 	now           func() time.Time
 	omitted       map[int64]int // by event number: lines omitted in the current second
-	currentSecond int64         // the current one, in Unix time
+	currentSecond int64         // Unix time in seconds
 	written       map[int64]int // by event number: lines written in the current second
 	writer        *Writer
 }
@@ -35,13 +35,13 @@
 type Option func(*shared)
 
 const (
-	// defaultBudget is the budget of each event in lines per second: some 20 times what a box at
-	// the users' sites writes in steady state.
+	// defaultBudget is the budget of each event in lines per second: about 20 times what a box
+	// writes in steady state.
 	defaultBudget = 200
 	// warningFactor multiplies the budget at level Warn and above, so that failures are omitted
 	// last.
 	warningFactor = 5
-	eventKey      = "event"
+	eventKey      = "event" // attribute that holds the event number
 )
 
 // New returns a handler that writes to output, and its writer, which is to be closed at exit.
@@ -99,7 +99,7 @@
 
 // allow reports whether the budget of event e has room for a line at level l, and counts the line. On
 // the first call in a second it also returns the lines omitted before, by event number; those that
-// the writer dropped are under 0.
+// the writer dropped are counted under 0.
 func (s *shared) allow(e int64, l slog.Level) (ok bool, omitted map[int64]int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -68,8 +68,8 @@
 	return len(b), nil
 }
 
-// TestStuckOutputHoldsNobodyUp guards against a blocked output that blocks the writers of log lines:
-// more lines than the buffer holds are written, and those without room are dropped and counted.
+// TestStuckOutputHoldsNobodyUp guards against log calls that block while the output is blocked. It
+// writes more lines than the buffer holds, and checks that the excess is dropped and counted.
 func TestStuckOutputHoldsNobodyUp(t *testing.T) {
 	s := &blockedOutput{release: make(chan struct{})}
 	w := NewWriter(s)
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -21,7 +21,7 @@
 const (
 	// closeTimeout bounds how long Close waits for an output that is blocked.
 	closeTimeout = time.Second
-	// maxBufferedLines is the size of the buffer, two seconds of lines of a busy box.
+	// maxBufferedLines is the size of the buffer. A busy box fills it in two seconds.
 	maxBufferedLines = 2048
 )
 
@@ -53,26 +53,31 @@
 	return len(b), nil
 }
 
-func (w *Writer) run() {
-	defer close(w.done)
+// drain writes the buffered lines.
+func (w *Writer) drain() {
 	for {
 		select {
 		case b := <-w.lines:
 			w.writeLine(b)
-		case <-w.closed:
-			w.drain()
+		default:
 			return
 		}
 	}
 }
 
-// drain writes the buffered lines.
-func (w *Writer) drain() {
+// resetDropped returns the number of lines dropped since its last call, and resets it to 0.
+func (w *Writer) resetDropped() int {
+	return int(w.dropped.Swap(0))
+}
+
+func (w *Writer) run() {
+	defer close(w.done)
 	for {
 		select {
 		case b := <-w.lines:
 			w.writeLine(b)
-		default:
+		case <-w.closed:
+			w.drain()
 			return
 		}
 	}
@@ -83,8 +88,3 @@
 		w.dropped.Add(1)
 	}
 }
-
-// resetDropped returns the number of lines dropped since its last call.
-func (w *Writer) resetDropped() int {
-	return int(w.dropped.Swap(0))
-}
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -16,7 +16,7 @@
 const (
 	Boxes                Name = "linetiller_boxes"                        // gauge, by hall: boxes that are considered alive
 	Generations          Name = "linetiller_generations_total"            // counter, by outcome
-	CompletedRequests    Name = "linetiller_kept_requests"                // gauge: requests that are known to have completed at any box of the hall, from the records of its keepers
+	CompletedRequests    Name = "linetiller_kept_requests"                // gauge: requests that are known to have completed at any box of the hall, as stored by its recorders
 	RequestKeyCommits    Name = "linetiller_request_key_commits_total"    // counter: transactions that write request keys
 	RequestKeyRewrites   Name = "linetiller_request_key_rewrites_total"   // counter, by outcome: claims written again after the platform's store was restored
 	RequestKeyWrites     Name = "linetiller_request_key_writes_total"     // counter: rows written for request keys
@@ -45,7 +45,7 @@
 	Resumptions          Name = "linetiller_resumptions_total"            // counter, by reason: resumed streams
 	Retries              Name = "linetiller_retries_total"                // counter, by reason: retried requests
 	Revision             Name = "linetiller_configuration_revision"       // gauge: configuration revision in force at this box
-	RefusalsByShortage   Name = "linetiller_refusals_short_of_total"      // counter, by short_of: refused requests, by the resource they had waited for
+	RefusalsByShortage   Name = "linetiller_refusals_short_of_total"      // counter, by short_of: refused requests, by the resource that they were waiting for
 	RowsIgnored          Name = "linetiller_platform_rows_ignored_total"  // counter, by reason: rows in the list of upstreams that do not describe one
 	StallTime            Name = "linetiller_stall_seconds"                // histogram, per generation: time beyond the target between tokens
 	Streams              Name = "linetiller_streams"                      // gauge: requests in progress
--- a/internal/operator/message.go
+++ b/internal/operator/message.go
@@ -9,7 +9,7 @@
 // List holds the resources of a kind.
 type List struct {
 	Items    []*resource.Resource `json:"items"`
-	Revision string               `json:"revision"` // to watch from for the changes after this list
+	Revision string               `json:"revision"` // a watch after this revision returns the changes after this list
 }
 
 // WatchType is the type of a watch event.
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -57,14 +57,14 @@
 }
 
 const (
-	bookmarkInterval = 5 * time.Second
+	bookmarkInterval = 5 * time.Second // between two bookmarks of a watch
 	maxBodyBytes     = 256 << 10
 	// restoreGracePeriod is how long writes are refused after the store was restored from a backup,
 	// so that boxes can first write back the rows that it lost.
 	restoreGracePeriod = 5 * time.Second
 	maxCommitAttempts  = 5
-	commitBackoff      = 100 * time.Millisecond
-	statusTimeout      = 2 * time.Second
+	commitBackoff      = 100 * time.Millisecond // doubled with each attempt, from 200 ms after the first
+	statusTimeout      = 2 * time.Second        // for collecting the revisions in force at all boxes
 )
 
 // New returns a server of the resources in v. If keyHash is not empty, requests must carry the
@@ -153,7 +153,7 @@
 	writeJSON(w, http.StatusOK, &c)
 }
 
-// getWatch streams the changes after a version and then each new one, with a bookmark after each
+// getWatch streams the changes after a version and then each new one, with a bookmark every
 // bookmarkInterval, until the client disconnects.
 func (s *Server) getWatch(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.FormValue("after"), 10, 64)
@@ -247,9 +247,9 @@
 	s.refuse(w, http.StatusServiceUnavailable, p)
 }
 
-// writeResource replaces row, as read before, by v and responds with the resource as stored. It takes the
-// era of the store only now, since reading row may have shown that the store was restored from a
-// backup. If the era changes during the commit, the outcome is unknown.
+// writeResource replaces row, as read before, by v and responds with the resource as stored. It reads the era of
+// the store only after row was read, since that read may have revealed that the store was restored from
+// a backup. If the era changes during the commit, the outcome is unknown.
 func (s *Server) writeResource(w http.ResponseWriter, r *http.Request, row *table.Row, v *configuration.ResourceRow) {
 	era, since := s.Era()
 	if !since.IsZero() && time.Since(since) < restoreGracePeriod {
--- a/internal/requestkey/requestkey.go
+++ b/internal/requestkey/requestkey.go
@@ -85,7 +85,7 @@
 	maxRetryDelay        = time.Second
 	minRetryDelay        = 20 * time.Millisecond
 	rowPrefix            = "request/"
-	maxConditionalWrites = 3 // writes of one change if the row of its own attempt has another revision than expected
+	maxConditionalWrites = 3 // attempts at one change, if the row belongs to the same attempt but has another revision than expected
 )
 
 // New returns the request keys in a table and starts their writer. The caller calls Close.
--- a/internal/requestkey/requestkey_test.go
+++ b/internal/requestkey/requestkey_test.go
@@ -127,7 +127,7 @@
 }
 
 // TestGivenUpInsertIsTakenBack checks that the row of an abandoned insert is deleted if its answer
-// was lost. The box then tells the client that the request did not run, so the row must not remain.
+// was lost. The client then gets the answer that the request did not run, so the row must not remain.
 func TestGivenUpInsertIsTakenBack(t *testing.T) {
 	var down atomic.Bool
 	b := &slowTable{delay: time.Millisecond, loseAnswer: func(n int) bool { return n == 1 }}
--- a/internal/requestkey/restored.go
+++ b/internal/requestkey/restored.go
@@ -11,8 +11,8 @@
 )
 
 // If the platform's store is restored from a backup, rows of request keys may be lost. The boxes that
-// wrote them write them again. Until they have had time to do so, no box claims a key, because the
-// request that holds it may still be running.
+// wrote these rows rewrite them. During restoreGracePeriod, which gives them the time to do so, no box
+// claims a key, because the request that holds it may still be running.
 
 const (
 	// rewriteInterval is the time between two attempts to rewrite lost claims.
@@ -33,16 +33,46 @@
 	}
 }
 
-// runRewrite rewrites claims whenever the store was restored from a backup.
-func (k *Keys) runRewrite() {
-	for {
-		select {
-		case <-k.restored:
-			k.rewriteLostClaims()
-		case <-k.ctx.Done():
-			return
+// rewriteClaim rewrites a claim if its row is lost or is an older one of the same attempt.
+func (k *Keys) rewriteClaim(c *Claim) rewriteOutcome {
+	o := k.write(k.ctx, newWrite(c.Key, 0, &c.Record))
+	if o.err == nil && o.current != nil {
+		x, err := decodeClaim(o.current)
+		switch {
+		case err != nil:
+			return rewriteFailed
+		case x.Record.AttemptID != c.Record.AttemptID:
+			return rewriteConflict
+		case c.Record.State == StateRunning && x.Record.State != StateRunning:
+			k.recent.setRevision(c, x.Revision)
+			return rewriteUnnecessary
 		}
+		o = k.write(k.ctx, newWrite(c.Key, x.Revision, &c.Record))
+	}
+	if o.err != nil || o.current != nil {
+		return rewriteFailed
+	}
+	if k.recent.get(c.Key) == nil { // released meanwhile
+		_ = k.Release(k.ctx, &Claim{Key: c.Key, Record: c.Record, Revision: o.revision})
+		return rewriteWritten
 	}
+	k.recent.setRevision(c, o.revision)
+	return rewriteWritten
+}
+
+// rewriteClaims rewrites the claims with the given row keys and counts the outcomes.
+func (k *Keys) rewriteClaims(keys []string) {
+	var g errgroup.Group
+	g.SetLimit(maxConcurrentRewrites)
+	for _, key := range keys {
+		g.Go(func() error {
+			if c := k.recent.get(key); c != nil {
+				k.metrics.Count(metric.RequestKeyRewrites, "outcome", string(k.rewriteClaim(c)))
+			}
+			return nil
+		})
+	}
+	_ = g.Wait()
 }
 
 // rewriteLostClaims rewrites all claims that the store may have lost. It retries until the store has
@@ -64,21 +94,6 @@
 	}
 }
 
-// rewriteClaims rewrites the claims with the given row keys and counts the outcomes.
-func (k *Keys) rewriteClaims(keys []string) {
-	var g errgroup.Group
-	g.SetLimit(maxConcurrentRewrites)
-	for _, key := range keys {
-		g.Go(func() error {
-			if c := k.recent.get(key); c != nil {
-				k.metrics.Count(metric.RequestKeyRewrites, "outcome", string(k.rewriteClaim(c)))
-			}
-			return nil
-		})
-	}
-	_ = g.Wait()
-}
-
 // rewriteOutcome is the outcome of rewriting a claim, as counted in metric.RequestKeyRewrites.
 type rewriteOutcome string
 
@@ -90,31 +105,16 @@
 	rewriteWritten     rewriteOutcome = "written" // the claim was written
 )
 
-// rewriteClaim rewrites a claim if its row is lost or is an older one of the same attempt.
-func (k *Keys) rewriteClaim(c *Claim) rewriteOutcome {
-	o := k.write(k.ctx, newWrite(c.Key, 0, &c.Record))
-	if o.err == nil && o.current != nil {
-		x, err := decodeClaim(o.current)
-		switch {
-		case err != nil:
-			return rewriteFailed
-		case x.Record.AttemptID != c.Record.AttemptID:
-			return rewriteConflict
-		case c.Record.State == StateRunning && x.Record.State != StateRunning:
-			k.recent.setRevision(c, x.Revision)
-			return rewriteUnnecessary
+// runRewrite rewrites claims whenever the store was restored from a backup.
+func (k *Keys) runRewrite() {
+	for {
+		select {
+		case <-k.restored:
+			k.rewriteLostClaims()
+		case <-k.ctx.Done():
+			return
 		}
-		o = k.write(k.ctx, newWrite(c.Key, x.Revision, &c.Record))
-	}
-	if o.err != nil || o.current != nil {
-		return rewriteFailed
 	}
-	if k.recent.get(c.Key) == nil { // released meanwhile
-		_ = k.Release(k.ctx, &Claim{Key: c.Key, Record: c.Record, Revision: o.revision})
-		return rewriteWritten
-	}
-	k.recent.setRevision(c, o.revision)
-	return rewriteWritten
 }
 
 // storeRestoredError returns the error for a claim that is refused because the store was restored.
--- a/internal/requestkey/restored_test.go
+++ b/internal/requestkey/restored_test.go
@@ -17,7 +17,7 @@
 	"github.com/linetiller/linetiller/platform"
 )
 
-// testBox holds the request keys of one box and what the box knows of the store's era.
+// testBox holds the request keys of one box and the store's era as known to the box.
 type testBox struct {
 	*Keys
 	era   int64      // the store's era as known to the box
@@ -32,7 +32,7 @@
 	return b.era, b.since
 }
 
-// learnEra tells the box the store's current era.
+// learnEra makes the box learn the store's current era.
 func (b *testBox) learnEra(p *fakeplatform.Platform) {
 	era := p.Era()
 	b.mutex.Lock()
@@ -100,14 +100,14 @@
 // holder has rewritten the row, a repeat finds the request.
 func TestKeyThatTheStoreForgot(t *testing.T) {
 	for _, x := range []struct {
-		name       string
-		otherFirst bool // the other box inserts before the holder learns of the restore
-		learns     bool // the other box learns of the restore before it inserts
+		name              string
+		otherInsertsFirst bool // the other box inserts before the holder learns of the restore
+		otherLearns       bool // the other box learns of the restore before it inserts
 	}{
-		{"both have heard", false, true},
-		{"the holder hears later", true, true},
-		{"the other box has not heard", false, false},
-		{"nobody has heard", true, false},
+		{"both know of the restore", false, true},
+		{"the holder learns of it later", true, true},
+		{"the other box does not know", false, false},
+		{"neither knows", true, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			withBoxes(t, func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, b *testBox) {
@@ -115,7 +115,7 @@
 				a.claim(ctx, t, "first")
 				p.Restore()
 				repeat := func() {
-					if x.learns {
+					if x.otherLearns {
 						b.learnEra(p)
 					}
 					c, ours, err := b.Insert(ctx, testRowKey, record("second"))
@@ -123,13 +123,13 @@
 						t.Errorf("repeat: got %+v %v %v, want the first claim or a refusal", c, ours, err)
 					}
 				}
-				if x.otherFirst {
+				if x.otherInsertsFirst {
 					repeat()
 				}
 				a.learnEra(p)
 				time.Sleep(2 * time.Second)
 				checkRow(t, p, "2 s after the holder learned of the restore", "first", StateRunning)
-				if !x.otherFirst {
+				if !x.otherInsertsFirst {
 					repeat()
 				}
 				b.learnEra(p)
@@ -147,15 +147,15 @@
 // restored store has lost the row or holds an older version of it.
 func TestOutcomeAfterTheStoreWasRestored(t *testing.T) {
 	for _, x := range []struct {
-		name    string
-		copied  bool // the backup contains the row
-		learned bool // the box learns of the restore before the request ends
-	}{{"lost", false, true}, {"older", true, true}, {"lost, unheard", false, false}, {"older, unheard", true, false}} {
+		name      string
+		inBackup  bool // the backup contains the row
+		boxLearns bool // the box learns of the restore before the request ends
+	}{{"lost", false, true}, {"older", true, true}, {"lost, box does not know", false, false}, {"older, box does not know", true, false}} {
 		t.Run(x.name, func(t *testing.T) {
 			withBoxes(t, func(ctx context.Context, t *testing.T, p *fakeplatform.Platform, a, _ *testBox) {
 				p.TakeSnapshot()
 				c := a.claim(ctx, t, "first")
-				if x.copied {
+				if x.inBackup {
 					p.TakeSnapshot()
 				}
 				r := c.Record
@@ -164,7 +164,7 @@
 					t.Fatal(err)
 				}
 				p.Restore()
-				if x.learned {
+				if x.boxLearns {
 					a.learnEra(p)
 				}
 				r.State = StateFinished
--- a/internal/requestkey/writer.go
+++ b/internal/requestkey/writer.go
@@ -29,6 +29,20 @@
 	revision int64 // of the written row, or of the store if the condition failed
 }
 
+// abandon gives up waiting for i and returns an error. If i was an insert that completed at the last
+// moment, abandon undoes it.
+func (k *Keys) abandon(i *pendingWrite, err error) writeResult {
+	i.abandoned.Store(true)
+	select {
+	case o := <-i.done:
+		if o.err == nil && o.current == nil && i.insert {
+			k.undoInsert(i, o.revision)
+		}
+	default:
+	}
+	return writeResult{err: fail.Wrap(fail.Unavailable, writeOrigin(), "platform_slow", err)}
+}
+
 // collectBatch returns first and further queued writes, up to maxBatchWrites. It stops at a write to
 // a row that is already in the batch, which it returns as deferred, to go first in the next batch.
 func (k *Keys) collectBatch(first *pendingWrite) (batch []*pendingWrite, deferred *pendingWrite) {
@@ -143,7 +157,7 @@
 	case k.pending <- undo:
 	default:
 		// The queue is full. The row remains in StateRunning, so that a repeat of the request
-		// is told that the outcome is unknown.
+		// gets the answer that the outcome is unknown.
 	}
 }
 
@@ -166,20 +180,6 @@
 	}
 }
 
-// abandon gives up waiting for i and returns an error. If i was an insert that completed at the last
-// moment, abandon undoes it.
-func (k *Keys) abandon(i *pendingWrite, err error) writeResult {
-	i.abandoned.Store(true)
-	select {
-	case o := <-i.done:
-		if o.err == nil && o.current == nil && i.insert {
-			k.undoInsert(i, o.revision)
-		}
-	default:
-	}
-	return writeResult{err: fail.Wrap(fail.Unavailable, writeOrigin(), "platform_slow", err)}
-}
-
 // alreadyApplied reports whether r is the result of i, written by an earlier commit whose answer was
 // lost.
 func (i *pendingWrite) alreadyApplied(r *table.Row) bool {
--- a/internal/upstream/engine.go
+++ b/internal/upstream/engine.go
@@ -70,8 +70,8 @@
 }
 
 // CacheEvents returns the prefix cache events of an engine whose numbers are greater than after. gap
-// reports whether events are missing in between. The events arrive late, so that they may serve as
-// hints only.
+// reports whether events are missing after it. Events are reported with a delay and may be lost, so
+// callers must treat them as hints.
 func (c *Client) CacheEvents(ctx context.Context, address string, after int64) (l []CacheEvent, gap bool, err error) {
 	path := "/v1/cache/events?after=" + strconv.FormatInt(after, 10)
 	if err := c.call(ctx, "read cache events", http.MethodGet, address, path, nil, &l); err != nil {
@@ -130,8 +130,8 @@
 
 // Start starts a generation and opens its stream.
 //
-// An error of type fail.NotRun means that the generation was not started: the engine said so or no
-// connection to it was made. After any other error it may be running.
+// An error of type fail.NotRun means that the generation was not started: the engine refused it or could
+// not be connected to. After any other error it may be running.
 func (c *Client) Start(ctx context.Context, address string, s *Start) (*Stream, error) {
 	return c.openStream(ctx, "start", http.MethodPost, address, "/v1/generations", s, s.ID, 0)
 }
@@ -231,7 +231,7 @@
 	return json.Marshal(in)
 }
 
-// parseFinish returns b as a string, without allocating for the usual reasons.
+// parseFinish returns b as a string. It does not allocate for the finish reasons defined here.
 func parseFinish(b []byte) string {
 	for _, f := range []string{"", FinishStop, FinishLength, FinishCancelled} {
 		if string(b) == f {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -7,7 +7,7 @@
 //	GET    /v1/generations/ID              returns its progress, if it exists
 //	DELETE /v1/generations/ID              cancels it
 //	GET    /v1/load                        returns the load report, which lags behind
-//	GET    /v1/cache/events?after=         returns prefix cache events, late and possibly with gaps
+//	GET    /v1/cache/events?after=         returns prefix cache events, delayed and possibly with gaps
 //	POST   /v1/orders                      executes a fenced order
 package upstream
 
