--- a/assemble.go
+++ b/assemble.go
@@ -110,7 +110,7 @@
 	b.follower.Call = b.links.CallOnce
 	b.follower.Reconnect = func() { _ = s.Close() }
 	b.follower.OnRestored = b.keys.StoreRestored
-	b.follower.AnnounceListUnavailable = b.announceListUnreadable
+	b.follower.AnnounceListUnavailable = b.announceListUnavailable
 	b.follower.Jitter = rand.Float64
 	b.follower.Add(resource.SourceBoxes, configuration.BoxReader(s.Changes))
 	if b.hasEntry() {
@@ -148,7 +148,7 @@
 	b.relay.RecordLeaving = func(u *resource.Upstream) { b.announceLeaving(u, "its answer") }
 	b.relay.Place = b.reserved.Place
 	b.relay.HasOtherBoxes = b.hasOtherBoxes
-	b.relay.AcquireMoveSlot = b.acquireMoveTurn
+	b.relay.AcquireMoveSlot = b.acquireMoveSlot
 	b.relay.ViewAge = b.follower.ViewAge
 	b.relay.Upstreams = relay.UpstreamCalls{ProcessEnded: b.routedEngines.ProcessEnded, Migrate: b.routedEngines.Migrate, Release: b.routedEngines.Release, Send: b.routedEngines.Send}
 }
--- a/cold_test.go
+++ b/cold_test.go
@@ -64,11 +64,11 @@
 				}
 				c.sendPaced(8*time.Second, 10*time.Millisecond, false, roundRobin)
 				g.Wait()
-				if got, most := r.maxPerSecond("s-a1", began, began.Add(8*time.Second)), testColdPerSecond+testColdSlack; got > most {
-					t.Errorf("requests in a second at the cold upstream: got %d, want at most %d", got, most)
+				if got, maxWant := r.maxPerSecond("s-a1", began, began.Add(8*time.Second)), testColdPerSecond+testColdSlack; got > maxWant {
+					t.Errorf("requests in a second at the cold upstream: got %d, want at most %d", got, maxWant)
 				}
-				if got, least := r.requestsSince("s-a1", began), 8; got < least {
-					t.Errorf("requests at the cold upstream in total: got %d, want at least %d", got, least)
+				if got, minWant := r.requestsSince("s-a1", began), 8; got < minWant {
+					t.Errorf("requests at the cold upstream in total: got %d, want at least %d", got, minWant)
 				}
 			})
 		})
@@ -92,12 +92,12 @@
 			arrivals = append(arrivals, at)
 		}
 	}
-	n, first := 0, 0
+	n, start := 0, 0
 	for i := range arrivals {
-		for arrivals[i].Sub(arrivals[first]) >= time.Second {
-			first++
+		for arrivals[i].Sub(arrivals[start]) >= time.Second {
+			start++
 		}
-		n = max(n, i-first+1)
+		n = max(n, i-start+1)
 	}
 	return n
 }
--- a/crashes.go
+++ b/crashes.go
@@ -34,14 +34,14 @@
 // callers may retry their requests at any of them.
 func (b *Box) announceCrashes(l []policy.Crash) {
 	if slices.ContainsFunc(l, func(c policy.Crash) bool { return c.HasSuspect() }) {
-		b.requestKeptRead()
+		b.requestRecorderRead()
 	}
 	c := &b.crashBatch
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	waiting := len(c.pending) > 0
+	scheduled := len(c.pending) > 0
 	c.pending = append(c.pending, l...)
-	if waiting {
+	if scheduled {
 		return
 	}
 	b.startWorker(func() {
--- a/docs_test.go
+++ b/docs_test.go
@@ -73,10 +73,10 @@
 		l, _ := filepath.Glob(p)
 		pages = append(pages, l...)
 	}
-	seen := 0
+	commandLines := 0
 	for _, p := range pages {
 		for _, l := range regexp.MustCompile(`(?m)^    linetiller (.*)$`).FindAllStringSubmatch(readFile(t, p), -1) {
-			seen++
+			commandLines++
 			arguments := []string{"linetiller"}
 			for _, w := range strings.Fields(l[1]) {
 				if !regexp.MustCompile(`^[a-z]+$`).MatchString(w) {
@@ -93,8 +93,8 @@
 			}
 		}
 	}
-	if seen < 10 {
-		t.Errorf("command lines in the docs: got %d, want at least 10", seen)
+	if commandLines < 10 {
+		t.Errorf("command lines in the docs: got %d, want at least 10", commandLines)
 	}
 }
 
@@ -131,7 +131,7 @@
 // platform/ and in the stand-ins.
 func TestWireNamesStandInOnePlace(t *testing.T) {
 	names := regexp.MustCompile(`X-Linetiller-|(?i:kv-(?:from|backup|move|handle|fetch|pin)|hold-take)|rows-(?:tx|get|feed)|blob-(?:put|get)|target_version|expected_rev|after_rev|api_keys|path_prefix`)
-	seen := 0
+	files := 0
 	err := filepath.WalkDir(".", func(path string, d os.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -142,14 +142,14 @@
 		if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return nil
 		}
-		seen++
+		files++
 		if n := names.FindString(readFile(t, path)); n != "" {
 			t.Errorf("%s: got %q, which belongs in platform/", path, n)
 		}
 		return nil
 	})
-	if err != nil || seen < 50 {
-		t.Errorf("files read: got %d, %v", seen, err)
+	if err != nil || files < 50 {
+		t.Errorf("files read: got %d, %v", files, err)
 	}
 }
 
--- a/evacuation_test.go
+++ b/evacuation_test.go
@@ -70,9 +70,9 @@
 	}{
 		{"nothing else", func(*routedRegion) {}},
 		{"the first reader is paused", func(r *routedRegion) {
-			first := r.firstReader()
-			r.setPaused(first, true)
-			time.AfterFunc(20*time.Second, func() { r.setPaused(first, false) })
+			reader := r.firstReader()
+			r.setPaused(reader, true)
+			time.AfterFunc(20*time.Second, func() { r.setPaused(reader, false) })
 		}},
 		{"the first reader is killed", func(r *routedRegion) { r.kill(r.firstReader()) }},
 		{"the store refuses three of four boxes", func(r *routedRegion) { r.refuseBoxes("box-a1", "box-a2", "box-b1") }},
--- a/handle.go
+++ b/handle.go
@@ -20,7 +20,7 @@
 // handleMoveSlot waits for the run's turn to be moved, reports it to the caller, and holds the turn
 // until the caller ends the call.
 func (b *Box) handleMoveSlot(ctx context.Context, t *box.MoveSlotRequest, send func(*box.Reply) error) {
-	release, err := b.moveTurns.Acquire(ctx, t.Upstream, t.Inbound, &t.Run)
+	release, err := b.moveSlots.Acquire(ctx, t.Upstream, t.Inbound, &t.Run)
 	if err != nil {
 		return
 	}
--- a/heartbeat.go
+++ b/heartbeat.go
@@ -37,11 +37,11 @@
 // refreshAfterPause renews the views if the process was paused recently, because they then date
 // from before the pause. It is called at every tick and before requests are sent to upstreams.
 func (b *Box) refreshAfterPause(ctx context.Context) {
-	late := time.Since(b.started) - time.Duration(b.lastTick.Load())
-	if late < pauseThreshold {
+	sinceTick := time.Since(b.started) - time.Duration(b.lastTick.Load())
+	if sinceTick < pauseThreshold {
 		return
 	}
-	event.ClockJumped.Log(b.log, "late", late.String())
+	event.ClockJumped.Log(b.log, "late", sinceTick.String())
 	b.members.ClearFailures(time.Now())
 	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
--- a/innocent_test.go
+++ b/innocent_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	withPlainUpstreams(t, func(t *testing.T, r *routedRegion, c *callers) {
 		c.sendPaced(10*time.Second, 100*time.Millisecond, false, roundRobin)
-		if got, want := c.served, len(c.sent); got != want {
+		if got, want := c.servedCount, len(c.sentRequests); got != want {
 			t.Fatalf("served before the restart: got %d, want all %d", got, want)
 		}
 		for _, n := range boxesByHall {
@@ -50,9 +50,9 @@
 	}
 }
 
-// crashable wraps the calls of a box to upstreams: they fail as if the upstream crashed, while
+// wrapUpstreamCalls wraps the calls of a box to upstreams: they fail as if the upstream crashed, while
 // crashAll is in effect.
-func (r *region) crashable(name string, u relay.UpstreamCalls) relay.UpstreamCalls {
+func (r *region) wrapUpstreamCalls(name string, u relay.UpstreamCalls) relay.UpstreamCalls {
 	crashed := func() *atomic.Int64 {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
@@ -100,8 +100,8 @@
 			c.call("box-a1", "poison")
 			time.Sleep(10 * time.Second)
 		}
-		if got, most := crashed.Load(), int64(4); got > most {
-			t.Errorf("crashes: got %d, want at most %d", got, most)
+		if got, maxWant := crashed.Load(), int64(4); got > maxWant {
+			t.Errorf("crashes: got %d, want at most %d", got, maxWant)
 		}
 	})
 }
--- a/kept_test.go
+++ b/kept_test.go
@@ -19,20 +19,20 @@
 // meanwhile.
 type servingFleet struct {
 	*routedRegion
-	sentCalls     int
-	t             *testing.T
-	keptReadsFail atomic.Bool // reads of the kept rows fail
+	callCount         int
+	t                 *testing.T
+	recorderReadsFail atomic.Bool // reads of the kept rows fail
 }
 
-// keptReadFaults is a transport to the store that fails reads of the kept rows while active is set.
-type keptReadFaults struct {
+// recorderReadFaults is a transport to the store that fails reads of the kept rows while active is set.
+type recorderReadFaults struct {
 	next   http.RoundTripper
 	active *atomic.Bool
 }
 
 // RoundTrip makes one call.
-func (w *keptReadFaults) RoundTrip(q *http.Request) (*http.Response, error) {
-	if w.active.Load() && q.URL.Query().Get("table") == keptTable {
+func (w *recorderReadFaults) RoundTrip(q *http.Request) (*http.Response, error) {
+	if w.active.Load() && q.URL.Query().Get("table") == recorderTable {
 		return nil, errRefused
 	}
 	return w.next.RoundTrip(q)
@@ -77,12 +77,12 @@
 	}
 }
 
-// setKeptReadsFail makes reads of the kept rows fail, or succeed again, for boxes that start after
+// setRecorderReadsFail makes reads of the kept rows fail, or succeed again, for boxes that start after
 // the first call.
-func (f *servingFleet) setKeptReadsFail(on bool) {
-	f.keptReadsFail.Store(on)
+func (f *servingFleet) setRecorderReadsFail(on bool) {
+	f.recorderReadsFail.Store(on)
 	for _, n := range boxesByHall {
-		f.storeTransports[n] = &keptReadFaults{next: &boxTransport{from: n, region: f.region}, active: &f.keptReadsFail}
+		f.storeTransports[n] = &recorderReadFaults{next: &boxTransport{from: n, region: f.region}, active: &f.recorderReadsFail}
 	}
 }
 
@@ -111,9 +111,9 @@
 func (f *servingFleet) serve(period time.Duration, boxes []string, bodies ...string) {
 	f.t.Helper()
 	for i, began := 0, time.Now(); time.Since(began) < period; i++ {
-		f.sentCalls++
+		f.callCount++
 		box, body := boxes[(i/len(bodies))%len(boxes)], bodies[i%len(bodies)]
-		if got := f.post(box, fmt.Sprint("call-", f.sentCalls), body); got != http.StatusOK {
+		if got := f.post(box, fmt.Sprint("call-", f.callCount), body); got != http.StatusOK {
 			f.t.Fatalf("%s of %s: got status %d, want 200", body, box, got)
 		}
 		time.Sleep(servedCallInterval)
@@ -213,11 +213,11 @@
 		}},
 		{"the kept rows cannot be read until a minute after the crashes", func(f *servingFleet) {
 			f.serve(10*time.Second, all, servedBody)
-			f.setKeptReadsFail(true)
+			f.setRecorderReadsFail(true)
 			f.restart(all...)
 			f.crash("box-a1")
 			time.Sleep(time.Minute)
-			f.setKeptReadsFail(false)
+			f.setRecorderReadsFail(false)
 			time.Sleep(10 * time.Second)
 		}},
 		{"the store comes back from a copy that lacks it", func(f *servingFleet) {
@@ -341,8 +341,8 @@
 		{"runs", encodeRow(decodeRow[runEntry](encodeRow(k.runEntries(runs)))), encodeRow(k.runEntries(runs))},
 		{"crashes", encodeRow(decodeRow[crashEntry](encodeRow(k.crashEntries(crashes)))), encodeRow(k.crashEntries(crashes))},
 	} {
-		if got, most := len(x.encoded), 65536; got > most {
-			t.Errorf("%s: got %d bytes, want at most %d", x.name, got, most)
+		if got, maxWant := len(x.encoded), 65536; got > maxWant {
+			t.Errorf("%s: got %d bytes, want at most %d", x.name, got, maxWant)
 		}
 		if !bytes.Equal(x.reencoded, x.encoded) {
 			t.Errorf("%s: got another row after decoding and encoding", x.name)
--- a/leaving_test.go
+++ b/leaving_test.go
@@ -29,15 +29,15 @@
 // callers sends requests through every box at a steady rate and records through which box each was
 // sent.
 type callers struct {
-	mutex  sync.Mutex
-	region *routedRegion
-	sent   map[string]sentRequest // by request id
-	served int                    // complete answers
+	mutex        sync.Mutex
+	region       *routedRegion
+	sentRequests map[string]sentRequest // by request id
+	servedCount  int                    // complete answers
 }
 
 // newCallers returns callers that have sent no request yet.
 func newCallers(r *routedRegion) *callers {
-	return &callers{region: r, sent: make(map[string]sentRequest)}
+	return &callers{region: r, sentRequests: make(map[string]sentRequest)}
 }
 
 // call sends one call of the plain service through a box and reports whether it was served.
@@ -85,14 +85,14 @@
 	var g sync.WaitGroup
 	send := func(box, id string, do func() bool) {
 		c.mutex.Lock()
-		c.sent[id] = sentRequest{box, time.Now()}
+		c.sentRequests[id] = sentRequest{box, time.Now()}
 		c.mutex.Unlock()
 		g.Go(func() {
 			ok := do()
 			c.mutex.Lock()
 			defer c.mutex.Unlock()
 			if ok {
-				c.served++
+				c.servedCount++
 			}
 		})
 	}
@@ -117,7 +117,7 @@
 func (c *callers) sender(request string) (box string, sentAt time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	j := c.sent[request]
+	j := c.sentRequests[request]
 	return j.box, j.sentAt
 }
 
@@ -178,7 +178,7 @@
 						t.Errorf("requests after the announcement: got %d, want none, the first: %s", len(l), l[0])
 					}
 				}
-				if got, want := c.served, len(c.sent); got != want {
+				if got, want := c.servedCount, len(c.sentRequests); got != want {
 					t.Errorf("served: got %d, want all %d", got, want)
 				}
 				if len(r.upstreams[x.upstream].Arrivals()) == 0 {
--- a/limit_test.go
+++ b/limit_test.go
@@ -53,7 +53,7 @@
 		c.region.mutex.Unlock()
 		if running {
 			c.mutex.Lock()
-			c.sent[id] = sentRequest{box, time.Now()}
+			c.sentRequests[id] = sentRequest{box, time.Now()}
 			c.mutex.Unlock()
 			g.Go(func() {
 				var ok bool
@@ -65,7 +65,7 @@
 				c.mutex.Lock()
 				defer c.mutex.Unlock()
 				if ok {
-					c.served++
+					c.servedCount++
 				}
 			})
 		}
@@ -82,8 +82,8 @@
 	t.Helper()
 	for n, e := range c.region.upstreams {
 		for _, from := range []routed.Sender{c.sender, c.anySender} {
-			if broken := e.LimitViolation(from); broken != "" {
-				t.Errorf("%s: %s", n, broken)
+			if violation := e.LimitViolation(from); violation != "" {
+				t.Errorf("%s: %s", n, violation)
 			}
 		}
 	}
@@ -225,7 +225,7 @@
 				c.sendPaced(3*time.Second, x.every, false, x.target)
 				began := time.Now()
 				const period = 10 * time.Second
-				c.served, c.sent = 0, make(map[string]sentRequest)
+				c.servedCount, c.sentRequests = 0, make(map[string]sentRequest)
 				c.sendPaced(period, x.every, false, x.target)
 				sum := 0
 				for _, n := range x.upstreams {
@@ -235,10 +235,10 @@
 				if float64(sum) < want {
 					t.Errorf("got %d requests, want at least %.0f", sum, want)
 				}
-				if got, want := c.served, len(c.sent); len(x.upstreams) < len(plainUpstreams) && got != want {
+				if got, want := c.servedCount, len(c.sentRequests); len(x.upstreams) < len(plainUpstreams) && got != want {
 					t.Errorf("served: got %d, want all %d", got, want)
 				}
-				t.Logf("share of the limit used: %.2f, calls served: %d of %d", float64(sum)/want*0.8, c.served, len(c.sent))
+				t.Logf("share of the limit used: %.2f, calls served: %d of %d", float64(sum)/want*0.8, c.servedCount, len(c.sentRequests))
 			})
 		})
 	}
@@ -252,9 +252,9 @@
 		c.sendPaced(5*time.Second, 25*time.Millisecond, false, roundRobin)
 		r.setLimit("", plainUpstreams...)
 		c.sendPaced(2*time.Second, 25*time.Millisecond, false, roundRobin)
-		c.served, c.sent = 0, make(map[string]sentRequest)
+		c.servedCount, c.sentRequests = 0, make(map[string]sentRequest)
 		c.sendPaced(2*time.Second, 25*time.Millisecond, false, roundRobin)
-		if got, want := c.served, len(c.sent); got != want {
+		if got, want := c.servedCount, len(c.sentRequests); got != want {
 			t.Errorf("served from 2 s after the last limit on: got %d, want all %d", got, want)
 		}
 	})
@@ -346,7 +346,7 @@
 		var g sync.WaitGroup
 		for i := range 16 {
 			id := fmt.Sprint("long-", i)
-			c.sent[id] = sentRequest{roundRobin(i), time.Now()}
+			c.sentRequests[id] = sentRequest{roundRobin(i), time.Now()}
 			g.Go(func() {
 				if events, complete, _ := r.streamPlan(roundRobin(i), id, routedKey, 1200); events != 300 || !complete {
 					t.Errorf("%s: got %d events, complete %v; want 300, complete", id, events, complete)
@@ -375,25 +375,25 @@
 		t.Run(x.name, func(t *testing.T) {
 			withManyBoxes(t, 16, func(t *testing.T, r *routedRegion, c *callers, names []string) {
 				r.setLimit("2.8", plainUpstreams...)
-				var left []string
+				var remaining []string
 				for _, n := range names {
 					if n[4] == 'a' {
-						left = append(left, n)
+						remaining = append(remaining, n)
 					}
 				}
-				to := func(i int) string { return left[i%len(left)] }
+				to := func(i int) string { return remaining[i%len(remaining)] }
 				c.sendPaced(4*time.Second, 10*time.Millisecond, false, to)
 				for _, n := range names {
 					if n[4] == 'b' {
 						x.lose(r, n)
 					}
 				}
-				lost := time.Now()
+				lostAt := time.Now()
 				c.sendPaced(8*time.Second, 10*time.Millisecond, false, to)
 				c.checkLimits(t)
 				for _, n := range []string{"s-b1", "s-b2"} {
-					if got, least := r.requestsSince(n, lost.Add(4*time.Second)), 2; got < least {
-						t.Errorf("%s: got %d requests from 4 s after its hall's boxes were lost on, want at least %d", n, got, least)
+					if got, minWant := r.requestsSince(n, lostAt.Add(4*time.Second)), 2; got < minWant {
+						t.Errorf("%s: got %d requests from 4 s after its hall's boxes were lost on, want at least %d", n, got, minWant)
 					}
 				}
 			})
@@ -442,9 +442,9 @@
 		c.checkLimits(t)
 		r.setLimit("", plainUpstreams...)
 		listStartedAt(1_790_000_060_000)
-		c.served, c.sent = 0, make(map[string]sentRequest)
+		c.servedCount, c.sentRequests = 0, make(map[string]sentRequest)
 		c.sendPaced(time.Second, 25*time.Millisecond, false, roundRobin)
-		if got, want := c.served, len(c.sent); got != want {
+		if got, want := c.servedCount, len(c.sentRequests); got != want {
 			t.Errorf("served by restarted upstreams: got %d, want all %d", got, want)
 		}
 	})
--- a/limits.go
+++ b/limits.go
@@ -146,8 +146,8 @@
 		b.limits.markResponsive(name)
 		return r.Grant
 	}
-	refused := call.Err() == nil && fail.Reason(err) == box.ReasonUnreachable
-	if refused && b.members.RecordFailure(name, began, now) {
+	unreachable := call.Err() == nil && fail.Reason(err) == box.ReasonUnreachable
+	if unreachable && b.members.RecordFailure(name, began, now) {
 		event.PeerUnreachable.Log(b.log, "box", name, "error", err.Error())
 	}
 	if ctx.Err() == nil || now.Sub(began) >= forwardTimeout { // otherwise the caller cancelled too early to blame the box
@@ -291,7 +291,7 @@
 func rankAllocators(upstream string, hall, all []string) []string {
 	l := policy.Rank(upstream, hall)
 	n := min(preferredHallAllocators, len(l))
-	near, rest := l[:n], l[n:]
-	far := slices.DeleteFunc(policy.Rank(upstream, all), func(x string) bool { return slices.Contains(hall, x) })
-	return slices.Concat(near, far, rest)
+	preferred, rest := l[:n], l[n:]
+	otherHalls := slices.DeleteFunc(policy.Rank(upstream, all), func(x string) bool { return slices.Contains(hall, x) })
+	return slices.Concat(preferred, otherHalls, rest)
 }
--- a/linetiller.go
+++ b/linetiller.go
@@ -65,7 +65,7 @@
 	recorder         *recorder
 	store            *table.Store
 	tracker          *placement.Tracker
-	moveTurns        ownership.MoveSlots
+	moveSlots        ownership.MoveSlots
 	view             *resource.View
 
 	// entry holds the servers for the platform's load balancer: for requests, readiness checks and
@@ -73,7 +73,7 @@
 	entry []endpoint
 
 	// Connections to peers. Tests replace them.
-	connect           func() error
+	openListeners     func() error
 	engineTransport   http.RoundTripper
 	platformTransport http.RoundTripper
 	routedTransport   http.RoundTripper
@@ -113,13 +113,13 @@
 		serving: make(chan struct{}), pushRequested: make(chan struct{}, 1), leaveRequested: make(chan struct{}), log: slog.New(slog.DiscardHandler), metrics: metric.NewSet(),
 		recorder: newRecorder(), settings: s, started: time.Now(), view: resource.NewView(),
 	}
-	b.connect = b.listen
+	b.openListeners = b.listen
 	for _, o := range options {
 		o(b)
 	}
 	self := box.Member{Address: s.BoxAddress, Hall: s.Hall, Name: s.Box, State: box.StateServing}
 	b.members = member.NewTable(self)
-	if err := b.connect(); err != nil {
+	if err := b.openListeners(); err != nil {
 		return nil, err
 	}
 	b.assemble()
--- a/operators_test.go
+++ b/operators_test.go
@@ -76,16 +76,16 @@
 func TestWatchResumes(t *testing.T) {
 	h := newHall(t, 2, 1)
 	errEnough := errors.New("enough")
-	last := "0"
-	var seen []string
+	lastRevision := "0"
+	var events []string
 	watch := func(count int) {
 		t.Helper()
-		err := h.operator(1).Watch(t.Context(), "", last, func(e *operator.WatchEvent) error {
+		err := h.operator(1).Watch(t.Context(), "", lastRevision, func(e *operator.WatchEvent) error {
 			if e.Type == operator.WatchBookmark {
 				return nil
 			}
-			seen = append(seen, string(e.Type)+" "+e.Resource.Metadata.Name)
-			last = e.Revision
+			events = append(events, string(e.Type)+" "+e.Resource.Metadata.Name)
+			lastRevision = e.Revision
 			if count--; count == 0 {
 				return errEnough
 			}
@@ -101,14 +101,14 @@
 	if err := h.operator(0).Delete(t.Context(), resource.KindPriority, "later"); err != nil {
 		t.Fatal(err)
 	}
-	for len(seen) < 6 || !strings.HasPrefix(seen[len(seen)-1], "deleted") {
+	for len(events) < 6 || !strings.HasPrefix(events[len(events)-1], "deleted") {
 		watch(1)
 	}
 	want := "applied tiller-llm,applied counter,applied quotes,applied quote-desk-1,applied engine-1"
-	if got := strings.Join(seen[:5], ","); got != want {
+	if got := strings.Join(events[:5], ","); got != want {
 		t.Errorf("events: got %s, want %s", got, want)
 	}
-	if got, want := seen[len(seen)-1], "deleted later"; got != want {
+	if got, want := events[len(events)-1], "deleted later"; got != want {
 		t.Errorf("last event: got %s, want %s", got, want)
 	}
 }
--- a/ownercalls.go
+++ b/ownercalls.go
@@ -12,14 +12,14 @@
 // placementTimeout is how long to wait for an owner's first reply.
 const placementTimeout = time.Second
 
-// acquireMoveTurn waits, at the owner of an upstream, for the run's turn to be moved away from the
+// acquireMoveSlot waits, at the owner of an upstream, for the run's turn to be moved away from the
 // upstream, or to it if inbound is set. The caller must call the returned function when the move
 // has ended. The owner is determined from u, not from the view, because a leaving engine may no
 // longer be listed there.
-func (b *Box) acquireMoveTurn(ctx context.Context, u *resource.Upstream, inbound bool, r *policy.Run) (func(), error) {
+func (b *Box) acquireMoveSlot(ctx context.Context, u *resource.Upstream, inbound bool, r *policy.Run) (func(), error) {
 	o := policy.HighestRanked(u.Name, b.members.Alive(u.Spec.Hall))
 	if o == b.settings.Box {
-		return b.moveTurns.Acquire(ctx, u.Name, inbound, r)
+		return b.moveSlots.Acquire(ctx, u.Name, inbound, r)
 	}
 	// ctx limits only the wait. Once granted, the turn is held until it is released.
 	callCtx, cancelCall := context.WithCancel(context.WithoutCancel(ctx))
--- a/poison_test.go
+++ b/poison_test.go
@@ -27,9 +27,9 @@
 // poisonFleet is a fleet of plain upstreams that crash under poison requests and are replaced.
 type poisonFleet struct {
 	*routedRegion
-	crashes map[string][]time.Time // by body
-	sent    int
-	starts  int
+	crashes    map[string][]time.Time // by body
+	sentCount  int
+	startCount int
 }
 
 // withPoisonFleet runs f with two halls of two boxes and six upstreams that can crash.
@@ -50,8 +50,8 @@
 // by one with another name at the same address.
 func (p *poisonFleet) startRestartingUpstream(place string) {
 	p.mutex.Lock()
-	p.starts++
-	name := fmt.Sprintf("%s.%d", place, p.starts)
+	p.startCount++
+	name := fmt.Sprintf("%s.%d", place, p.startCount)
 	p.mutex.Unlock()
 	p.startUpstream(name)
 	p.link.SetDown(upstreamAddress(name), false)
@@ -88,8 +88,8 @@
 // send sends a poison request through a box.
 func (p *poisonFleet) send(box, body string) {
 	p.mutex.Lock()
-	p.sent++
-	id := fmt.Sprint("poison-", p.sent)
+	p.sentCount++
+	id := fmt.Sprint("poison-", p.sentCount)
 	p.mutex.Unlock()
 	p.post(box, id, body)
 }
@@ -104,14 +104,14 @@
 	if len(l) < minCrashes {
 		p.t.Errorf("%s: got %d crashes, want at least %d for the test to mean anything", body, len(l), minCrashes)
 	}
-	late := 0
+	lateRetries := 0
 	for _, x := range l {
 		if len(l) > 3 && x.Sub(l[2]) > convergencePeriod {
-			late++
+			lateRetries++
 		}
 	}
-	if late > maxLateRetries {
-		p.t.Errorf("%s: retries later than %v after the third crash: got %d (of %d crashes), want at most %d", body, convergencePeriod, late, len(l), maxLateRetries)
+	if lateRetries > maxLateRetries {
+		p.t.Errorf("%s: retries later than %v after the third crash: got %d (of %d crashes), want at most %d", body, convergencePeriod, lateRetries, len(l), maxLateRetries)
 	}
 }
 
@@ -234,13 +234,13 @@
 					g.Wait()
 					time.Sleep(2 * replacementDelay)
 				}
-				all := 0
+				totalCrashes := 0
 				for _, body := range slices.Compact(slices.Sorted(slices.Values(x.bodies))) {
 					p.checkLateRetries(body, x.minCrashes)
-					all += p.crashCount(body)
+					totalCrashes += p.crashCount(body)
 				}
-				if all < 3 {
-					t.Errorf("crashes: got %d, want at least 3 for the test to mean anything", all)
+				if totalCrashes < 3 {
+					t.Errorf("crashes: got %d, want at least 3 for the test to mean anything", totalCrashes)
 				}
 			})
 		})
--- a/quarantinedrow.go
+++ b/quarantinedrow.go
@@ -109,4 +109,4 @@
 }
 
 // quarantinedKey returns the key of a hall's row of quarantined requests.
-func quarantinedKey(hall string) string { return keptTable + "/" + quarantinedKind + "/" + hall }
+func quarantinedKey(hall string) string { return recorderTable + "/" + quarantinedKind + "/" + hall }
--- a/readers_test.go
+++ b/readers_test.go
@@ -44,13 +44,13 @@
 func (r *region) firstReader() string {
 	before := r.storeCalls()
 	time.Sleep(20 * time.Second)
-	first, most := "", 0
+	reader, maxCalls := "", 0
 	for n, c := range r.storeCalls() {
-		if c -= before[n]; c > most {
-			first, most = n, c
+		if c -= before[n]; c > maxCalls {
+			reader, maxCalls = n, c
 		}
 	}
-	return first
+	return reader
 }
 
 // storeCallsDuring returns how many store calls all boxes make in a period.
@@ -84,8 +84,8 @@
 func TestCallsDoNotGrowWithHalls(t *testing.T) {
 	for _, halls := range []string{"a", "abcde"} {
 		withLargeHalls(t, halls, func(t *testing.T, r *routedRegion) {
-			if got, most := r.storeCallsDuring(time.Minute), 90; got > most {
-				t.Errorf("halls %s: got %d calls in a minute, want at most %d", halls, got, most)
+			if got, maxWant := r.storeCallsDuring(time.Minute), 90; got > maxWant {
+				t.Errorf("halls %s: got %d calls in a minute, want at most %d", halls, got, maxWant)
 			}
 		})
 	}
@@ -97,8 +97,8 @@
 func TestOutageCostsFewCalls(t *testing.T) {
 	withLargeHalls(t, "abcde", func(t *testing.T, r *routedRegion) {
 		r.platform.SetFaults(fakeplatform.Faults{Down: true})
-		if got, most := r.storeCallsDuring(8*time.Second), 70; got > most {
-			t.Errorf("got %d calls in 8 s, want at most %d", got, most)
+		if got, maxWant := r.storeCallsDuring(8*time.Second), 70; got > maxWant {
+			t.Errorf("got %d calls in 8 s, want at most %d", got, maxWant)
 		}
 		r.platform.SetFaults(fakeplatform.Faults{})
 		time.Sleep(2 * time.Second)
@@ -116,12 +116,12 @@
 // all other boxes know of it within 1.5 s.
 func TestFirstReaderFreezes(t *testing.T) {
 	withLargeHalls(t, "abc", func(t *testing.T, r *routedRegion) {
-		first := r.firstReader()
-		r.setPaused(first, true)
+		reader := r.firstReader()
+		r.setPaused(reader, true)
 		time.Sleep(50 * time.Millisecond)
 		r.listUpstream("i-a1", "draining")
-		r.checkLeavingKnown(t, "i-a1", first, 1500*time.Millisecond)
-		r.setPaused(first, false)
+		r.checkLeavingKnown(t, "i-a1", reader, 1500*time.Millisecond)
+		r.setPaused(reader, false)
 	})
 }
 
@@ -129,13 +129,13 @@
 // shutdown notice: all boxes know of it within 0.5 s, and store calls stay few.
 func TestFirstReaderIsTurnedAway(t *testing.T) {
 	withLargeHalls(t, "abcde", func(t *testing.T, r *routedRegion) {
-		first := r.firstReader()
-		r.refuseBoxes(first)
+		reader := r.firstReader()
+		r.refuseBoxes(reader)
 		time.Sleep(3 * time.Second)
 		r.listUpstream("i-a1", "draining")
 		r.checkLeavingKnown(t, "i-a1", "", 500*time.Millisecond)
-		if got, most := r.storeCallsDuring(20*time.Second), 80; got > most {
-			t.Errorf("got %d calls in 20 s, want at most %d", got, most)
+		if got, maxWant := r.storeCallsDuring(20*time.Second), 80; got > maxWant {
+			t.Errorf("got %d calls in 20 s, want at most %d", got, maxWant)
 		}
 	})
 }
@@ -147,11 +147,11 @@
 	for _, delay := range []int{200, 400, 600, 900} {
 		withLargeHalls(t, "abc", func(t *testing.T, r *routedRegion) {
 			r.platform.SetFaults(fakeplatform.Faults{DelayMilliseconds: delay})
-			if got, most := r.storeCallsDuring(20*time.Second), 120; got > most {
-				t.Errorf("answers after %d ms: got %d calls in 20 s, want at most %d", delay, got, most)
+			if got, maxWant := r.storeCallsDuring(20*time.Second), 120; got > maxWant {
+				t.Errorf("answers after %d ms: got %d calls in 20 s, want at most %d", delay, got, maxWant)
 			}
-			if got, most := r.storeCallsDuring(20*time.Second), 40; got > most {
-				t.Errorf("answers after %d ms: got %d calls in the next 20 s, want at most %d", delay, got, most)
+			if got, maxWant := r.storeCallsDuring(20*time.Second), 40; got > maxWant {
+				t.Errorf("answers after %d ms: got %d calls in the next 20 s, want at most %d", delay, got, maxWant)
 			}
 		})
 	}
--- a/recorder.go
+++ b/recorder.go
@@ -39,18 +39,18 @@
 }
 
 const (
-	keptTable = "kept"
+	recorderTable = "kept"
 	// recordersPerHall is how many boxes of each data hall are recorders.
 	recordersPerHall = 3
-	// keptSyncInterval is the time between two checks for rows to read or write, or runs to report.
-	keptSyncInterval = 2 * time.Second
-	// keptReadMinInterval is the minimum time between two reads of the rows: when an upstream
+	// recorderSyncInterval is the time between two checks for rows to read or write, or runs to report.
+	recorderSyncInterval = 2 * time.Second
+	// recorderReadMinInterval is the minimum time between two reads of the rows: when an upstream
 	// crashes, many requests may fail and each asks for a read.
-	keptReadMinInterval = 5 * time.Second
-	// keptReadMaxAge is the age of a read after which a recorder reads the rows and the store's
+	recorderReadMinInterval = 5 * time.Second
+	// recorderReadMaxAge is the age of a read after which a recorder reads the rows and the store's
 	// clock again, so that the drift between the two clocks stays below clockSlack.
-	keptReadMaxAge = time.Hour
-	clockSlack     = time.Second
+	recorderReadMaxAge = time.Hour
+	clockSlack         = time.Second
 	// reportIntervalPerBox, multiplied by the number of boxes of the hall, is the time between two
 	// reports of a box. It limits the load of the recorders.
 	reportIntervalPerBox = 200 * time.Millisecond
@@ -81,10 +81,10 @@
 	return r.Revision, true
 }
 
-// readKeptRows reads the rows of all halls and clears the requests that are known from them to have
+// readRecorderRows reads the rows of all halls and clears the requests that are known from them to have
 // completed.
-func (b *Box) readKeptRows(ctx context.Context) {
-	c, err := b.store.Changes(ctx, keptTable, 0, 0)
+func (b *Box) readRecorderRows(ctx context.Context) {
+	c, err := b.store.Changes(ctx, recorderTable, 0, 0)
 	if err != nil {
 		return // retried at a later sync
 	}
@@ -129,9 +129,9 @@
 	}
 }
 
-// requestKeptRead has the rows read as soon as the store replies, to clear suspects of a crash that
+// requestRecorderRead has the rows read as soon as the store replies, to clear suspects of a crash that
 // had completed before it.
-func (b *Box) requestKeptRead() {
+func (b *Box) requestRecorderRead() {
 	k := b.recorder
 	k.requestRead()
 	select {
@@ -142,10 +142,10 @@
 
 // runRecorder synchronizes the rows and reports runs until ctx ends.
 func (b *Box) runRecorder(ctx context.Context) {
-	t := time.NewTicker(keptSyncInterval)
+	t := time.NewTicker(recorderSyncInterval)
 	defer t.Stop()
 	for {
-		b.syncKeptRows(ctx)
+		b.syncRecorderRows(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -155,11 +155,11 @@
 	}
 }
 
-// syncKeptRows reads the rows, reports this box's completed runs and, on the hall's first recorder,
+// syncRecorderRows reads the rows, reports this box's completed runs and, on the hall's first recorder,
 // writes the hall's rows, each if it is due.
-func (b *Box) syncKeptRows(ctx context.Context) {
+func (b *Box) syncRecorderRows(ctx context.Context) {
 	hall := b.members.Alive(b.settings.Hall)
-	recorders := policy.Rank(keptTable, hall)
+	recorders := policy.Rank(recorderTable, hall)
 	recorders = recorders[:min(recordersPerHall, len(recorders))]
 	if len(recorders) == 0 { // all boxes of the hall are leaving
 		recorders = []string{b.settings.Box}
@@ -168,7 +168,7 @@
 	era, _ := b.follower.Era()
 	k.setRecorder(slices.Contains(recorders, b.settings.Box), era, now)
 	if k.readDue(now) {
-		b.readKeptRows(ctx)
+		b.readRecorderRows(ctx)
 	}
 	if k.reportDue(len(hall), now) {
 		b.reportRuns(ctx, recorders)
@@ -200,7 +200,7 @@
 func (k *recorder) readDue(now time.Time) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if !k.readPending || now.Sub(k.triedAt) < keptReadMinInterval {
+	if !k.readPending || now.Sub(k.triedAt) < recorderReadMinInterval {
 		return false
 	}
 	k.triedAt = now
@@ -241,11 +241,11 @@
 
 // setRecorder records whether this box is a recorder, and the store's era. The rows are read if the
 // box becomes a recorder, because others have written them; in a new era, because they were
-// restored from a backup; and if the last read is older than keptReadMaxAge.
+// restored from a backup; and if the last read is older than recorderReadMaxAge.
 func (k *recorder) setRecorder(isRecorder bool, era int64, now time.Time) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if isRecorder && (!k.isRecorder || era != k.era || now.Sub(k.readAt) >= keptReadMaxAge) {
+	if isRecorder && (!k.isRecorder || era != k.era || now.Sub(k.readAt) >= recorderReadMaxAge) {
 		k.readPending = true
 	}
 	k.isRecorder, k.era = isRecorder, era
--- a/region_test.go
+++ b/region_test.go
@@ -204,7 +204,7 @@
 	}
 	r.setHall(name, s.Hall)
 	b, err := New(&s, func(b *Box) {
-		b.connect = func() error {
+		b.openListeners = func() error {
 			b.links = r.newEndpoint(name)
 			b.members.SetAddress(name)
 			if b.settings.Entry != (settings.Entry{}) {
@@ -219,7 +219,7 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	b.relay.Upstreams = r.crashable(name, b.relay.Upstreams)
+	b.relay.Upstreams = r.wrapUpstreamCalls(name, b.relay.Upstreams)
 	r.mutex.Lock()
 	r.boxes[name] = b
 	r.mutex.Unlock()
@@ -333,7 +333,7 @@
 const linkDelay = time.Millisecond
 
 func (r *region) call(ctx context.Context, from, to string, q *box.Request) (*box.Call, error) {
-	lost := fail.New(fail.Unavailable, fail.Origin{Peer: "box " + to, Step: "call"}, "box_unreachable", "no route")
+	errUnreachable := fail.New(fail.Unavailable, fail.Origin{Peer: "box " + to, Step: "call"}, "box_unreachable", "no route")
 	b, err := box.Encoding.Marshal(q)
 	if err != nil {
 		return nil, err
@@ -344,7 +344,7 @@
 	}
 	if r.eitherPoweredOff(from, to) {
 		<-ctx.Done()
-		return nil, lost
+		return nil, errUnreachable
 	}
 	r.mutex.Lock()
 	peer := r.boxes[to]
@@ -354,7 +354,7 @@
 		case <-ctx.Done():
 		case <-time.After(time.Second):
 		}
-		return nil, lost
+		return nil, errUnreachable
 	}
 	select {
 	case <-ctx.Done():
@@ -405,21 +405,21 @@
 				case b, ok := <-replies:
 					if r.eitherPoweredOff(from, to) {
 						<-ctx.Done()
-						return lost
+						return errUnreachable
 					}
 					if !ok {
-						return lost
+						return errUnreachable
 					}
 					return cbor.Unmarshal(b, x)
 				case <-check.C:
 					r.mutex.Lock()
-					gone := r.boxes[to] != peer
+					peerStopped := r.boxes[to] != peer
 					r.mutex.Unlock()
 					if r.eitherPoweredOff(from, to) {
 						continue
 					}
-					if gone || r.unreachable(from, to) || time.Now().After(deadline) {
-						return lost
+					if peerStopped || r.unreachable(from, to) || time.Now().After(deadline) {
+						return errUnreachable
 					}
 				case <-ctx.Done():
 					return ctx.Err()
--- a/restored_test.go
+++ b/restored_test.go
@@ -46,15 +46,15 @@
 
 // wantKey checks that every box accepts the key of one version of the configuration and refuses
 // that of another.
-func (r *routedRegion) wantKey(when string, version, refused int) {
+func (r *routedRegion) wantKey(when string, version, refusedVersion int) {
 	r.t.Helper()
 	for n := range r.boxes {
 		id := fmt.Sprint(when, "-", n, "-", time.Now().UnixNano())
 		if _, complete, status := r.streamPlan(n, id, versionKey(version), 8); !complete {
 			r.t.Errorf("%s: %s: the key of version %d: got status %d, want a complete stream", when, n, version, status)
 		}
-		if _, _, status := r.streamPlan(n, id+"-old", versionKey(refused), 8); status != http.StatusUnauthorized {
-			r.t.Errorf("%s: %s: the key of version %d: got status %d, want 401", when, n, refused, status)
+		if _, _, status := r.streamPlan(n, id+"-old", versionKey(refusedVersion), 8); status != http.StatusUnauthorized {
+			r.t.Errorf("%s: %s: the key of version %d: got status %d, want 401", when, n, refusedVersion, status)
 		}
 	}
 }
@@ -346,10 +346,10 @@
 	callsBefore, fullReadsBefore := calls(false)
 	t.Logf("calls in 10 s: %d, after an outage alone %d; full reads: %d and %d", n, callsBefore, fullReads, fullReadsBefore)
 	const readers, tables = 4, 3 // at most two in each hall
-	if most := 2 * readers * tables; fullReads > most {
-		t.Errorf("full reads: got %d, want at most %d", fullReads, most)
+	if maxWant := 2 * readers * tables; fullReads > maxWant {
+		t.Errorf("full reads: got %d, want at most %d", fullReads, maxWant)
 	}
-	if most := callsBefore + 2*readers*tables; n > most {
-		t.Errorf("calls: got %d, want at most %d", n, most)
+	if maxWant := callsBefore + 2*readers*tables; n > maxWant {
+		t.Errorf("calls: got %d, want at most %d", n, maxWant)
 	}
 }
--- a/routed_store_test.go
+++ b/routed_store_test.go
@@ -173,8 +173,8 @@
 		if got, want := c.Writes-before, int64(24); got != want {
 			t.Errorf("writes: got %d, want %d, a row each", got, want)
 		}
-		if got, most := c.Reads, int64(24); got > most {
-			t.Errorf("reads: got %d, want at most %d", got, most)
+		if got, maxWant := c.Reads, int64(24); got > maxWant {
+			t.Errorf("reads: got %d, want at most %d", got, maxWant)
 		}
 		for _, n := range names {
 			if _, complete, status := r.streamPlan(n, "id-"+n, routedKey, 40); !complete {
@@ -223,16 +223,16 @@
 			r.platform.Remove("servers/" + n)
 		}
 		r.platform.SetFaults(fakeplatform.Faults{})
-		back := time.Now()
+		backAt := time.Now()
 		time.AfterFunc(1500*time.Millisecond, func() {
 			for n := range r.upstreams {
 				r.listUpstream(n, "ready")
 			}
 		})
-		for i := 0; time.Since(back) < 4*time.Second; i++ {
+		for i := 0; time.Since(backAt) < 4*time.Second; i++ {
 			id := fmt.Sprint("id-", i)
 			if _, complete, status := r.streamPlan("box-a1", id, routedKey, 8); !complete {
-				t.Errorf("%s after the store's return: got status %d, want a complete stream", time.Since(back), status)
+				t.Errorf("%s after the store's return: got status %d, want a complete stream", time.Since(backAt), status)
 			}
 		}
 	})
@@ -245,8 +245,8 @@
 		const period = 60
 		time.Sleep(period * time.Second)
 		after := r.platform.Counters()
-		if got, most := float64(after.Reads-before.Reads)/period, 2.5; got > most {
-			t.Errorf("reads a second: got %.2f, want at most %.1f", got, most)
+		if got, maxWant := float64(after.Reads-before.Reads)/period, 2.5; got > maxWant {
+			t.Errorf("reads a second: got %.2f, want at most %.1f", got, maxWant)
 		}
 		if got := after.Writes - before.Writes; got != 0 {
 			t.Errorf("writes: got %d, want none", got)
--- a/routed_test.go
+++ b/routed_test.go
@@ -204,18 +204,18 @@
 		u := r.boxes["box-b1"].view.Upstream("i-b1")
 		r.platform.Remove("servers/i-b1")
 		time.Sleep(2 * time.Second)
-		taken := 0
+		granted := 0
 		for n, b := range r.boxes {
 			ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
-			release, err := b.acquireMoveTurn(ctx, u, false, &policy.Run{ID: n})
+			release, err := b.acquireMoveSlot(ctx, u, false, &policy.Run{ID: n})
 			cancel()
 			if err == nil {
-				taken++
+				granted++
 				defer release()
 			}
 		}
-		if taken != 1 {
-			t.Errorf("turns at once: got %d, want 1", taken)
+		if granted != 1 {
+			t.Errorf("turns at once: got %d, want 1", granted)
 		}
 	})
 }
@@ -237,8 +237,8 @@
 			if complete != x.complete || (complete && events != 300) {
 				t.Errorf("grace of %v: got %d events, complete %v, want complete %v", x.grace, events, complete, x.complete)
 			}
-			if got, most := time.Since(began), time.Second+x.grace; got > most {
-				t.Errorf("grace of %v: the answer ended after %v, want at most %v", x.grace, got, most)
+			if got, maxWant := time.Since(began), time.Second+x.grace; got > maxWant {
+				t.Errorf("grace of %v: the answer ended after %v, want at most %v", x.grace, got, maxWant)
 			}
 		})
 	}
--- a/runsrow.go
+++ b/runsrow.go
@@ -129,4 +129,4 @@
 }
 
 // runsKey returns the key of a hall's row of completed requests.
-func runsKey(hall string) string { return keptTable + "/" + runsKind + "/" + hall }
+func runsKey(hall string) string { return recorderTable + "/" + runsKind + "/" + hall }
--- a/serving_test.go
+++ b/serving_test.go
@@ -25,7 +25,7 @@
 		r := newRegion(t)
 		b, err := New(&s, func(b *Box) {
 			b.platformTransport = r.storeTransport("box-a1")
-			b.connect = func() error {
+			b.openListeners = func() error {
 				b.links = r.newEndpoint("box-a1")
 				go func() {
 					q := &box.Request{From: box.Member{Address: "box-a2", Hall: "a", Name: "box-a2"}, Kind: box.KindHeartbeat, SentAt: time.Now()}
--- a/silence_test.go
+++ b/silence_test.go
@@ -188,39 +188,39 @@
 
 // changeAndWait writes a configuration and a shutdown notice of an engine, and returns after how
 // long the last box knew each; most where one does not know by then.
-func (r *pooledRegion) changeAndWait(version int, engine string, most time.Duration) (keyAfter, leavingAfter time.Duration) {
+func (r *pooledRegion) changeAndWait(version int, engine string, timeout time.Duration) (keyDelay, noticeDelay time.Duration) {
 	r.configure(version, fmt.Sprint("key-", version))
 	r.listUpstream(engine, "draining")
-	return r.waitUntilKnown(version, engine, most)
+	return r.waitUntilKnown(version, engine, timeout)
 }
 
 // waitUntilKnown returns how long it takes until the last box with power knows a configuration, and
 // a shutdown notice; most where it takes longer.
-func (r *pooledRegion) waitUntilKnown(version int, engine string, most time.Duration) (keyAfter, leavingAfter time.Duration) {
+func (r *pooledRegion) waitUntilKnown(version int, engine string, timeout time.Duration) (keyDelay, noticeDelay time.Duration) {
 	began := time.Now()
-	keyAfter, leavingAfter = most, most
-	for time.Since(began) < most {
-		keyKnown, leavingKnown := true, true
+	keyDelay, noticeDelay = timeout, timeout
+	for time.Since(began) < timeout {
+		keyKnown, noticeKnown := true, true
 		for n, b := range r.boxes {
 			if r.eitherPoweredOff(n, n) {
 				continue
 			}
 			keyKnown = keyKnown && b.view.Revisions()[resource.SourceConfiguration] >= int64(version)
 			u := b.view.Upstream(engine)
-			leavingKnown = leavingKnown && (u == nil || !u.AcceptsWork(time.Now()))
+			noticeKnown = noticeKnown && (u == nil || !u.AcceptsWork(time.Now()))
 		}
 		if keyKnown {
-			keyAfter = min(keyAfter, time.Since(began))
+			keyDelay = min(keyDelay, time.Since(began))
 		}
-		if leavingKnown {
-			leavingAfter = min(leavingAfter, time.Since(began))
+		if noticeKnown {
+			noticeDelay = min(noticeDelay, time.Since(began))
 		}
-		if keyKnown && leavingKnown {
+		if keyKnown && noticeKnown {
 			break
 		}
 		time.Sleep(pollPeriod)
 	}
-	return keyAfter, leavingAfter
+	return keyDelay, noticeDelay
 }
 
 // propagationBound is the users' bound on when a change has to be in force, and on when a shutdown
@@ -229,15 +229,15 @@
 
 // checkPropagation changes the configuration and has an engine give its shutdown notice, and checks
 // that every box knows both within the time most.
-func (r *pooledRegion) checkPropagation(t *testing.T, most time.Duration) {
+func (r *pooledRegion) checkPropagation(t *testing.T, bound time.Duration) {
 	t.Helper()
-	keyAfter, leavingAfter := r.changeAndWait(2, "i-"+firstHall(r)+"1", 6*time.Second)
-	t.Logf("new key in force after %v, shutdown notice known after %v", keyAfter, leavingAfter)
-	if keyAfter > most {
-		t.Errorf("the new key was in force everywhere after %v, want at most %v", keyAfter, most)
+	keyDelay, noticeDelay := r.changeAndWait(2, "i-"+firstHall(r)+"1", 6*time.Second)
+	t.Logf("new key in force after %v, shutdown notice known after %v", keyDelay, noticeDelay)
+	if keyDelay > bound {
+		t.Errorf("the new key was in force everywhere after %v, want at most %v", keyDelay, bound)
 	}
-	if leavingAfter > most {
-		t.Errorf("the shutdown notice was known everywhere after %v, want at most %v", leavingAfter, most)
+	if noticeDelay > bound {
+		t.Errorf("the shutdown notice was known everywhere after %v, want at most %v", noticeDelay, bound)
 	}
 }
 
--- a/template_test.go
+++ b/template_test.go
@@ -60,18 +60,18 @@
 // every number that the platform provides: a box starts with each, or the error names the
 // platform's field.
 func TestTemplateTakesAnyNumber(t *testing.T) {
-	refused := map[string][]string{
+	refusedValues := map[string][]string{
 		"bounds.budget_window_s": {"0", "0.0", "-1"},
 		"bounds.cold_overage":    {"-1"}, "bounds.cold_slack": {"-1"},
 		"bounds.budget_extra": {"-1"}, "bounds.grace_s": {"-1"}, "bounds.retry_budget_ratio": {"-1"}, "limits.memory_mb": {"-1"},
 	}
-	for _, n := range slices.Sorted(maps.Keys(refused)) {
+	for _, n := range slices.Sorted(maps.Keys(refusedValues)) {
 		for _, v := range []string{"33.2", "0.4", "0", "0.0", "1", "1e3", "1e+300", "9007199254740993", "-1"} {
 			t.Run(n+"="+v, func(t *testing.T) {
 				values := platformValues()
 				values[n] = v
 				b := fillTemplate(t, values)
-				want := slices.Contains(refused[n], v)
+				want := slices.Contains(refusedValues[n], v)
 				err := startOnce(b)
 				if got := err != nil; got != want {
 					t.Fatalf("got error %v, want refused %v", err, want)
--- a/virtual_test.go
+++ b/virtual_test.go
@@ -115,14 +115,14 @@
 		var g sync.WaitGroup
 		const requests = 200
 		var mutex sync.Mutex
-		complete := 0
+		completeCount := 0
 		for i := range requests {
 			g.Go(func() {
 				n, err := r.generate("", fmt.Sprintf("%d %s length=300", i, strings.Repeat("word ", 800)), other)
 				mutex.Lock()
 				defer mutex.Unlock()
 				if err == nil && n == 300 {
-					complete++
+					completeCount++
 					return
 				}
 				t.Errorf("request %d: got %d tokens, %v; want 300", i, n, err)
@@ -134,7 +134,7 @@
 		}
 		r.kill(owner)
 		g.Wait()
-		if got, want := complete, requests; got != want {
+		if got, want := completeCount, requests; got != want {
 			t.Errorf("complete answers: got %d, want %d", got, want)
 		}
 		if got, want := r.engines["engine-a"].StartedGenerations(), requests; got != want {
