--- a/assemble.go
+++ b/assemble.go
@@ -187,7 +187,8 @@
 	return b.view.Limits().IdleTimeout.Duration()
 }
 
-// readLoad reads the load report of an engine, whether it belongs to a declared route or not.
+// readLoad reads the load report of an engine. A box with an entry serves the engines of declared
+// routes, any other box the engines that are declared as resources.
 func (b *Box) readLoad(ctx context.Context, address string) (*upstream.Load, error) {
 	if !b.hasEntry() {
 		return b.engines.Load(ctx, address)
--- a/bench_test.go
+++ b/bench_test.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	benchStreams = 32
-	benchTokens  = 500
+	benchStreams = 32  // concurrent streams, and sequential requests
+	benchTokens  = 500 // per stream
 )
 
 // unpacedEngine returns an engine stand-in that sends up to benchTokens tokens per generation as
--- a/broadcast.go
+++ b/broadcast.go
@@ -23,9 +23,9 @@
 	}
 }
 
-// announceListUnavailable tells the boxes of the hall whether the platform's list of upstreams is
-// unreadable for this box. Boxes that do not read the list themselves need to know, because they
-// own upstreams, too.
+// announceListUnavailable announces to the boxes of the hall whether this box cannot read the
+// platform's list of upstreams. Boxes that do not read the list themselves need to know, because
+// they own upstreams, too.
 func (b *Box) announceListUnavailable(unavailable bool) {
 	b.broadcast(b.settings.Hall, box.Request{ListUnavailable: unavailable, Kind: box.KindListUnavailable})
 }
--- a/callers_test.go
+++ b/callers_test.go
@@ -12,9 +12,9 @@
 	fakeservice "github.com/linetiller/linetiller/internal/fake/service"
 )
 
-// TestServiceCallsRunOnce checks service calls that must not be repeated: without a key they are
-// refused, and with one they run once, also where the call is repeated at another box or its answer
-// is lost.
+// TestServiceCallsRunOnce checks service calls that are not safe to repeat: without an idempotency
+// key they are refused, and with one they run once, even if the client repeats the call at another
+// box or the service's answer is lost.
 func TestServiceCallsRunOnce(t *testing.T) {
 	h := newHall(t, 2, 1)
 	call := func(box int, method, key string) (int, fakeservice.Answer, string) {
--- a/crashes.go
+++ b/crashes.go
@@ -22,8 +22,8 @@
 const crashBatchDelay = 5 * time.Millisecond
 
 const (
-	// unknownDigest is passed as the digest of a box that has not announced one, so that the box is
-	// asked: 0 would mean that it knows nothing.
+	// unknownDigest is passed as the digest of a box that has not announced one, so that its crashes
+	// and limits are fetched: 0 would mean that it knows no crashes.
 	unknownDigest = 1
 	// initialFetchTimeout limits how long a starting box waits for its neighbours' crashes and
 	// limits. Neighbours that are down do not reply.
@@ -54,8 +54,8 @@
 	})
 }
 
-// fetchCrashes asks a box for the crashes that this one does not know, if the digests differ, and
-// has new ones passed on to the neighbours.
+// fetchCrashes fetches the crashes that a box knows and this one does not, if the digests differ,
+// and triggers heartbeats if there are new ones, so that the neighbours fetch them, too.
 func (b *Box) fetchCrashes(ctx context.Context, m box.Member, digest uint64) {
 	q := b.relay.Quarantine()
 	if digest == 0 || digest == q.Digest(time.Now()) {
@@ -70,9 +70,9 @@
 	}
 }
 
-// fetchFromNeighbours asks the neighbours for the crashes and rate limits that they know, before
-// the first request. Otherwise a starting box would forward quarantined requests and exceed the
-// limits of upstreams.
+// fetchFromNeighbours fetches the crashes and rate limits that the neighbours know, before the
+// first request. Otherwise a starting box would forward quarantined requests and exceed the limits
+// of upstreams.
 func (b *Box) fetchFromNeighbours(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, initialFetchTimeout)
 	defer cancel()
--- a/crashes_test.go
+++ b/crashes_test.go
@@ -14,10 +14,11 @@
 	"github.com/linetiller/linetiller/internal/relay"
 )
 
-// TestBoxesHearUnderWhatUpstreamsCrash guards against boxes that do not share under which requests
-// upstreams crash, so that each box lets further upstreams crash under a poison request. A caller
-// sends the request to one box after another: two upstreams crash, whichever hall they are in, and
-// from then on all boxes refuse it. A hall that is cut off goes by the crashes that it saw itself.
+// TestBoxesHearUnderWhatUpstreamsCrash guards against boxes that do not announce to each other
+// which requests upstreams crash under, so that each box lets further upstreams crash under a
+// poison request. A caller sends the request to one box after another: two upstreams crash,
+// whichever hall they are in, and from then on all boxes refuse it. While the halls are cut off
+// from each other, each counts only its own crashes.
 func TestBoxesHearUnderWhatUpstreamsCrash(t *testing.T) {
 	for _, cut := range []bool{false, true} {
 		withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
@@ -62,8 +63,8 @@
 }
 
 // TestRequestThatIsServedIsCleared guards against a request that many callers send and that is
-// refused as soon as any two upstreams crash under it, for whatever cause. All boxes know of one
-// crash; then one box serves the request, which clears it at all of them.
+// refused as soon as any two upstreams crash while they run it, whatever the cause. All boxes know
+// of one crash; then one box serves the request, which clears it at all of them.
 func TestRequestThatIsServedIsCleared(t *testing.T) {
 	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 		for _, n := range []string{"s-a1", "s-a2", "s-b1", "s-b2"} {
--- a/evacuation_test.go
+++ b/evacuation_test.go
@@ -14,9 +14,9 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// evacuationBound is the time after the store's acknowledgement within which an evacuation, or its
-// withdrawal, has to be in force: from then on nothing is sent to an evacuated hall, or the hall is
-// used again.
+// evacuationBound is the time after the store's acknowledgement of a write within which an
+// evacuation, or its withdrawal, has to be in force: from then on nothing is sent to an evacuated
+// hall, or the hall is used again.
 const evacuationBound = 5 * time.Second
 
 // evacuate sets or withdraws the evacuation of halls.
--- a/handle.go
+++ b/handle.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// handleMoveSlot waits for the run's turn to be moved, reports it to the caller, and holds the turn
-// until the caller ends the call.
+// handleMoveSlot waits until a move slot of the upstream is granted to the run, reports that to the
+// caller, and holds the slot until the caller ends the call.
 func (b *Box) handleMoveSlot(ctx context.Context, t *box.MoveSlotRequest, send func(*box.Reply) error) {
 	release, err := b.moveSlots.Acquire(ctx, t.Upstream, t.Inbound, &t.Run)
 	if err != nil {
--- a/heartbeat.go
+++ b/heartbeat.go
@@ -59,10 +59,10 @@
 	})
 }
 
-// runPush sends heartbeats to the neighbours as soon as there is a new configuration, a newly
-// learned crash, or this box begins to leave, instead of waiting for the next interval. The
-// neighbours then fetch what is new. It starts with what the box learned while starting: neighbours
-// may have started at the same time and know nothing.
+// runPush sends heartbeats to the neighbours as soon as the view changes, a crash becomes known or
+// this box begins to leave, instead of waiting for the next interval. The neighbours then fetch what
+// is new. The first heartbeats are sent at once, because neighbours that started at the same time
+// lack what this box learned while it joined.
 func (b *Box) runPush(ctx context.Context) {
 	leaveRequested := b.leaveRequested
 	b.sendHeartbeats(ctx)
--- a/ignored.go
+++ b/ignored.go
@@ -15,11 +15,12 @@
 	revisions map[string]int64 // by key
 }
 
-// maxIgnoredRows limits the rows that are remembered. When it is reached, all are forgotten and
-// counted again.
+// maxIgnoredRows limits the number of rows that are remembered. When it is reached, all are dropped
+// and counted again at the next read.
 const maxIgnoredRows = 1024
 
-// recordIgnoredRow counts and logs a row of the list of upstreams that names no upstream.
+// recordIgnoredRow counts and logs a row of the list of upstreams that does not describe an
+// upstream.
 func (b *Box) recordIgnoredRow(r platform.IgnoredRow) {
 	if !b.ignored.add(r.Key, r.Revision) {
 		return
--- a/inforce.go
+++ b/inforce.go
@@ -11,11 +11,11 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// maxInForceCalls limits how many boxes are asked concurrently.
+// maxInForceCalls limits the number of concurrent calls to boxes of the hall.
 const maxInForceCalls = 64
 
-// inForce returns the current revisions of the boxes of every hall. It asks each box of its own
-// hall, and one box of each other hall for that whole hall.
+// inForce returns the current revisions of the boxes of every hall. It requests them from each box
+// of its own hall, and from one box of each other hall for that whole hall.
 func (b *Box) inForce(ctx context.Context) []box.HallRevisions {
 	var mutex sync.Mutex
 	l := b.inForceLocal(ctx, true)
@@ -68,8 +68,8 @@
 	return []box.HallRevisions{h}
 }
 
-// inForceRemote asks the boxes of another hall, one after another until one replies, for the
-// revisions of that hall.
+// inForceRemote requests the revisions of another hall from the boxes of that hall, one after
+// another until one replies.
 func (b *Box) inForceRemote(ctx context.Context, hall string) []box.HallRevisions {
 	boxes := b.members.Alive(hall)
 	for _, n := range policy.Rank(b.settings.Box, boxes) {
--- a/innocent_test.go
+++ b/innocent_test.go
@@ -36,8 +36,8 @@
 	})
 }
 
-// crashAll makes every upstream crash that a box sends to. It returns the counter of these crashes,
-// and a function that ends the fault.
+// crashAll makes each call of a box to an upstream fail as if the upstream crashed. It returns the
+// number of these crashes, and a function that ends the fault.
 func (r *region) crashAll(box string) (crashed *atomic.Int64, end func()) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -50,8 +50,8 @@
 	}
 }
 
-// wrapUpstreamCalls wraps the calls of a box to upstreams: they fail as if the upstream crashed, while
-// crashAll is in effect.
+// wrapUpstreamCalls wraps the calls of a box to upstreams so that they fail while crashAll is in
+// effect.
 func (r *region) wrapUpstreamCalls(name string, u relay.UpstreamCalls) relay.UpstreamCalls {
 	crashed := func() *atomic.Int64 {
 		r.mutex.Lock()
@@ -78,7 +78,7 @@
 func TestServedRequestAfterAllBoxesRestarted(t *testing.T) {
 	withRestartedBoxes(t, func(t *testing.T, r *routedRegion, c *callers) {
 		_, end := r.crashAll("box-a1")
-		c.call("box-a1", "bystander") // two upstreams crash under it
+		c.call("box-a1", "bystander") // two upstreams crash while they run it
 		end()
 		time.Sleep(time.Second)
 		for _, n := range boxesByHall {
--- a/join.go
+++ b/join.go
@@ -11,8 +11,7 @@
 )
 
 const (
-	// joinTimeout limits the whole join. A box that learned nothing by then serves with what it
-	// has.
+	// joinTimeout limits the whole join. After it, a box serves with whatever it has learned.
 	joinTimeout = 3 * time.Second
 	// neighbourWait is how long a starting box waits for its neighbours to send the configuration
 	// before it reads everything from the store itself. If all boxes start at once, those that read
@@ -23,12 +22,12 @@
 	// first one to give up passes on what it reads to those that still wait.
 	neighbourWaitJitter = 800 * time.Millisecond
 	// boxRowsWait is how long a box that the store does not list yet waits, after writing its own
-	// row, for the rows of boxes that start at the same time. On the users' platform all boxes
-	// start within 0.3 s of each other. Without their rows, each box would consider itself one of
-	// those that read the whole store.
+	// row, for the rows of boxes that start at the same time. All boxes of a system may start
+	// within 0.3 s of each other. Without their rows, each box would consider itself one of those
+	// that read the whole store.
 	boxRowsWait = 400 * time.Millisecond
 	// boxRowsWaitJitter is the random part of that wait when the system starts for the first time.
-	// The first box to read the rows tells the others, which then need not read them.
+	// The first box to read the rows sends them to the others, which then need not read them.
 	boxRowsWaitJitter = 1200 * time.Millisecond
 )
 
@@ -49,7 +48,7 @@
 
 // join discovers the other boxes and applies the latest configuration that they or the store hold,
 // before the first request. Only a few boxes read the whole store: with 300 boxes and a list of
-// 3,000 upstreams, a read by every box cost 0.03 of the value served.
+// 3,000 upstreams, a read by every box costs 0.03 of the value served.
 func (b *Box) join(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
--- a/kept_test.go
+++ b/kept_test.go
@@ -15,16 +15,17 @@
 	"github.com/linetiller/linetiller/internal/policy"
 )
 
-// servingFleet is four boxes that serve calls again and again, and are restarted or killed
+// servingFleet is a region of four boxes that serve calls repeatedly, and are restarted or killed
 // meanwhile.
 type servingFleet struct {
 	*routedRegion
 	callCount         int
 	t                 *testing.T
-	recorderReadsFail atomic.Bool // reads of the kept rows fail
+	recorderReadsFail atomic.Bool // reads of the recorders' rows fail
 }
 
-// recorderReadFaults is a transport to the store that fails reads of the kept rows while active is set.
+// recorderReadFaults is a transport to the store that fails reads of the recorders' rows while
+// active is set.
 type recorderReadFaults struct {
 	next   http.RoundTripper
 	active *atomic.Bool
@@ -38,14 +39,14 @@
 	return w.next.RoundTrip(q)
 }
 
-// servedBody is the body of the call that is served before upstreams crash under it.
+// servedBody is the body of the call that is served before upstreams crash while they run it.
 const servedBody = "popular"
 
 // servedCallInterval is the time between two calls.
 const servedCallInterval = 100 * time.Millisecond
 
-// crash sends the call through some boxes at once, while the two upstreams that each box tries
-// crash under it.
+// crash sends the call through some boxes at once, while the two upstreams that each box tries crash
+// as they run it.
 func (f *servingFleet) crash(boxes ...string) {
 	for _, n := range boxes {
 		crashed, end := f.crashAll(n)
@@ -77,8 +78,8 @@
 	}
 }
 
-// setRecorderReadsFail makes reads of the kept rows fail, or succeed again, for boxes that start after
-// the first call.
+// setRecorderReadsFail makes reads of the recorders' rows fail, or succeed again, for boxes that
+// start after the first call.
 func (f *servingFleet) setRecorderReadsFail(on bool) {
 	f.recorderReadsFail.Store(on)
 	for _, n := range boxesByHall {
@@ -120,7 +121,7 @@
 	}
 }
 
-// numberedBodies returns as many bodies as count says, each of another call.
+// numberedBodies returns count distinct bodies, each of another call.
 func numberedBodies(name string, count int) []string {
 	var l []string
 	for i := range count {
@@ -130,8 +131,8 @@
 }
 
 // TestServedRequestIsNotForgotten guards against a request that all boxes refuse for crashes which
-// another request caused, although it was served again and again: the boxes that served it have
-// restarted since.
+// another request caused, although it was served repeatedly: the boxes that served it have restarted
+// since.
 func TestServedRequestIsNotForgotten(t *testing.T) {
 	all := boxesByHall
 	type scenario struct {
@@ -268,7 +269,8 @@
 }
 
 // TestQuarantineAfterAllBoxesRestarted guards against a poison request that crashes two more
-// upstreams each time all boxes restart, because only the boxes knew of its quarantine.
+// upstreams each time all boxes restart, because its quarantine was stored nowhere but in the memory
+// of the boxes.
 func TestQuarantineAfterAllBoxesRestarted(t *testing.T) {
 	withPoisonFleet(t, func(t *testing.T, p *poisonFleet) {
 		restart := func() {
@@ -372,8 +374,7 @@
 }
 
 // TestClockOfTheStoreThatStartsAnew guards against a row that was written before the store's clock
-// started anew: its runs would be dated to the present, and clear a poison request of the crashes
-// before.
+// was reset: its runs would be dated to the present, and clear a poison request of earlier crashes.
 func TestClockOfTheStoreThatStartsAnew(t *testing.T) {
 	now := time.Now()
 	k := newRecorder()
@@ -388,8 +389,8 @@
 	}
 }
 
-// FuzzKeptRow has a box read rows with arbitrary contents: it learns no time in the future, and can
-// decode what it encodes from them.
+// FuzzKeptRow decodes rows with arbitrary contents: no time that a box gets from them lies in the
+// future, and it can decode what it encodes from them.
 func FuzzKeptRow(f *testing.F) {
 	now := time.UnixMilli(1 << 41)
 	k := newRecorder()
--- a/leaving.go
+++ b/leaving.go
@@ -9,8 +9,8 @@
 
 // announceLeaving records an upstream's own shutdown notice and announces it to all other boxes,
 // unless the platform's list or another box reported it before. Without the announcement, each box
-// would go on sending requests to the upstream until it got a notice in a response itself, because
-// the list may be unavailable for long. An announcement costs one message per box.
+// would go on sending requests to the upstream until one of its own responses contained the notice,
+// because the list may be unavailable for long. An announcement costs one message per box.
 func (b *Box) announceLeaving(u *resource.Upstream, from string) {
 	if !b.recordLeaving(u.Name, u.Spec.StartedAtMS, from) {
 		return
--- a/leaving_test.go
+++ b/leaving_test.go
@@ -121,8 +121,8 @@
 	return j.box, j.sentAt
 }
 
-// anySender returns the same as sender, with all boxes counted as one: what an upstream tells one
-// box, the other boxes have to learn from that box.
+// anySender returns the same as sender, with all boxes counted as one: what an upstream announces to
+// one box, the other boxes have to learn from that box.
 func (c *callers) anySender(request string) (box string, sentAt time.Time) {
 	_, sentAt = c.sender(request)
 	return "the boxes", sentAt
@@ -130,8 +130,8 @@
 
 // TestUpstreamThatSaysItLeavesGetsNothingNew guards against new requests to an upstream that has
 // announced that it is leaving. With the store unavailable it can announce that only in its answers
-// to the boxes that send to it. Boxes read answers only for their request and went by the list of
-// upstreams alone: each box logged the announcement in the answer as unknown.
+// to the boxes that send to it. Boxes that rely on the list of upstreams alone log the
+// announcement as unknown and go on sending.
 //
 // Entries of the list that are older than the upstream's own announcement must not override it.
 func TestUpstreamThatSaysItLeavesGetsNothingNew(t *testing.T) {
@@ -141,7 +141,7 @@
 		upstream string
 		streams  bool
 		before   func(r *routedRegion)
-		disrupt  func(r *routedRegion) // once it leaves
+		disrupt  func(r *routedRegion) // when the upstream begins to leave
 	}{
 		{"the store is unavailable", "s-a1", false, down, func(*routedRegion) {}},
 		{"the store is unavailable, and an engine leaves", "i-a1", true, down, func(*routedRegion) {}},
@@ -190,7 +190,7 @@
 }
 
 // TestBoxesHearOfLeavingFromOneAnother has an upstream announce to a single box that it is leaving:
-// the other boxes send it nothing more, although it has told them nothing.
+// the other boxes send it nothing more, although it has announced nothing to them.
 func TestBoxesHearOfLeavingFromOneAnother(t *testing.T) {
 	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 		r.startUpstream("s-a1")
@@ -215,8 +215,8 @@
 
 // TestLeavingIsTakenBack guards against an engine that stays unused after an operator has declared
 // it as leaving and then withdrawn that. Until the withdrawal reaches the engine, its load reports
-// still say that it is leaving. They repeat the declaration, and are no announcement of the
-// engine's own, which would be final.
+// still say that it is leaving. They only repeat the declaration; an announcement by the engine
+// itself would be final.
 func TestLeavingIsTakenBack(t *testing.T) {
 	withRegion(t, func(t *testing.T, r *region) {
 		const spec = `{"address":"http://127.0.1.1:1","hall":"a","kvTokens":60000,"maxBatch":100,"models":["m"],"type":"engine","leaving":%v}`
--- a/limit_test.go
+++ b/limit_test.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// TestLimitHoldsWhileBoxesComeAndGo guards against a share of a rate limit that is given out twice
+// TestLimitHoldsWhileBoxesComeAndGo guards against a share of a rate limit that is allocated twice
 // while boxes join, restart, stop, are killed, are paused or are cut off.
 func TestLimitHoldsWhileBoxesComeAndGo(t *testing.T) {
 	restart := func(r *routedRegion, name string) {
@@ -260,8 +260,8 @@
 	})
 }
 
-// withManyBoxes runs f with that many boxes in two halls and the four plain upstreams; names are
-// those of the boxes.
+// withManyBoxes runs f with the given number of boxes in two halls and the four plain upstreams;
+// names are those of the boxes.
 func withManyBoxes(t *testing.T, boxes int, f func(t *testing.T, r *routedRegion, c *callers, names []string)) {
 	t.Helper()
 	withPlainUpstreams(t, func(t *testing.T, r *routedRegion, c *callers) {
@@ -312,8 +312,8 @@
 	})
 }
 
-// TestRefusedAtOnceWhileAllAreLimited guards against requests that wait and are refused all the
-// same, and against refusals without a Retry-After, while all upstreams have rate limits.
+// TestRefusedAtOnceWhileAllAreLimited guards against requests that wait before they are refused,
+// and against refusals without a Retry-After, while all upstreams have rate limits.
 func TestRefusedAtOnceWhileAllAreLimited(t *testing.T) {
 	withPlainUpstreams(t, func(t *testing.T, r *routedRegion, c *callers) {
 		r.setLimit("0.2", plainUpstreams...)
@@ -362,8 +362,8 @@
 	})
 }
 
-// TestLimitHoldsOnceAHallsBoxesAreGone guards against boxes that each give out permits on their own
-// where no box of the upstream's data hall answers.
+// TestLimitHoldsOnceAHallsBoxesAreGone guards against boxes that each allocate permits on their own
+// where no box of the upstream's data hall replies.
 func TestLimitHoldsOnceAHallsBoxesAreGone(t *testing.T) {
 	for _, x := range []struct {
 		name string
@@ -401,8 +401,8 @@
 	}
 }
 
-// TestBoxThatDoesNotKnowPermitsStays guards against boxes of an earlier version that are taken for
-// dead, and lose the upstreams that they own, because they answer requests for permits with an
+// TestBoxThatDoesNotKnowPermitsStays guards against boxes of an earlier version that count as
+// unreachable, and lose the upstreams that they own, because they answer permit requests with an
 // error.
 func TestBoxThatDoesNotKnowPermitsStays(t *testing.T) {
 	withPlainUpstreams(t, func(t *testing.T, r *routedRegion, c *callers) {
@@ -419,7 +419,7 @@
 		c.sendPaced(5*time.Second, 25*time.Millisecond, false, roundRobin)
 		for n, b := range r.boxes {
 			if got, want := len(b.members.Alive("")), len(r.boxes); got != want {
-				t.Errorf("%s: boxes taken to be alive: got %d, want %d", n, got, want)
+				t.Errorf("%s: boxes counted as alive: got %d, want %d", n, got, want)
 			}
 		}
 	})
@@ -451,7 +451,7 @@
 }
 
 // TestLimitNamedNowAndThen guards against a rate limit that is dropped, or a flood of announcements
-// between boxes, where an upstream names the limit in every other answer.
+// between boxes, where an upstream announces the limit in every other answer.
 func TestLimitNamedNowAndThen(t *testing.T) {
 	const period = 10 * time.Second
 	for _, x := range []struct {
--- a/limits.go
+++ b/limits.go
@@ -14,8 +14,8 @@
 )
 
 // limitState is this box's part in enforcing the rate limits of upstreams. For each limited
-// upstream, one box allocates the permits to send requests to it, and all boxes know that it is
-// limited.
+// upstream, one box, its allocator, grants the permits to send requests to it, and all boxes know
+// that it is limited.
 type limitState struct {
 	allocator *ratelimit.Allocator
 	limiter   *ratelimit.Limiter
@@ -30,7 +30,7 @@
 // unresponsivePeriod is the time for which a box that did not reply to a permit request is skipped.
 type unresponsivePeriod struct {
 	since time.Time // of the first request without a reply
-	until time.Time // when the box is asked again
+	until time.Time // when permits may be requested from the box again
 }
 
 const (
@@ -38,7 +38,7 @@
 	// change its limit in every other response. Boxes that miss an announcement fetch the limits
 	// after a heartbeat.
 	announceInterval = 200 * time.Millisecond
-	// forwardTimeout limits a permit request that is forwarded to the allocating box, permitTimeout
+	// forwardTimeout limits a permit request that is forwarded to the allocator, permitTimeout
 	// one that is sent directly. The forwarding box falls back to its own allocation early enough
 	// for the requesting box to get the reply.
 	forwardTimeout = 40 * time.Millisecond
@@ -46,10 +46,10 @@
 	// preferredHallAllocators is how many boxes of an upstream's hall are ranked before those of
 	// other halls.
 	preferredHallAllocators = 2
-	// maxPermitAttempts is how many boxes are asked for a permit, one after another.
+	// maxPermitAttempts is how many boxes a permit is requested from, one after another.
 	maxPermitAttempts = 3
-	// notifyThreshold is the relative change of a limit from which the allocating box is notified
-	// at once, instead of learning of it with the next permit request.
+	// notifyThreshold is the relative change of a limit from which the allocator is notified at
+	// once, instead of learning of it with the next permit request.
 	notifyThreshold = 0.1
 	// A box that did not reply to a permit request is skipped for as long as it has been
 	// unresponsive, but for at least minUnresponsivePeriod and at most maxUnresponsivePeriod.
@@ -89,10 +89,10 @@
 	return &g
 }
 
-// allocatorFor returns the box that allocates the permits of an upstream, and whether it is the
-// preferred one. Boxes that were unresponsive recently are skipped. The first two candidates are in
-// the upstream's data hall, so that a hall which is cut off can go on. If both are unresponsive,
-// the next is in another hall, because their hall may have failed as a whole.
+// allocatorFor returns the allocator of an upstream, and whether it is the preferred one. Boxes
+// that were unresponsive recently are skipped. The first two candidates are in the upstream's data
+// hall, so that a hall which is cut off still allocates permits. If both are unresponsive, the next
+// is in another hall, because their hall may have failed as a whole.
 func (b *Box) allocatorFor(upstream string, now time.Time) (name string, preferred bool) {
 	l := rankAllocators(upstream, b.members.Alive(b.hallOfUpstream(upstream)), b.members.Alive(""))
 	s := b.limits
@@ -107,8 +107,8 @@
 }
 
 // announceLimit announces to all other boxes that an upstream has become limited or is no longer
-// limited. If only the value of a limit has changed considerably, it notifies the allocating box
-// alone.
+// limited. If a limit has only changed its value, it notifies the allocator alone, and only of a
+// change by more than notifyThreshold.
 func (b *Box) announceLimit(c *ratelimit.Change) {
 	if !c.NeedsAnnouncement() {
 		if d := c.After.PerSecond - c.Before.PerSecond; d > notifyThreshold*c.Before.PerSecond || -d > notifyThreshold*c.Before.PerSecond {
@@ -134,8 +134,8 @@
 	})
 }
 
-// callPermit asks a box for permits. It returns nil if the box does not reply in time; the box is
-// then skipped for a while.
+// callPermit sends a permit request to a box. It returns nil if the box does not reply in time; the
+// box is then skipped for a while.
 func (b *Box) callPermit(ctx context.Context, name string, q *ratelimit.PermitRequest, timeout time.Duration) *ratelimit.Grant {
 	call, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -150,13 +150,13 @@
 	if unreachable && b.members.RecordFailure(name, began, now) {
 		event.PeerUnreachable.Log(b.log, "box", name, "error", err.Error())
 	}
-	if ctx.Err() == nil || now.Sub(began) >= forwardTimeout { // otherwise the caller cancelled too early to blame the box
+	if ctx.Err() == nil || now.Sub(began) >= forwardTimeout { // otherwise the caller cancelled before the box had time to reply
 		b.limits.markUnresponsive(name, now)
 	}
 	return nil
 }
 
-// fetchLimits asks a box for the limits that it knows, if the digests differ.
+// fetchLimits fetches the limits that a box knows, if the digests differ.
 func (b *Box) fetchLimits(ctx context.Context, m box.Member, digest uint64) {
 	if digest == b.limits.limiter.Limits().Digest(time.Now()) {
 		return
@@ -186,8 +186,8 @@
 	return &box.Reply{Limits: b.limits.limiter.Limits().All(time.Now())}
 }
 
-// handlePermit allocates permits for another box, or forwards its request to the allocating box. If
-// that box does not reply, or the request was forwarded already, this box allocates the permits as
+// handlePermit allocates permits for another box, or forwards its request to the allocator. If the
+// allocator does not reply, or the request was forwarded already, this box allocates the permits as
 // a fallback.
 func (b *Box) handlePermit(ctx context.Context, from string, q *ratelimit.PermitRequest) *ratelimit.Grant {
 	o, preferred := b.allocatorFor(q.Limit.Upstream, time.Now())
@@ -204,7 +204,7 @@
 	return b.allocate(from, q, false)
 }
 
-// notifyAllocator sends an upstream's new limit to the box that allocates its permits.
+// notifyAllocator sends an upstream's new limit to its allocator.
 func (b *Box) notifyAllocator(l ratelimit.Limit) {
 	o, _ := b.allocatorFor(l.Upstream, time.Now())
 	if o == b.settings.Box {
@@ -224,9 +224,9 @@
 	}
 }
 
-// requestPermit requests permits from the box that allocates those of an upstream and, if it does
-// not reply, from the next candidates, up to maxPermitAttempts in total. It returns an error if
-// none replies or ctx ends.
+// requestPermit requests permits from the allocator of an upstream and, if it does not reply, from
+// the next candidates, up to maxPermitAttempts in total. It returns an error if none replies or ctx
+// ends.
 func (b *Box) requestPermit(ctx context.Context, q *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
 	for range maxPermitAttempts {
 		o, preferred := b.allocatorFor(q.Limit.Upstream, time.Now())
--- a/linetiller.go
+++ b/linetiller.go
@@ -72,7 +72,8 @@
 	// metrics, in this order. It is empty without an entry.
 	entry []endpoint
 
-	// Connections to peers. Tests replace them.
+	// openListeners opens the addresses of the box; the transports carry its calls to engines and
+	// the platform. Tests replace them.
 	openListeners     func() error
 	engineTransport   http.RoundTripper
 	platformTransport http.RoundTripper
@@ -80,7 +81,7 @@
 
 	lastTick       atomic.Int64 // time of the last tick, in nanoseconds since started
 	closing        sync.Once
-	pushRequested  chan struct{}   // buffered; holds a value if there is news of crashes to pass on to the neighbours
+	pushRequested  chan struct{}   // buffered; holds a value if the neighbours are to fetch newly learned crashes
 	leaveRequested chan struct{}   // closed by Leave
 	joined         atomic.Bool     // set once the box has joined the system
 	serveContext   context.Context // ends when Serve returns; set before serving is closed
--- a/outage_test.go
+++ b/outage_test.go
@@ -45,7 +45,7 @@
 }
 
 // TestBoxStartsWhilePlatformIsDown checks that a box which starts during an outage of the platform
-// takes the configuration from its peers.
+// gets the configuration from its peers.
 func TestBoxStartsWhilePlatformIsDown(t *testing.T) {
 	h := newHall(t, 2, 1)
 	h.platform.SetFaults(fakeplatform.Faults{Down: true})
--- a/ownercalls.go
+++ b/ownercalls.go
@@ -12,16 +12,17 @@
 // placementTimeout is how long to wait for an owner's first reply.
 const placementTimeout = time.Second
 
-// acquireMoveSlot waits, at the owner of an upstream, for the run's turn to be moved away from the
-// upstream, or to it if inbound is set. The caller must call the returned function when the move
-// has ended. The owner is determined from u, not from the view, because a leaving engine may no
-// longer be listed there.
+// acquireMoveSlot requests a slot to move a run away from an upstream, or to it if inbound is set,
+// from the upstream's owner, and waits until it is granted. The caller must call the returned
+// function when the move has ended. It returns an error if the owner cannot be reached or ctx ends
+// first. The owner is determined from u, not from the view, because a leaving engine may no longer
+// be listed there.
 func (b *Box) acquireMoveSlot(ctx context.Context, u *resource.Upstream, inbound bool, r *policy.Run) (func(), error) {
 	o := policy.HighestRanked(u.Name, b.members.Alive(u.Spec.Hall))
 	if o == b.settings.Box {
 		return b.moveSlots.Acquire(ctx, u.Name, inbound, r)
 	}
-	// ctx limits only the wait. Once granted, the turn is held until it is released.
+	// ctx limits only the wait. Once granted, the slot is held until it is released.
 	callCtx, cancelCall := context.WithCancel(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, cancelCall)
 	c, err := b.links.Call(callCtx, b.members.Address(o), b.newRequest(box.Request{Kind: box.KindMoveSlot, MoveSlot: &box.MoveSlotRequest{Inbound: inbound, Run: *r, Upstream: u.Name}}))
@@ -41,8 +42,9 @@
 	return release, nil
 }
 
-// requestPlacement asks another box, the owner of an upstream, for a slot and passes each reply to
-// onReply until the placement is decided. It returns the error of the call or of onReply.
+// requestPlacement sends a placement request to another box, the owner of an upstream, and passes
+// each reply to onReply until the placement is decided. It returns the error of the call or of
+// onReply.
 func (b *Box) requestPlacement(ctx context.Context, owner string, a *box.PlacementRequest, onReply func(*box.Reply) error) error {
 	c, err := b.links.Call(ctx, b.members.Address(owner), b.newRequest(box.Request{Placement: a, Kind: box.KindPlacement}))
 	if err != nil {
--- a/poison_test.go
+++ b/poison_test.go
@@ -118,7 +118,7 @@
 // boxesAlternatingHalls lists the boxes, alternating between the halls.
 var boxesAlternatingHalls = []string{"box-a1", "box-b1", "box-a2", "box-b2"}
 
-// TestPoisonRequestWhileBoxesRestart guards against a restarted box that has forgotten a poison
+// TestPoisonRequestWhileBoxesRestart guards against a restarted box that no longer knows a poison
 // request and lets two more upstreams crash. The boxes restart one after another while a caller
 // keeps sending the request.
 func TestPoisonRequestWhileBoxesRestart(t *testing.T) {
@@ -136,7 +136,7 @@
 }
 
 // TestPoisonRequestReachesABoxThatKnowsNothing guards against boxes that missed the announcements
-// of crashes, since they joined, restarted, were paused or were cut off: each of them let two more
+// of crashes because they joined, restarted, were paused or were cut off: each of them let two more
 // upstreams crash. They have to learn what other boxes know before a caller reaches them, and at
 // most convergencePeriod after their return.
 func TestPoisonRequestReachesABoxThatKnowsNothing(t *testing.T) {
@@ -210,13 +210,13 @@
 }
 
 // TestPoisonRequestsAtOnce guards against crashes that are not counted against poison requests
-// because they come together, and were taken for the failure of a rack. Callers send one poison
-// request several times at once, or several different ones, for eight rounds.
+// because they occur together and look like the failure of a rack. Callers send one poison request
+// several times at once, or several different ones, for eight rounds.
 func TestPoisonRequestsAtOnce(t *testing.T) {
 	for _, x := range []struct {
 		name       string
 		bodies     []string // sent at once
-		minCrashes int      // under each body: others may have crashed the upstreams of one, which then has none
+		minCrashes int      // under each body; 0 where other bodies may crash all upstreams first
 	}{
 		{"the same, three at once", []string{routed.PoisonPrefix, routed.PoisonPrefix, routed.PoisonPrefix}, 1},
 		{"the same, four at once", []string{routed.PoisonPrefix, routed.PoisonPrefix, routed.PoisonPrefix, routed.PoisonPrefix}, 1},
--- a/quarantinedrow.go
+++ b/quarantinedrow.go
@@ -21,7 +21,7 @@
 	_        struct{} `cbor:",toarray"`
 	AtMS     int64    // when it was noticed, by the store's clock
 	Born     int64    // when the crashed process of the upstream had started, as reported by the upstream; 0 if unknown
-	SeenAtMS int64    // when a suspect was last sent again by a caller, by the store's clock
+	SeenAtMS int64    // when a caller last sent a suspect again, by the store's clock
 	Suspects []policy.Suspect
 	Upstream string
 }
@@ -35,8 +35,8 @@
 	quarantinedWriteInterval = 5 * time.Second
 )
 
-// mergeQuarantinedRow adds the crashes in a hall's row to those that this box knows, and has new
-// ones passed on to the neighbours.
+// mergeQuarantinedRow adds the crashes in a hall's row to those that this box knows, and triggers
+// heartbeats if there are new ones, so that the neighbours fetch them, too.
 func (b *Box) mergeQuarantinedRow(r *table.Row, hall string) {
 	k := b.recorder
 	l := k.decodeCrashes(r.Value)
--- a/readers_test.go
+++ b/readers_test.go
@@ -92,8 +92,8 @@
 }
 
 // TestOutageCostsFewCalls checks the number of store calls in an outage of 8 s, and that a change
-// is in force soon after it. Boxes read a single source to notice the store's return, and wait the
-// longer the later they are in the order of readers.
+// is in force soon after it. Boxes read a single source to notice the store's return, and wait
+// longer the lower they rank among the readers.
 func TestOutageCostsFewCalls(t *testing.T) {
 	withLargeHalls(t, "abcde", func(t *testing.T, r *routedRegion) {
 		r.platform.SetFaults(fakeplatform.Faults{Down: true})
@@ -140,9 +140,9 @@
 	})
 }
 
-// TestSlowStoreCostsFewCalls guards against a multiple of store calls where each answer takes
-// longer than a reader waits before it repeats a read, and before other boxes read in its place:
-// boxes adapt to the delay, which costs extra calls only once.
+// TestSlowStoreCostsFewCalls guards against a multiple of the usual store calls where each answer
+// takes longer than the timeout after which a reader repeats a read and other boxes read in its
+// place: boxes adapt the timeout, so the delay causes extra calls only once.
 func TestSlowStoreCostsFewCalls(t *testing.T) {
 	for _, delay := range []int{200, 400, 600, 900} {
 		withLargeHalls(t, "abc", func(t *testing.T, r *routedRegion) {
--- a/recorder.go
+++ b/recorder.go
@@ -35,22 +35,25 @@
 	triedAt     time.Time // last attempt to read the rows
 	readPending bool      // the rows must be read before they are written again
 
-	wake chan struct{} // buffered; holds a value if the rows are to be read at once
+	wake chan struct{} // buffered; holds a value if the rows are to be synchronized at once
 }
 
 const (
+	// recorderTable is the store's table of the recorders' rows.
 	recorderTable = "kept"
 	// recordersPerHall is how many boxes of each data hall are recorders.
 	recordersPerHall = 3
 	// recorderSyncInterval is the time between two checks for rows to read or write, or runs to report.
 	recorderSyncInterval = 2 * time.Second
 	// recorderReadMinInterval is the minimum time between two reads of the rows: when an upstream
-	// crashes, many requests may fail and each asks for a read.
+	// crashes, many requests may fail and each requests a read.
 	recorderReadMinInterval = 5 * time.Second
 	// recorderReadMaxAge is the age of a read after which a recorder reads the rows and the store's
 	// clock again, so that the drift between the two clocks stays below clockSlack.
 	recorderReadMaxAge = time.Hour
-	clockSlack         = time.Second
+	// clockSlack is how far a time in a row may lie after the last read of the rows before the
+	// store's clock is assumed to have been reset.
+	clockSlack = time.Second
 	// reportIntervalPerBox, multiplied by the number of boxes of the hall, is the time between two
 	// reports of a box. It limits the load of the recorders.
 	reportIntervalPerBox = 200 * time.Millisecond
@@ -81,8 +84,8 @@
 	return r.Revision, true
 }
 
-// readRecorderRows reads the rows of all halls and clears the requests that are known from them to have
-// completed.
+// readRecorderRows reads the rows of all halls and clears the requests that are known from them to
+// have completed.
 func (b *Box) readRecorderRows(ctx context.Context) {
 	c, err := b.store.Changes(ctx, recorderTable, 0, 0)
 	if err != nil {
@@ -129,8 +132,8 @@
 	}
 }
 
-// requestRecorderRead has the rows read as soon as the store replies, to clear suspects of a crash that
-// had completed before it.
+// requestRecorderRead requests a read of the rows before the next regular synchronization, to clear
+// the suspects of a crash that had completed before it.
 func (b *Box) requestRecorderRead() {
 	k := b.recorder
 	k.requestRead()
@@ -155,8 +158,8 @@
 	}
 }
 
-// syncRecorderRows reads the rows, reports this box's completed runs and, on the hall's first recorder,
-// writes the hall's rows, each if it is due.
+// syncRecorderRows reads the rows, reports this box's completed runs and, on the hall's first
+// recorder, writes the hall's rows, each if it is due.
 func (b *Box) syncRecorderRows(ctx context.Context) {
 	hall := b.members.Alive(b.settings.Hall)
 	recorders := policy.Rank(recorderTable, hall)
@@ -219,7 +222,7 @@
 	return true
 }
 
-// requestRead has the rows read before they are written again.
+// requestRead requests a read of the rows before they are written again.
 func (k *recorder) requestRead() {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
--- a/region_test.go
+++ b/region_test.go
@@ -48,7 +48,7 @@
 	link            *link.Link
 	mutex           sync.Mutex // guards the maps
 	platform        *fakeplatform.Platform
-	storeTransports map[string]http.RoundTripper // by box: its transport to the store, where that is not the usual one
+	storeTransports map[string]http.RoundTripper // by box: its transport to the store, if it is not a boxTransport
 	refusedBoxes    map[string]bool              // boxes that the store refuses
 	t               *testing.T
 }
@@ -268,8 +268,8 @@
 	return n
 }
 
-// boxTransport carries the HTTP requests of a box in memory. A request to an unreachable host fails
-// as its connection would.
+// boxTransport carries the HTTP requests of a box in memory. A request to an unreachable host hangs
+// for up to a second and then fails as a connection without a route would.
 type boxTransport struct {
 	from   string
 	region *region
--- a/restored_test.go
+++ b/restored_test.go
@@ -61,9 +61,9 @@
 
 // TestChangeAfterTheStoreWasRestored guards against changes of the configuration that are not in
 // force in time after the store was restored from a copy: boxes answered 404 for a route that had
-// been added 2.2 s before. Each box held a revision from before the restore, and its reads of later
-// changes were answered that there is no such revision, until the store had reached it again. The
-// change had a lower one.
+// been added 2.2 s before. Each box requests changes after the revision that it knows from before
+// the restore. The store rejects that revision until it has reached it again, and so the box misses
+// changes with a lower one.
 func TestChangeAfterTheStoreWasRestored(t *testing.T) {
 	withRoutedRegion(t, func(_ *testing.T, r *routedRegion) {
 		r.writeVersions(2, 3)
@@ -94,10 +94,9 @@
 }
 
 // TestUpstreamsAfterTheStoreWasRestored has upstreams start, end and give shutdown notice after the
-// copy from which the store is restored. Until their entries are written again, and the store has
-// dropped those that are not, each counts as before the restore: ended and leaving ones stay
-// unused, and those that had started are used, but only for as long as a live one may take to write
-// its entry again.
+// copy from which the store is restored. Until an upstream's entry is written again or lapses, boxes
+// treat the upstream as they did before the restore: ended and leaving ones stay unused, and those
+// that had started are used, but only for as long as a live one may take to write its entry again.
 func TestUpstreamsAfterTheStoreWasRestored(t *testing.T) {
 	withRoutedRegion(t, func(_ *testing.T, r *routedRegion) {
 		r.platform.TakeSnapshot()
@@ -166,7 +165,8 @@
 }
 
 // TestWithdrawnWhileTheStoreWasAway restores the store to a copy from before an evacuation, and has
-// operators write it again without one, while no box can read it: the hall is used again all the same.
+// operators write it again without one, while no box can read it: the hall is used again all the
+// same.
 func TestWithdrawnWhileTheStoreWasAway(t *testing.T) {
 	withRoutedRegion(t, func(_ *testing.T, r *routedRegion) {
 		r.platform.TakeSnapshot()
@@ -184,7 +184,7 @@
 }
 
 // TestBoxesAfterTheStoreWasRestored starts a box after the copy from which the store is restored:
-// the other boxes still know it, and its row is written again within 2 s.
+// the other boxes still know its address, and its row is written again within 2 s.
 func TestBoxesAfterTheStoreWasRestored(t *testing.T) {
 	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 		r.platform.TakeSnapshot()
@@ -207,8 +207,8 @@
 }
 
 // TestStoreIsOvertakenUnseen guards against changes that boxes miss where the store is restored,
-// and written beyond its earlier revision, while it answers no box: no box is told that its
-// revision is gone.
+// and written beyond its earlier revision, while it answers no box: the store then accepts the
+// boxes' revisions, although they are from before the restore.
 func TestStoreIsOvertakenUnseen(t *testing.T) {
 	withRoutedRegion(t, func(_ *testing.T, r *routedRegion) {
 		r.startUpstream("i-a3")
--- a/routed_store_test.go
+++ b/routed_store_test.go
@@ -74,15 +74,15 @@
 			time.Sleep(x.wait)
 			for n, b := range r.boxes {
 				if got := b.follower.ListUnavailable(); got != x.down {
-					t.Errorf("%s: store down %v, %v later: list of upstreams unreadable: got %v", n, x.down, x.wait, got)
+					t.Errorf("%s: store down %v, %v later: list of upstreams unavailable: got %v", n, x.down, x.wait, got)
 				}
 			}
 		}
 	})
 }
 
-// TestStoreTurnsBoxesAway has the store refuse all boxes but one: the others learn all the same of
-// a key that was revoked, of one that was added and of a shutdown notice.
+// TestStoreTurnsBoxesAway has the store refuse all boxes but one: the others still learn of a key
+// that was revoked, of one that was added and of a shutdown notice.
 func TestStoreTurnsBoxesAway(t *testing.T) {
 	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 		r.refuseBoxes("box-a1", "box-a2", "box-b1")
@@ -104,8 +104,8 @@
 	})
 }
 
-// TestBoxStartsWhileTheStoreIsAway replaces a box during an outage of the store: its neighbours
-// call it, and it serves with what they know. Until then it may refuse requests for a moment.
+// TestBoxStartsWhileTheStoreIsAway replaces a box during an outage of the store: its neighbours send
+// it the configuration and the list of upstreams. Until then it may refuse requests.
 func TestBoxStartsWhileTheStoreIsAway(t *testing.T) {
 	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 		r.platform.SetFaults(fakeplatform.Faults{Down: true})
@@ -242,7 +242,7 @@
 func TestReadersAreFewAndCallsRare(t *testing.T) {
 	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 		before := r.platform.Counters()
-		const period = 60
+		const period = 60 // seconds
 		time.Sleep(period * time.Second)
 		after := r.platform.Counters()
 		if got, maxWant := float64(after.Reads-before.Reads)/period, 2.5; got > maxWant {
--- a/routed_test.go
+++ b/routed_test.go
@@ -21,8 +21,8 @@
 	"github.com/linetiller/linetiller/internal/settings"
 )
 
-// routedRegion is a region whose boxes serve routes of the platform: they know only the store,
-// where engines list themselves.
+// routedRegion is a region whose boxes serve routes of the platform: they get the configuration and
+// the list of upstreams from the platform's store, where upstreams list themselves.
 type routedRegion struct {
 	*region
 	upstreams map[string]*routed.Engine
@@ -92,8 +92,8 @@
 	r.listColdUpstream(name, state, 0)
 }
 
-// listColdUpstream lists an engine, i-…, or a plain service, s-…, which stays cold for that many
-// milliseconds.
+// listColdUpstream lists an engine (named i-…) or an upstream of the plain service (named s-…),
+// which stays cold for coldMS milliseconds.
 func (r *routedRegion) listColdUpstream(name, state string, coldMS int) {
 	service := map[byte]string{'i': "llm", 's': "desk"}[name[0]]
 	r.platform.Put("servers/"+name, json.RawMessage(fmt.Sprintf(
@@ -116,8 +116,8 @@
 	r.link.Handle(name+"-entry", r.boxes[name].entry[0].server.Handler)
 }
 
-// streamPlan streams a plan of that many tokens through a box, checks its events, and returns their
-// number, whether the stream was complete, and the status.
+// streamPlan streams a plan of the given number of tokens through a box, checks its events, and
+// returns their number, whether the stream was complete, and the status.
 func (r *routedRegion) streamPlan(box, id, key string, tokens int) (events int, complete bool, status int) {
 	q, err := http.NewRequestWithContext(r.t.Context(), http.MethodPost, "http://"+box+"-entry/plan/x", strings.NewReader("p"))
 	if err != nil {
@@ -196,8 +196,8 @@
 	})
 }
 
-// TestTurnsOfAnEngineThatIsNoLongerListed has boxes of both halls request the turn to move a run
-// away from an engine whose entry is gone: only one gets it at a time, since copies would otherwise
+// TestTurnsOfAnEngineThatIsNoLongerListed has boxes of both halls request a slot to move a run away
+// from an engine whose entry was removed: only one gets it at a time, since copies would otherwise
 // queue behind one another on the engine's link.
 func TestTurnsOfAnEngineThatIsNoLongerListed(t *testing.T) {
 	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
@@ -215,7 +215,7 @@
 			}
 		}
 		if granted != 1 {
-			t.Errorf("turns at once: got %d, want 1", granted)
+			t.Errorf("move slots held at once: got %d, want 1", granted)
 		}
 	})
 }
@@ -244,8 +244,8 @@
 	}
 }
 
-// TestStopAnswersWhatWaits stops a box with a request that waits for a place until the end: its
-// caller is told that it has not run, before the box closes its connections.
+// TestStopAnswersWhatWaits stops a box while a request waits for a place until the grace period
+// ends: it is answered as not run before the box closes its connections.
 func TestStopAnswersWhatWaits(t *testing.T) {
 	withRoutedRegion(t, func(t *testing.T, r *routedRegion) {
 		b := r.boxes["box-a1"]
--- a/runsrow.go
+++ b/runsrow.go
@@ -12,7 +12,7 @@
 
 // runsRow is the state of a hall's row of completed requests, as needed to write it.
 type runsRow struct {
-	changed   bool                        // runs were reported since the last write
+	changed   bool                        // whether runs were reported since the last write
 	checkedAt time.Time                   // last check for something to write; a check takes a few milliseconds
 	revision  int64                       // of the row; 0 if there is none
 	triedAt   time.Time                   // last attempt to write
--- a/serving_test.go
+++ b/serving_test.go
@@ -13,8 +13,8 @@
 	"github.com/linetiller/linetiller/internal/settings"
 )
 
-// TestBoxAnswersOnceItServes guards against a box that answers other boxes before all of its parts
-// exist: a heartbeat that arrived as the box began to listen crashed the process.
+// TestBoxAnswersOnceItServes guards against a box that handles requests of other boxes before its
+// components exist: a heartbeat that arrived as the box began to listen crashed the process.
 func TestBoxAnswersOnceItServes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := settings.Default()
@@ -100,7 +100,7 @@
 }
 
 // TestBoxStoppedWhileItJoins guards against a box that was asked to stop while it joined and then
-// reports that it is ready: it got requests until it ended.
+// reports that it is ready, so that the load balancer sends it requests until it ends.
 func TestBoxStoppedWhileItJoins(t *testing.T) {
 	for stoppedAfter := time.Duration(0); stoppedAfter <= 3*time.Second; stoppedAfter += 100 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
--- a/silence_test.go
+++ b/silence_test.go
@@ -21,7 +21,7 @@
 
 // connection is one connection of a box to the platform's store.
 type connection struct {
-	hung bool // it carries nothing more, but is not closed
+	hung bool // calls over it get no answer, and it is not closed
 }
 
 // connectionPool is a box's connections to the platform's store, which are reused as an HTTP client
@@ -82,7 +82,7 @@
 	return w, nil
 }
 
-// hangOpen makes the open connections carry nothing more.
+// hangOpen makes the open connections hang: calls over them get no answer.
 func (c *connectionPool) hangOpen() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -129,8 +129,9 @@
 	return x
 }
 
-// withPooledRegion runs f with halls of three boxes each and six engines, after the boxes have
-// settled and an offset that shifts the moment between two reads.
+// withPooledRegion runs f with halls of three boxes each and six engines. It first waits 10 s for
+// the boxes to settle, and then the offset, which shifts the faults of the test relative to the
+// reads of the store.
 func withPooledRegion(t *testing.T, halls string, offset time.Duration, f func(t *testing.T, r *pooledRegion)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -186,16 +187,16 @@
 	return l
 }
 
-// changeAndWait writes a configuration and a shutdown notice of an engine, and returns after how
-// long the last box knew each; most where one does not know by then.
+// changeAndWait writes a configuration and a shutdown notice of an engine, and returns how long it
+// takes until all boxes know each, at most timeout.
 func (r *pooledRegion) changeAndWait(version int, engine string, timeout time.Duration) (keyDelay, noticeDelay time.Duration) {
 	r.configure(version, fmt.Sprint("key-", version))
 	r.listUpstream(engine, "draining")
 	return r.waitUntilKnown(version, engine, timeout)
 }
 
-// waitUntilKnown returns how long it takes until the last box with power knows a configuration, and
-// a shutdown notice; most where it takes longer.
+// waitUntilKnown returns how long it takes until all boxes with power know a configuration and a
+// shutdown notice, each at most timeout.
 func (r *pooledRegion) waitUntilKnown(version int, engine string, timeout time.Duration) (keyDelay, noticeDelay time.Duration) {
 	began := time.Now()
 	keyDelay, noticeDelay = timeout, timeout
@@ -223,12 +224,12 @@
 	return keyDelay, noticeDelay
 }
 
-// propagationBound is the users' bound on when a change has to be in force, and on when a shutdown
-// notice has to be known.
+// propagationBound is the time within which a change has to be in force, and a shutdown notice has
+// to be known, at all boxes.
 const propagationBound = 2 * time.Second
 
 // checkPropagation changes the configuration and has an engine give its shutdown notice, and checks
-// that every box knows both within the time most.
+// that every box knows both within the bound.
 func (r *pooledRegion) checkPropagation(t *testing.T, bound time.Duration) {
 	t.Helper()
 	keyDelay, noticeDelay := r.changeAndWait(2, "i-"+firstHall(r)+"1", 6*time.Second)
@@ -251,9 +252,9 @@
 	return ""
 }
 
-// TestChangesWhereWaitingReadsAreLost guards against a reader that goes by its old view until its
-// waiting read times out. All open connections to the store hang right before a change, at moments
-// over four seconds, while new connections work.
+// TestChangesWhereWaitingReadsAreLost guards against a reader that keeps its old view until its
+// pending read, which waits for changes, times out. All open connections to the store hang right
+// before a change, at moments over four seconds, while new connections work.
 func TestChangesWhereWaitingReadsAreLost(t *testing.T) {
 	for _, halls := range []string{"a", "ab", "abc"} {
 		for offset := time.Duration(0); offset < 4*time.Second; offset += 370 * time.Millisecond {
@@ -269,9 +270,9 @@
 	}
 }
 
-// TestChangesWhereReadersLoseTheStoreInTurn guards against a failover each of whose steps is waited
-// for. Right before a change the store ceases to answer three boxes, one after another, those first
-// that read it.
+// TestChangesWhereReadersLoseTheStoreInTurn guards against a failover that waits for a timeout at
+// each step. Right before a change the store ceases to answer three boxes, one after another,
+// beginning with those that read it.
 func TestChangesWhereReadersLoseTheStoreInTurn(t *testing.T) {
 	for _, gap := range []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond, 1100 * time.Millisecond} {
 		for seed := range uint64(6) {
@@ -292,8 +293,8 @@
 }
 
 // TestChangesWhoseSenderLosesPower guards against boxes that depend on the box which announced a
-// change. It loses power right after its message: the others asked it in vain, and asked no other
-// box until they had given up.
+// change. That box loses power right after its message: the others requested the change from it, and
+// from no other box until those calls had timed out.
 func TestChangesWhoseSenderLosesPower(t *testing.T) {
 	for sender := range 9 {
 		t.Run(fmt.Sprint(sender), func(t *testing.T) {
--- a/stopping.go
+++ b/stopping.go
@@ -42,9 +42,9 @@
 	return err
 }
 
-// Leave makes Serve drain the box and return. It tells the other boxes, and the readiness check
-// fails from now on. New requests are still accepted until the drain period ends and, other than
-// streams, for as long as streams are in progress.
+// Leave makes Serve drain the box and return. It announces that to the neighbours, and the
+// readiness check fails from now on. New requests are still accepted until the drain period ends
+// and, other than streams, for as long as streams are in progress.
 func (b *Box) Leave() {
 	if b.stopping.Swap(true) {
 		return
@@ -55,7 +55,7 @@
 }
 
 // abortRequests aborts the requests still in progress before connections are closed: streams are
-// cut off, and the callers of waiting requests are told that these have not run.
+// cut off, and waiting requests are answered with an error that says that they have not run.
 func (b *Box) abortRequests() {
 	done := make(chan struct{})
 	b.startWorker(func() {
--- a/streams_test.go
+++ b/streams_test.go
@@ -73,15 +73,15 @@
 	}
 }
 
-// TestAllBoxesReplacedUnderLoad replaces the boxes one by one while clients send requests all the
-// time, each to a single box: none is interrupted or runs twice.
+// TestAllBoxesReplacedUnderLoad replaces the boxes one by one while clients keep sending requests,
+// each to a single box: none is interrupted or runs twice.
 func TestAllBoxesReplacedUnderLoad(t *testing.T) {
 	h := newHall(t, 3, 2)
 	var addresses sync.Map // client addresses by number of the box
 	for n := range h.boxes {
 		addresses.Store(n, "http://"+h.boxes[n].ClientAddress())
 	}
-	ready := func() []string { // as the balancer does, which sends only to ready boxes
+	ready := func() []string { // the ready boxes, to which alone the load balancer sends requests
 		var l []string
 		addresses.Range(func(_, a any) bool {
 			w, err := http.Get(a.(string) + "/readyz")
@@ -163,7 +163,7 @@
 	}()
 	<-begun
 	if got, want := h.boxes[0].InProgress(), 1; got != want {
-		t.Errorf("requests held: got %d, want %d", got, want)
+		t.Errorf("requests in progress: got %d, want %d", got, want)
 	}
 	_ = h.boxes[0].Close()
 	if err := <-done; err == nil {
--- a/template_test.go
+++ b/template_test.go
@@ -56,8 +56,8 @@
 	})
 }
 
-// TestTemplateTakesAnyNumber fills the template with fractions, zeros, one and huge values for
-// every number that the platform provides: a box starts with each, or the error names the
+// TestTemplateTakesAnyNumber fills the template with fractions, zeros, one, huge and negative values
+// for every number that the platform provides: a box starts with each, or the error names the
 // platform's field.
 func TestTemplateTakesAnyNumber(t *testing.T) {
 	refusedValues := map[string][]string{
--- a/virtual_test.go
+++ b/virtual_test.go
@@ -1,7 +1,7 @@
-// The race detector itself crashes now and then when complete boxes run in virtual time (a segmentation
-// fault in its runtime, while no goroutine of this module is running), so make test runs these tests
-// without it. The same parts run under it over loopback in streams_test.go, outage_test.go and
-// callers_test.go.
+// The race detector itself crashes now and then when complete boxes run in virtual time (a
+// segmentation fault in its runtime, while no goroutine of this module is running), so make test
+// runs these tests without it. The same parts run under it over loopback in streams_test.go,
+// outage_test.go and callers_test.go.
 
 //go:build !race || whole
 
@@ -24,10 +24,10 @@
 	"github.com/linetiller/linetiller/internal/settings"
 )
 
-// TestHallCutOffForAnHour cuts a hall off from the other hall and from the platform. It serves what
-// it can with what it knows, refuses as not run what needs the table of request keys, and a box
-// that is replaced in it starts from its peer. After the cut it has what was accepted meanwhile,
-// and nothing is lost or runs twice.
+// TestHallCutOffForAnHour cuts a hall off from the other hall and from the platform. Its boxes serve
+// requests without a key, refuse as not run those that need the table of request keys, and a box
+// that replaces one of them gets the configuration from its peer. After the cut they learn of the
+// resources that were accepted meanwhile, and no request is lost or runs twice.
 func TestHallCutOffForAnHour(t *testing.T) {
 	withRegion(t, func(t *testing.T, r *region) {
 		if n, err := r.generate("k-before", "length=9", "box-b1"); err != nil || n != 9 {
@@ -78,7 +78,7 @@
 	})
 }
 
-// TestPlatformOutForAnHour checks the load on the table as the platform comes back from an outage:
+// TestPlatformOutForAnHour checks the load on the platform's table after an outage:
 // at most four reads a second from four boxes, and no writes.
 func TestPlatformOutForAnHour(t *testing.T) {
 	withRegion(t, func(t *testing.T, r *region) {
@@ -89,7 +89,7 @@
 		}
 		before := r.platform.Counters()
 		r.platform.SetFaults(fakeplatform.Faults{})
-		const period = 20
+		const period = 20 // seconds
 		time.Sleep(period * time.Second)
 		after := r.platform.Counters()
 		if got, want := (after.Reads-before.Reads)/period, int64(4); got > want {
@@ -108,7 +108,7 @@
 // all are served, each with one run.
 func TestOwnerLostWithItsQueue(t *testing.T) {
 	withRegion(t, func(t *testing.T, r *region) {
-		r.isolateHallB(true) // so that only engine-a is left for hall a
+		r.isolateHallB(true) // so that hall a can only use engine-a
 		time.Sleep(10 * time.Second)
 		owner := r.ownerOf("engine-a")
 		other := map[string]string{"box-a1": "box-a2", "box-a2": "box-a1"}[owner]
@@ -202,8 +202,8 @@
 	})
 }
 
-// TestStatusIsUnknownAcrossACut checks that a status makes no claim about boxes that cannot be
-// asked.
+// TestStatusIsUnknownAcrossACut checks that the status of a resource is unknown while some boxes
+// cannot be reached.
 func TestStatusIsUnknownAcrossACut(t *testing.T) {
 	withRegion(t, func(t *testing.T, r *region) {
 		r.isolateHallB(true)
