--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -33,21 +33,21 @@
 func causeText(own, all []Line) string {
 	end := endLine(own)
 	if end == nil {
-		return "its end is not in these logs: the box that held it may have been lost, or the logs are not whole"
+		return "its end is not in these logs: the box that handled it may have been lost, or the logs are incomplete"
 	}
 	switch end.Event {
 	case event.RequestFinished.Number:
 		return finishedText(own, end)
 	case event.CallerDisconnected.Number:
-		return fmt.Sprintf("the caller left after %s ms", end.text("took_ms"))
+		return fmt.Sprintf("the caller disconnected after %s ms", end.text("took_ms"))
 	case event.RequestRefused.Number:
 		return "it was refused and did not run: " + failureText(end) + shortageText(end)
 	}
 	c := failureText(end)
 	if x := leavingNotice(all, end.text("upstream"), end.Time); x != nil {
-		c += fmt.Sprintf("; %s had given notice %.3f s before", end.text("upstream"), end.Time.Sub(x.Time).Seconds())
+		c += fmt.Sprintf("; %s was known to be leaving %.3f s earlier", end.text("upstream"), end.Time.Sub(x.Time).Seconds())
 	} else if strings.HasPrefix(end.text("reason"), "stream_") {
-		c += "; no notice of its upstream's leaving was heard"
+		c += "; no notice that its upstream was leaving was received"
 	}
 	return c
 }
@@ -85,7 +85,7 @@
 		case x.Event == event.RequestPlaced.Number && x.number("waited_ms") >= minReportedWaitMS:
 			c += fmt.Sprintf("; it had waited %s ms for a place at %s", x.text("waited_ms"), x.text("upstream"))
 		case x.Event == event.MoveCompleted.Number:
-			c += fmt.Sprintf("; it paused %s ms as it moved from %s to %s", x.text("pause_ms"), x.text("from"), x.text("to"))
+			c += fmt.Sprintf("; it paused %s ms while it was moved from %s to %s", x.text("pause_ms"), x.text("from"), x.text("to"))
 		}
 	}
 	return c
--- a/internal/explain/timeline.go
+++ b/internal/explain/timeline.go
@@ -29,7 +29,7 @@
 }
 
 // ErrNotFound is returned if the logs have no line of the request.
-var ErrNotFound = errors.New("no line tells of the request")
+var ErrNotFound = errors.New("the logs have no line of the request")
 
 // NewTimeline builds the timeline of a request from the lines of all boxes, in any order. It returns
 // ErrNotFound if no line carries the ID of the request.
@@ -63,7 +63,7 @@
 	}
 	_, _ = fmt.Fprintf(&b, "cause: %s\n", t.Cause)
 	for _, id := range t.Reconnects {
-		_, _ = fmt.Fprintf(&b, "its caller seems to have come back as request %s\n", id)
+		_, _ = fmt.Fprintf(&b, "its caller probably resumed the stream as request %s\n", id)
 	}
 	return b.String()
 }
@@ -83,22 +83,22 @@
 	f := x.text
 	switch x.Event {
 	case event.RequestPlaced.Number:
-		return fmt.Sprintf("try %s goes to %s in %s after %s ms, with %s ms left%s (configuration %s, upstreams %s)",
+		return fmt.Sprintf("attempt %s is sent to %s in hall %s after %s ms, with %s ms left%s (configuration %s, upstreams %s)",
 			f("try"), f("upstream"), f("hall"), f("waited_ms"), f("left_ms"), afterEvent(x), f("configuration"), f("upstreams"))
 	case event.UpstreamLeaving.Number:
-		return fmt.Sprintf("%s is leaving; %s events had come", f("upstream"), f("events"))
+		return fmt.Sprintf("%s is leaving; %s events were received", f("upstream"), f("events"))
 	case event.MoveStarted.Number:
 		return fmt.Sprintf("its memory is being copied from %s to %s", f("from"), f("to"))
 	case event.MemoryCopied.Number:
-		return fmt.Sprintf("copied in %s ms while it ran and %s ms while it stood still", f("first_ms"), f("rest_ms"))
+		return fmt.Sprintf("its memory was copied in %s ms while it ran and %s ms while it was stopped", f("first_ms"), f("rest_ms"))
 	case event.MoveCompleted.Number:
-		return fmt.Sprintf("it goes on at %s after a pause of %s ms", f("to"), f("pause_ms"))
+		return fmt.Sprintf("it continues at %s after a pause of %s ms", f("to"), f("pause_ms"))
 	case event.MoveFailed.Number:
-		return fmt.Sprintf("it was not moved away from %s: %s", f("from"), reasonText(f("reason")))
+		return fmt.Sprintf("it could not be moved from %s: %s", f("from"), reasonText(f("reason")))
 	case event.StreamResumed.Number:
-		return fmt.Sprintf("a new run goes on at %s%s: %s", f("upstream"), afterEvent(x), reasonText(f("reason")))
+		return fmt.Sprintf("a new run at %s continues the stream%s: %s", f("upstream"), afterEvent(x), reasonText(f("reason")))
 	case event.RequestRetried.Number:
-		return fmt.Sprintf("another upstream is tried: %s", reasonText(f("reason")))
+		return fmt.Sprintf("it is retried at another upstream: %s", reasonText(f("reason")))
 	}
 	return strings.TrimSpace(x.Message + " " + formatFields(x.Fields))
 }
