--- a/internal/cmd/applycmd.go
+++ b/internal/cmd/applycmd.go
@@ -100,7 +100,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s %s is not in force everywhere: %s", r.Kind, r.Metadata.Name, last)
+			return fmt.Errorf("%s %s is not in force at every box: %s", r.Kind, r.Metadata.Name, last)
 		case <-time.After(inForcePollInterval):
 		}
 	}
--- a/internal/cmd/certificatecmd.go
+++ b/internal/cmd/certificatecmd.go
@@ -25,17 +25,17 @@
 	}
 	return &cli.Command{
 		Name:  "certificate",
-		Usage: "make the certificates by which boxes know each other",
+		Usage: "create the certificates with which boxes authenticate each other",
 		Commands: []*cli.Command{
 			{
-				Name: "authority", Usage: "make the authority that signs the boxes' certificates", Flags: files,
+				Name: "authority", Usage: "create the certificate authority that signs the boxes' certificates", Flags: files,
 				Action: func(_ context.Context, c *cli.Command) error {
 					p, err := certificate.NewAuthority(time.Now())
 					return writePair(e, c, p, err)
 				},
 			},
 			{
-				Name: "box", Usage: "make the certificate of a box", ArgsUsage: "NAME IP...",
+				Name: "box", Usage: "create the certificate of a box", ArgsUsage: "NAME IP...",
 				Flags: append(files,
 					&cli.StringFlag{Name: "authority", Usage: "`FILE` of the authority's certificate", Required: true},
 					&cli.StringFlag{Name: "authority-key", Usage: "`FILE` of the authority's key", Required: true},
@@ -48,7 +48,7 @@
 
 func runCertificateBoxCmd(e *ioStreams, c *cli.Command) error {
 	if c.Args().Len() < 2 {
-		return errors.Join(errBadInput, errors.New("certificate box takes NAME and at least one IP number"))
+		return errors.Join(errBadInput, errors.New("certificate box takes NAME and at least one IP address"))
 	}
 	a := new(certificate.Pair)
 	var err error
@@ -62,7 +62,7 @@
 	for _, s := range c.Args().Slice()[1:] {
 		i := net.ParseIP(s)
 		if i == nil {
-			return errors.Join(errBadInput, fmt.Errorf("%q is not an IP number", s))
+			return errors.Join(errBadInput, fmt.Errorf("%q is not an IP address", s))
 		}
 		l = append(l, i)
 	}
--- a/internal/cmd/checkcmd.go
+++ b/internal/cmd/checkcmd.go
@@ -16,7 +16,7 @@
 		Name:        "check",
 		Usage:       "check settings (.toml) and resource files (.json) without a box",
 		ArgsUsage:   "FILE...",
-		Description: "Every fault is told with its file, line and key.",
+		Description: "Each error is reported with its file, line and key.",
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() == 0 {
 				return errors.Join(errBadInput, errors.New("check takes at least one FILE"))
--- a/internal/cmd/cmd.go
+++ b/internal/cmd/cmd.go
@@ -64,7 +64,7 @@
 func newCommand(e *ioStreams) *cli.Command {
 	return &cli.Command{
 		Name:                  "linetiller",
-		Usage:                 "serve text generations of unknown length on crowded engines",
+		Usage:                 "serve text generations of unknown length on busy engines",
 		EnableShellCompletion: true,
 		ExitErrHandler:        func(context.Context, *cli.Command, error) {},
 		ErrWriter:             e.errorOutput,
@@ -131,7 +131,7 @@
 
 func outputFlag() cli.Flag {
 	return &cli.StringFlag{
-		Name: flagOutput, Aliases: []string{"o"}, Usage: "`FORM` of the output: text or json", Value: outputText,
+		Name: flagOutput, Aliases: []string{"o"}, Usage: "`FORMAT` of the output: text or json", Value: outputText,
 		Validator: func(s string) error {
 			if s != outputJSON && s != outputText {
 				return fmt.Errorf("%q is neither %s nor %s", s, outputText, outputJSON)
--- a/internal/cmd/explaincmd.go
+++ b/internal/cmd/explaincmd.go
@@ -16,14 +16,14 @@
 func newExplainCmd(e *ioStreams) *cli.Command {
 	return &cli.Command{
 		Name:      "explain",
-		Usage:     "tell what became of one request",
+		Usage:     "show what happened to a request",
 		ArgsUsage: "ID [FILE...]",
-		Description: "Reads the logs of boxes, from the files or from standard input, and tells what became of the request " +
-			"of that id, step by step, and why it ended as it did.",
+		Description: "Reads the logs of boxes from the files, or from standard input if there are none, and shows what happened " +
+			"to the request with this ID, step by step, and why it ended as it did.",
 		Flags: []cli.Flag{outputFlag()},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() == 0 {
-				return errors.Join(errBadInput, errors.New("name the id of a request"))
+				return errors.Join(errBadInput, errors.New("explain takes the ID of a request"))
 			}
 			return runExplainCmd(e, c.Args().First(), c.Args().Tail(), c.String(flagOutput))
 		},
--- a/internal/cmd/generatecmd.go
+++ b/internal/cmd/generatecmd.go
@@ -16,22 +16,22 @@
 func newGenerateCmd(e *ioStreams) *cli.Command {
 	return &cli.Command{
 		Name:      "generate",
-		Usage:     "ask for a generation and show it as it comes",
+		Usage:     "request a generation and print it as it arrives",
 		ArgsUsage: "PROMPT",
-		Description: "Where a box is lost mid-stream, the generation goes on at the next one: name several " +
-			"with --box. With --key, the request runs at most once however often it is made.",
+		Description: "If a box is lost mid-stream, the generation continues at the next one: repeat --box to name " +
+			"several. With --key, the request runs at most once, however often it is sent.",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{
-				Name: "box", Usage: "`URL` of a box's client address; may be given again",
+				Name: "box", Usage: "`URL` of a box's client address; may be repeated",
 				Sources: cli.EnvVars("LINETILLER_BOXES"), Value: []string{"http://127.0.0.1:8080"},
 			},
 			&cli.StringFlag{Name: "workspace-key", Usage: "the workspace's bearer `KEY`", Sources: cli.EnvVars("LINETILLER_WORKSPACE_KEY"), Required: true},
 			&cli.StringFlag{Name: "model", Usage: "the `NAME` of the model", Required: true},
 			&cli.StringFlag{Name: "key", Usage: "the request `KEY`"},
-			&cli.StringFlag{Name: "deadline", Usage: "`TIME` by which the answer must be whole, such as 30s"},
+			&cli.StringFlag{Name: "deadline", Usage: "`TIME` within which the answer must be complete, such as 30s"},
 			&cli.StringFlag{Name: "priority", Usage: "the `NAME` of the priority"},
-			&cli.StringFlag{Name: "kind", Usage: "`WORD` that tells requests of like length apart"},
-			&cli.IntFlag{Name: "max-tokens", Usage: "output tokens at most"},
+			&cli.StringFlag{Name: "kind", Usage: "`WORD` that groups requests of similar length"},
+			&cli.IntFlag{Name: "max-tokens", Usage: "maximum number of output tokens"},
 			outputFlag(),
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
--- a/internal/cmd/getcmd.go
+++ b/internal/cmd/getcmd.go
@@ -16,7 +16,7 @@
 func newGetCmd(e *ioStreams) *cli.Command {
 	return &cli.Command{
 		Name:      "get",
-		Usage:     "show resources and how far they are in force",
+		Usage:     "show resources and at how many boxes they are in force",
 		ArgsUsage: "KIND [NAME]",
 		Flags:     append(operatorFlags(), outputFlag()),
 		Action: func(ctx context.Context, c *cli.Command) error {
--- a/internal/cmd/keycmd.go
+++ b/internal/cmd/keycmd.go
@@ -13,7 +13,7 @@
 func newKeyCmd(e *ioStreams) *cli.Command {
 	return &cli.Command{
 		Name:        "key",
-		Usage:       "make a bearer key and the hash by which it is declared",
+		Usage:       "create a bearer key and the hash that declares it",
 		Description: "The key is shown once; only its hash goes into a Workspace or the settings.",
 		Action:      func(context.Context, *cli.Command) error { return runKeyCmd(e) },
 	}
--- a/internal/cmd/servecmd.go
+++ b/internal/cmd/servecmd.go
@@ -21,9 +21,9 @@
 func newServeCmd(e *ioStreams) *cli.Command {
 	return &cli.Command{
 		Name:  "serve",
-		Usage: "run an entry box",
-		Description: "The first SIGTERM or SIGINT makes the box leave: it finishes every request in progress " +
-			"and exits. A second one stops it at once and says what was left.",
+		Usage: "run a box",
+		Description: "On the first SIGTERM or SIGINT, the box finishes every request in progress and exits. " +
+			"A second one stops it at once; it then reports how many requests were unfinished.",
 		Flags: []cli.Flag{&cli.StringFlag{Name: "settings", Aliases: []string{"s"}, Sources: cli.EnvVars("LINETILLER_CONFIG"), Usage: "`FILE` of the settings", Required: true}},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			return runServeCmd(ctx, e, c.String("settings"))
--- a/internal/cmd/watchcmd.go
+++ b/internal/cmd/watchcmd.go
@@ -15,11 +15,11 @@
 func newWatchCmd(e *ioStreams) *cli.Command {
 	return &cli.Command{
 		Name:      "watch",
-		Usage:     "show changes as they come in force",
+		Usage:     "show changes of resources as they take effect",
 		ArgsUsage: "[KIND]",
 		Flags: append(operatorFlags(), outputFlag(),
 			&cli.StringFlag{Name: "after", Usage: "show the changes after `VERSION`", Value: "0"},
-			&cli.IntFlag{Name: "count", Usage: "end after `N` changes"},
+			&cli.IntFlag{Name: "count", Usage: "exit after `N` changes"},
 		),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			return runWatchCmd(ctx, e, newOperatorClient(c), resource.Kind(c.Args().Get(0)), c.String("after"), c.String(flagOutput), c.Int("count"))
