--- a/internal/fake/soak/caller.go
+++ b/internal/fake/soak/caller.go
@@ -98,7 +98,7 @@
 			s := &callerRequest{id: fmt.Sprintf("in-force-%d-%d", i, v), path: fmt.Sprintf("/extra%d/x", v), method: http.MethodGet, routeRemoved: !want}
 			served := c.call(ctx, b, s)
 			if served != want || (!want && s.status != http.StatusNotFound) {
-				c.addViolation("%s: the route of version %d of %d: served %v, status %d", b.name, v, latest, served, s.status)
+				c.addViolation("%s: the route of version %d, where %d is the latest: served %v, status %d", b.name, v, latest, served, s.status)
 			}
 			cancel()
 		}
@@ -122,7 +122,7 @@
 	}
 	for _, id := range c.refused {
 		if n := runs(id); n > 0 {
-			c.addViolation("%s: ran although its caller was told that it had not", id)
+			c.addViolation("%s: ran although its answer said that it had not", id)
 		}
 	}
 }
@@ -173,12 +173,12 @@
 // connection breaks, complete.
 func (c *callers) readAnswer(s *callerRequest, w *http.Response) bool {
 	if w.Header.Get("X-Linetiller-Server-Stamp") == "" {
-		c.addViolation("%s: a success without an upstream's mark", s.id)
+		c.addViolation("%s: a successful answer without the upstream's stamp", s.id)
 	}
 	if s.tokens == 0 {
 		b, err := io.ReadAll(w.Body)
 		if err == nil && !strings.Contains(string(b), " of "+s.id+": ") {
-			c.addViolation("%s: got the answer %q", s.id, b)
+			c.addViolation("%s: got the wrong answer %q", s.id, b)
 		}
 		return err == nil
 	}
@@ -195,7 +195,7 @@
 		}
 	}
 	if n := s.lastEvent + s.events; x.Err() == nil && n != s.tokens/4 {
-		c.addViolation("%s: a stream ended as if whole after %d of %d events", s.id, n, s.tokens/4)
+		c.addViolation("%s: the stream ended without an error after %d of %d events", s.id, n, s.tokens/4)
 	}
 	return x.Err() == nil
 }
--- a/internal/fake/soak/changechecker.go
+++ b/internal/fake/soak/changechecker.go
@@ -95,13 +95,13 @@
 	newest := next.writtenAt.IsZero() || p.answeredAt.Before(next.writtenAt)
 	if d := p.sentAt.Sub(c.acknowledgedAt); newest && d > applyBound {
 		if !p.routeKnown {
-			wrong = fmt.Sprintf("%s did not go by version %d %s after its acknowledgement", p.box, p.version, d.Round(time.Millisecond))
+			wrong = fmt.Sprintf("%s did not apply version %d %s after its acknowledgement", p.box, p.version, d.Round(time.Millisecond))
 		}
 		return wrong, true
 	}
 	if d := p.sentAt.Sub(next.acknowledgedAt); !newest && d > applyBound {
 		if p.routeKnown {
-			wrong = fmt.Sprintf("%s went by version %d %s after the acknowledgement of version %d", p.box, p.version, d.Round(time.Millisecond), next.version)
+			wrong = fmt.Sprintf("%s still applied version %d %s after the acknowledgement of version %d", p.box, p.version, d.Round(time.Millisecond), next.version)
 		}
 		return wrong, true
 	}
@@ -119,7 +119,7 @@
 		_, next := j.changeOf(p.version)
 		newest := next.writtenAt.IsZero() || p.answeredAt.Before(next.writtenAt)
 		if ok && !p.routeKnown && newest && k.version == p.version && p.sentAt.Sub(k.answeredAt) > rollbackBound && j.undisturbed(p.box, k.sentAt, p.answeredAt) {
-			l = append(l, fmt.Sprintf("%s went back from version %d %s after it had gone by it", p.box, p.version, p.sentAt.Sub(k.answeredAt).Round(time.Millisecond)))
+			l = append(l, fmt.Sprintf("%s went back to a version before %d %s after it had applied it", p.box, p.version, p.sentAt.Sub(k.answeredAt).Round(time.Millisecond)))
 		}
 		if p.routeKnown && (!ok || p.version > k.version) {
 			newestKnown[p.box] = p
--- a/internal/fake/soak/changes.go
+++ b/internal/fake/soak/changes.go
@@ -146,7 +146,7 @@
 			if overdue <= 0 || j.box == nil || l.upstream.proxy.faultyWithin(from, v.At) || !c.cluster.faultFree(j.box, from, v.At) {
 				continue
 			}
-			c.addViolation("%s: reached %s from %s %s after the bound of its leaving, which the list had told", v.Request, l.upstream.name, j.box.name, overdue.Round(time.Millisecond))
+			c.addViolation("%s: reached %s from %s %s later than allowed after the store listed the upstream as leaving", v.Request, l.upstream.name, j.box.name, overdue.Round(time.Millisecond))
 		}
 	}
 }
@@ -211,10 +211,10 @@
 	p.checkDrains()
 	delays := j.applyDelays()
 	if len(delays) == 0 {
-		_, _ = fmt.Fprintf(output, "soak: %d changes, none could be judged\n", len(j.changes))
+		_, _ = fmt.Fprintf(output, "soak: %d changes, none of which could be checked\n", len(j.changes))
 		return
 	}
-	_, _ = fmt.Fprintf(output, "soak: %d changes, %d answers judged; in force at boxes in touch after %s at the median, %s at most\n",
+	_, _ = fmt.Fprintf(output, "soak: %d changes, %d probes checked; in force at boxes without faults after %s at the median, %s at most\n",
 		len(j.changes), checked, delays[len(delays)/2].Round(time.Millisecond), delays[len(delays)-1].Round(time.Millisecond))
 }
 
--- a/internal/fake/soak/cluster.go
+++ b/internal/fake/soak/cluster.go
@@ -152,7 +152,7 @@
 		return err
 	}
 	if err := w.startBox(b); err != nil {
-		return fmt.Errorf("%w; another program may have taken one of %v", err, addresses)
+		return fmt.Errorf("%w; another process may be using one of %v", err, addresses)
 	}
 	return nil
 }
--- a/internal/fake/soak/halls.go
+++ b/internal/fake/soak/halls.go
@@ -111,7 +111,7 @@
 				}
 			}
 			if n > coldPerSecond+coldSlack {
-				c.addViolation("%s got %d requests in a second while it was cold, and bears %d", u.name, n, coldPerSecond+coldSlack)
+				c.addViolation("%s got %d requests in a second while it was cold, where %d are allowed", u.name, n, coldPerSecond+coldSlack)
 				break
 			}
 		}
@@ -129,7 +129,7 @@
 			for _, at := range u.engine.ArrivalTimes() {
 				overdue := at.Sub(e.from) - evacuationBound - w.storeOutageDuration(e.from, at)
 				if at.Before(e.to) && overdue > 0 {
-					c.addViolation("a request reached %s %s after the bound of its hall's evacuation", u.name, overdue.Round(time.Millisecond))
+					c.addViolation("a request reached %s %s later than allowed after the evacuation of its hall began", u.name, overdue.Round(time.Millisecond))
 				}
 			}
 		}
--- a/internal/fake/soak/notices.go
+++ b/internal/fake/soak/notices.go
@@ -121,7 +121,7 @@
 			}
 		}
 		if n > routed.BackoffMaxRequests {
-			c.addViolation("%s got %d requests from %s in the %s of rest that it had asked for", u.name, n, sender.box.name, v.RetryAfter)
+			c.addViolation("%s got %d requests from %s within the %s of back-off that it had requested", u.name, n, sender.box.name, v.RetryAfter)
 			return
 		}
 	}
@@ -137,7 +137,7 @@
 		for _, v := range arrivals {
 			j := c.dispatchOf(v.Request)
 			if overdue := j.sentAt.Sub(p.at) - drainBound; j.box == p.box && overdue > 0 && p.box.undisturbed(p.at, j.sentAt) {
-				c.addViolation("%s: reached %s, which leaves, from %s, which had passed that on, %s after the bound", v.Request, u.name, p.box.name, overdue.Round(time.Millisecond))
+				c.addViolation("%s: reached %s from %s, which had forwarded the upstream's notice that it is leaving, %s later than allowed", v.Request, u.name, p.box.name, overdue.Round(time.Millisecond))
 			}
 		}
 	}
--- a/internal/fake/soak/poison.go
+++ b/internal/fake/soak/poison.go
@@ -67,10 +67,10 @@
 			}
 		}
 		if ownCrashes >= maxOwnCrashes {
-			c.addViolation("%s ended an upstream, as %d before it through the same box", l[i].request, ownCrashes)
+			c.addViolation("%s crashed an upstream, after %d earlier crashes through the same box", l[i].request, ownCrashes)
 		}
 		if knownCrashes >= maxKnownCrashes {
-			c.addViolation("%s ended an upstream, as %d before it of which its box could know", l[i].request, knownCrashes)
+			c.addViolation("%s crashed an upstream, after %d earlier crashes that its box must have known of", l[i].request, knownCrashes)
 		}
 	}
 }
@@ -158,7 +158,7 @@
 			id := fmt.Sprintf("deadly-%d-%d-%d", n, try, i)
 			s := &callerRequest{id: id, path: fmt.Sprintf("/often/deadly-%d", n), method: http.MethodPost, body: routed.PoisonPrefix}
 			if c.call(ctx, b, s) {
-				c.addViolation("%s: was answered", id)
+				c.addViolation("%s: a poison request was answered", id)
 			}
 		})
 	}
--- a/internal/fake/soak/soak.go
+++ b/internal/fake/soak/soak.go
@@ -36,17 +36,17 @@
 	f := flag.NewFlagSet("soak", flag.ContinueOnError)
 	f.SetOutput(output)
 	programs := f.String("programs", "bin", "`folder` of the built programs")
-	seed := f.Uint64("seed", 0, "`number` by which faults are drawn; 0 draws one")
-	changes := f.Bool("changes", true, "change the configuration often, have connections to the store fall silent for good, and check at each box when changes are in force")
-	copies := f.Bool("copies", true, "have the store come back from copies, too")
-	kinds := f.String("faults", "", "`expression` that matches the names of the faults that strike; all by default")
-	halls := f.Bool("halls", true, "evacuate halls and start engines cold, too")
-	limits := f.Bool("limits", true, "have upstreams name limits of how many requests a second they accept")
-	many := f.Bool("many", true, "have poison requests be sent several at once, and for longer")
-	rows := f.Bool("rows", true, "have rows that name no upstream be written beside those of upstreams")
-	words := f.Bool("words", true, "have upstreams say that they leave, or ask for rest, with their answers, and requests end them")
-	wide := f.Bool("wide", false, "run nine boxes in three halls in place of four in two")
-	duration := f.Duration("for", 20*time.Second, "how long faults strike")
+	seed := f.Uint64("seed", 0, "`number` that seeds the random faults and requests; 0 chooses one at random")
+	changes := f.Bool("changes", true, "change the configuration often, stall connections to the store, slow boxes down, list upstreams as leaving, and check when each box applies the changes")
+	copies := f.Bool("copies", true, "also restore the store from snapshots")
+	kinds := f.String("faults", "", "regular `expression` that matches the names of the faults to inject; all by default")
+	halls := f.Bool("halls", true, "also evacuate halls and start upstreams cold")
+	limits := f.Bool("limits", true, "have upstreams announce rate limits")
+	many := f.Bool("many", true, "send poison requests also several at once, and for longer")
+	rows := f.Bool("rows", true, "also write invalid rows to the table of upstreams")
+	words := f.Bool("words", true, "have upstreams announce in answers that they are leaving or request back-off, and send poison requests that crash them")
+	wide := f.Bool("wide", false, "run nine boxes in three halls instead of four in two")
+	duration := f.Duration("for", 20*time.Second, "how long to inject faults")
 	if f.Parse(arguments[1:]) != nil {
 		return exitUsage
 	}
@@ -120,7 +120,7 @@
 	defer func() { w.close(len(violations) > 0 || err != nil) }()
 	c := newCallers(w)
 	if !c.awaitServing() {
-		return nil, fmt.Errorf("the boxes did not serve before any fault: %v", c.statusCounts)
+		return nil, fmt.Errorf("the boxes did not serve before the first fault was injected: %v", c.statusCounts)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
@@ -144,7 +144,7 @@
 	c.checkPoison()
 	p.report(output)
 	if len(w.harnessErrors) > 0 {
-		return c.violations, fmt.Errorf("trouble of its own: %v; logs of the boxes: %s", w.harnessErrors, w.logs.path)
+		return c.violations, fmt.Errorf("the soak itself failed: %v; logs of the boxes: %s", w.harnessErrors, w.logs.path)
 	}
 	c.checkExecutions()
 	_, _ = fmt.Fprintf(output, "soak: seed %d: %d requests that may run once, answers by status %v, faults %v\n", seed, len(c.atMostOnce), c.statusCounts, injected)
