--- a/internal/certificate/certificate.go
+++ b/internal/certificate/certificate.go
@@ -100,9 +100,9 @@
 	return server, client, nil
 }
 
-// Wrap returns a listener that accepts TLS connections on l if secure is set, and l itself otherwise.
+// NewListener returns a listener that accepts TLS connections on l if secure is set, and l itself otherwise.
 // It closes l if it returns an error.
-func Wrap(l net.Listener, secure bool, certificate, key string) (net.Listener, error) {
+func NewListener(l net.Listener, secure bool, certificate, key string) (net.Listener, error) {
 	if !secure {
 		return l, nil
 	}
--- a/internal/configuration/hedge.go
+++ b/internal/configuration/hedge.go
@@ -111,7 +111,7 @@
 		r.onResponseStart()
 	})
 	r.workers.Go(func() {
-		l, next, err := r.source.read(table.WithAnswerStarted(ctx, onResponseStart), r.after, wait)
+		l, next, err := r.source.read(table.WithOnResponseStart(ctx, onResponseStart), r.after, wait)
 		r.results <- readResult{batches: l, err: err, next: next, hedged: hedged}
 	})
 }
--- a/internal/configuration/hedge_test.go
+++ b/internal/configuration/hedge_test.go
@@ -74,7 +74,7 @@
 					mutex.Unlock()
 					pause(ctx, wait)
 					if x.begun {
-						table.AnswerStarted(ctx)
+						table.NotifyResponseStart(ctx)
 					}
 					pause(ctx, time.Second)
 					return nil, after, ctx.Err()
--- a/internal/delivery/forwarder.go
+++ b/internal/delivery/forwarder.go
@@ -106,7 +106,7 @@
 	if v.Finish == "" {
 		s.deliveredTokens = v.Index + 1
 		f.running.Produced.Store(int64(s.deliveredTokens))
-		s.deliverer.meter.Tokens(1, time.Now(), s.request.Work.Arrived, &f.session.times)
+		s.deliverer.meter.RecordTokens(1, time.Now(), s.request.Work.Arrived, &f.session.times)
 	}
 	if s.claim != nil {
 		s.text.Write(v.Text)
--- a/internal/delivery/session.go
+++ b/internal/delivery/session.go
@@ -40,7 +40,7 @@
 
 // run handles the request and returns its error for the client.
 func (s *session) run() error {
-	defer func() { s.deliverer.meter.End(&s.times) }()
+	defer func() { s.deliverer.meter.RecordEnd(&s.times) }()
 	if s.request.ResumeAfter != nil {
 		return s.resume(s.request.ResumeAfter.Upstream, s.request.ResumeAfter.Generation, s.request.ResumeAfter.Index+1)
 	}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -22,14 +22,14 @@
 
 // demo is a running demonstration.
 type demo struct {
-	boxes         []*process.BoxAddresses
-	directory     string            // temporary folder for settings and keys
-	engineURLs    map[string]string // by name
-	output        io.Writer
-	platformURL   string
-	processes     []*process.Process
-	programFolder string // folder with the built programs
-	serviceURL    string
+	boxes           []*process.BoxAddresses
+	temporaryFolder string            // temporary folder for settings and keys
+	engineURLs      map[string]string // by name
+	output          io.Writer
+	platformURL     string
+	processes       []*process.Process
+	programFolder   string // folder with the built programs
+	serviceURL      string
 }
 
 const (
@@ -92,9 +92,9 @@
 	return nil
 }
 
-// freezeBox suspends a box with SIGSTOP, streams a generation through the other box of its hall, resumes
+// suspendBox suspends a box with SIGSTOP, streams a generation through the other box of its hall, resumes
 // the suspended box, and streams a generation through it.
-func (d *demo) freezeBox(ctx context.Context) error {
+func (d *demo) suspendBox(ctx context.Context) error {
 	p := d.processByName("b-1")
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -133,10 +133,10 @@
 }
 
 // newGenerator returns a client that uses the boxes with the given indices, in this order.
-func (d *demo) newGenerator(numbers ...int) *client.Generator {
+func (d *demo) newGenerator(indices ...int) *client.Generator {
 	g := &client.Generator{HTTP: &http.Client{}, Key: workspaceKey}
-	for _, n := range numbers {
-		g.Boxes = append(g.Boxes, "http://"+d.boxes[n].Clients)
+	for _, i := range indices {
+		g.Boxes = append(g.Boxes, "http://"+d.boxes[i].Clients)
 	}
 	return g
 }
@@ -188,11 +188,11 @@
 
 func (d *demo) run(ctx context.Context) error {
 	var err error
-	d.directory, err = os.MkdirTemp("", "linetiller-demo-")
+	d.temporaryFolder, err = os.MkdirTemp("", "linetiller-demo-")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(d.directory) }()
+	defer func() { _ = os.RemoveAll(d.temporaryFolder) }()
 	for _, step := range []struct {
 		name string
 		do   func(context.Context) error
@@ -204,7 +204,7 @@
 		{"repeat a request key", d.repeatRequest},
 		{"call a plain service twice with one key", d.callServiceTwice},
 		{"kill a box mid-stream", d.killBox},
-		{"suspend a box and use the other one of its hall", d.freezeBox},
+		{"suspend a box and use the other one of its hall", d.suspendBox},
 		{"stop a box while it streams", d.stopBox},
 	} {
 		d.printf("\n== %s", step.name)
--- a/internal/demo/start.go
+++ b/internal/demo/start.go
@@ -16,7 +16,7 @@
 // applyResources applies the resources at one box, and waits until all boxes use them and a watch at a
 // box of the other hall has reported them.
 func (d *demo) applyResources(ctx context.Context) error {
-	path := filepath.Join(d.directory, "resources.json")
+	path := filepath.Join(d.temporaryFolder, "resources.json")
 	if err := os.WriteFile(path, d.resources(), 0o600); err != nil {
 		return err
 	}
@@ -38,7 +38,7 @@
 }
 
 func (d *demo) filePath(name string) string {
-	return filepath.Join(d.directory, name)
+	return filepath.Join(d.temporaryFolder, name)
 }
 
 func (d *demo) makeAuthority() error {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -25,7 +25,7 @@
 }
 
 func TestReportBecomesRows(t *testing.T) {
-	got, err := parse([]byte(testReport))
+	got, err := parseRows([]byte(testReport))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 }
 
 func TestUnfinishedReportIsAnError(t *testing.T) {
-	if _, err := parse([]byte(`{"head":"0123","error":"the run did not finish"}`)); err == nil {
+	if _, err := parseRows([]byte(`{"head":"0123","error":"the run did not finish"}`)); err == nil {
 		t.Error("got no error, want one")
 	}
 }
@@ -92,7 +92,7 @@
 }
 
 func TestDrawWritesAChart(t *testing.T) {
-	rows, err := parse([]byte(testReport))
+	rows, err := parseRows([]byte(testReport))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/experiment/journalcmd.go
+++ b/internal/experiment/journalcmd.go
@@ -117,9 +117,9 @@
 
 // matches reports whether the filter selects a run.
 func (f *journalFilter) matches(e *journalEntry) bool {
-	played := func(d journalDay) bool { return strings.HasPrefix(d.Name, f.day) }
+	matchesDay := func(d journalDay) bool { return strings.HasPrefix(d.Name, f.day) }
 	return strings.HasPrefix(e.Site, f.site) && strings.HasPrefix(e.Commit, f.commit) && strings.Contains(e.Reason, f.reason) &&
-		(f.day == "" || slices.ContainsFunc(e.Days, played)) && (!f.failed || len(e.violations()) > 0)
+		(f.day == "" || slices.ContainsFunc(e.Days, matchesDay)) && (!f.failed || len(e.violations()) > 0)
 }
 
 // meanWorth returns the mean worth of the days of the run, and 0 without days.
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -68,9 +68,9 @@
 	return unmarshalTriple(b, &p.Name, &amount, &p.Share)
 }
 
-// parse decodes rows, or returns the rows of a report. Input that is a JSON object with a commit is a
+// parseRows decodes rows, or returns the rows of a report. Input that is a JSON object with a commit is a
 // report.
-func parse(b []byte) ([]Row, error) {
+func parseRows(b []byte) ([]Row, error) {
 	var r report
 	if err := json.Unmarshal(b, &r); err != nil || r.Commit == "" {
 		return ReadRows(bytes.NewReader(b))
--- a/internal/experiment/row.go
+++ b/internal/experiment/row.go
@@ -46,7 +46,7 @@
 		if err != nil {
 			return nil, err
 		}
-		l, err := parse(b)
+		l, err := parseRows(b)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", p, err)
 		}
--- a/internal/idle/idle.go
+++ b/internal/idle/idle.go
@@ -34,24 +34,24 @@
 	d := c.timeout()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if r := c.idle[n]; r != nil {
-		r.timer.Stop()
+	if p := c.idle[n]; p != nil {
+		p.timer.Stop()
 		delete(c.idle, n)
 	}
 	if s != http.StateIdle || d <= 0 {
 		return
 	}
-	r := new(idlePeriod)
-	r.timer = time.AfterFunc(d, func() { c.close(n, r) })
-	c.idle[n] = r
+	p := new(idlePeriod)
+	p.timer = time.AfterFunc(d, func() { c.close(n, p) })
+	c.idle[n] = p
 }
 
 // close closes a connection if it is still in the idle period r. A request whose first byte was read
 // in the meantime has ended that period, and is answered.
-func (c *Closer) close(n net.Conn, r *idlePeriod) {
+func (c *Closer) close(n net.Conn, p *idlePeriod) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.idle[n] != r {
+	if c.idle[n] != p {
 		return
 	}
 	delete(c.idle, n)
--- a/internal/idle/idle_test.go
+++ b/internal/idle/idle_test.go
@@ -12,11 +12,11 @@
 // closeRecorder is a connection that records when it was closed.
 type closeRecorder struct {
 	net.Conn
-	at time.Time
+	closedAt time.Time
 }
 
 func (c *closeRecorder) Close() error {
-	c.at = time.Now()
+	c.closedAt = time.Now()
 	return nil
 }
 
@@ -37,11 +37,11 @@
 		c.Track(&active, http.StateActive)
 		time.Sleep(20 * time.Second)
 		synctest.Wait() // for goroutines started by timers
-		if got, want := unused.at.Sub(start), 10*time.Second; got != want {
+		if got, want := unused.closedAt.Sub(start), 10*time.Second; got != want {
 			t.Errorf("an idle connection: closed after %v, want %v", got, want)
 		}
-		if !active.at.IsZero() {
-			t.Errorf("an active connection: closed after %v, want not at all", active.at.Sub(start))
+		if !active.closedAt.IsZero() {
+			t.Errorf("an active connection: closed after %v, want not at all", active.closedAt.Sub(start))
 		}
 		timeout = 2 * time.Second
 		c.Track(&active, http.StateIdle)
@@ -49,11 +49,11 @@
 		c.Track(&unlimited, http.StateIdle)
 		time.Sleep(time.Hour)
 		synctest.Wait()
-		if got, want := active.at.Sub(start), 31*time.Second; got != want {
+		if got, want := active.closedAt.Sub(start), 31*time.Second; got != want {
 			t.Errorf("a connection idle after a request: closed after %v, want %v", got, want)
 		}
-		if !unlimited.at.IsZero() {
-			t.Errorf("a connection without an idle timeout: closed after %v", unlimited.at.Sub(start))
+		if !unlimited.closedAt.IsZero() {
+			t.Errorf("a connection without an idle timeout: closed after %v", unlimited.closedAt.Sub(start))
 		}
 		if got := len(c.idle); got != 0 {
 			t.Errorf("connections tracked: got %d, want none", got)
--- a/internal/measure/boxes.go
+++ b/internal/measure/boxes.go
@@ -14,17 +14,17 @@
 	router  *policy.Router
 }
 
-// ask asks the owner of an engine to admit a request. Without an engine, the request is refused. If the
+// requestPlacement asks the owner of an engine to admit a request. Without an engine, the request is refused. If the
 // engine is down, the request is routed again.
-func (s *simulation) ask(r *request, e *modelEngine) {
+func (s *simulation) requestPlacement(r *request, e *modelEngine) {
 	if e == nil {
 		r.state = stateRefused
 		return
 	}
 	r.engine = e
-	s.asks++
+	s.placementRequests++
 	s.after(messageDelay, func() {
-		if e.dead {
+		if e.down {
 			s.route(r)
 			return
 		}
@@ -40,7 +40,7 @@
 func (s *simulation) candidates() []policy.Candidate {
 	l := make([]policy.Candidate, 0, len(s.engines))
 	for _, e := range s.engines {
-		if !e.dead {
+		if !e.down {
 			l = append(l, policy.Candidate{Capacity: capacity, Name: e.name})
 		}
 	}
@@ -49,7 +49,7 @@
 
 // dispatch sends out the answers for the queued requests that an owner can decide now.
 func (s *simulation) dispatch(e *modelEngine) {
-	if e.dead {
+	if e.down {
 		return
 	}
 	for _, a := range e.owner.Dispatch(s.now) {
@@ -77,8 +77,8 @@
 	case policy.VerdictStart:
 		s.submit(r, e)
 	case policy.VerdictRefuse:
-		r.tried[e.name] = true
-		if len(r.tried) >= maxAsks {
+		r.refusedBy[e.name] = true
+		if len(r.refusedBy) >= maxRefusals {
 			r.state = stateRefused
 			return
 		}
@@ -90,7 +90,7 @@
 // reportProgress reports the tokens produced by each generation to the owner of an engine, and the load
 // of the engine to the boxes whose requests it runs.
 func (s *simulation) reportProgress(e *modelEngine) {
-	if e.dead {
+	if e.down {
 		return
 	}
 	notified := make(map[*entryBox]bool)
@@ -118,11 +118,11 @@
 			continue
 		}
 		n := r.box.router.BetterUpstream(&r.work, r.engine.name, s.candidates(), s.now)
-		if n == "" || r.tried[n] {
+		if n == "" || r.refusedBy[n] {
 			continue
 		}
 		r.engine.owner.Cancel(r.work.ID, s.now)
-		s.ask(r, s.engineByName(n))
+		s.requestPlacement(r, s.engineByName(n))
 	}
 }
 
@@ -133,13 +133,13 @@
 		s.submit(r, s.engineByName(r.box.naive.Choose(s.candidates(), func(string) bool { return true })))
 		return
 	}
-	n := r.box.router.Choose(&r.work, s.candidates(), s.now, func(n string) bool { return !r.tried[n] })
-	s.ask(r, s.engineByName(n))
+	n := r.box.router.Choose(&r.work, s.candidates(), s.now, func(n string) bool { return !r.refusedBy[n] })
+	s.requestPlacement(r, s.engineByName(n))
 }
 
 // submit starts a request on an engine, or routes it again if the engine is down.
 func (s *simulation) submit(r *request, e *modelEngine) {
-	if e == nil || e.dead {
+	if e == nil || e.down {
 		s.retries++
 		s.route(r)
 		return
--- a/internal/measure/engines.go
+++ b/internal/measure/engines.go
@@ -11,7 +11,7 @@
 type modelEngine struct {
 	box             *entryBox // box that hosts the owner
 	busy            bool      // a step is in progress
-	dead            bool
+	down            bool
 	epoch           int // incremented when it crashes, to invalidate the step in progress
 	index           int
 	lostPreemptions int64 // preemptions of schedulers that were lost in crashes
@@ -24,7 +24,7 @@
 // crash terminates an engine and everything that runs or is queued on it. Requests that have not
 // delivered a token are retried on other engines; the others are interrupted.
 func (s *simulation) crash(e *modelEngine) {
-	e.dead = true
+	e.down = true
 	e.busy = false
 	e.epoch++
 	e.lostPreemptions += e.scheduler.Preemptions
@@ -75,7 +75,7 @@
 // is down or the scenario drops reports.
 func (s *simulation) reportLoad(e *modelEngine) {
 	at := s.now
-	if e.dead || (s.scenario.DropReports && at.Sub(s.start) >= faultStart && at.Sub(s.start) < reportsResume) {
+	if e.down || (s.scenario.DropReports && at.Sub(s.start) >= faultStart && at.Sub(s.start) < reportsResume) {
 		return
 	}
 	r := policy.Report{
@@ -95,14 +95,14 @@
 
 // restart brings a crashed engine back with a new owner.
 func (s *simulation) restart(e *modelEngine) {
-	e.dead = false
+	e.down = false
 	e.owner = policy.NewOwner(e.name, capacity, e.box.lengths, s.now, policy.WithTuning(s.scenario.Tuning))
 }
 
 // startStep computes the next step of an engine, and emits its tokens and starts the following step
 // after the duration of the step.
 func (s *simulation) startStep(e *modelEngine) {
-	if e.dead || e.scheduler.Idle() {
+	if e.down || e.scheduler.Idle() {
 		e.busy = false
 		return
 	}
--- a/internal/measure/evacuation/move.go
+++ b/internal/measure/evacuation/move.go
@@ -81,7 +81,7 @@
 // nextToMove returns the generation to be moved away from an engine next, in the order of
 // policy.CompareRuns. It returns nil if there is none, or if a move from the engine is in progress.
 func (s *simulation) nextToMove(e *engine) *generation {
-	var first *generation
+	var next *generation
 	for _, g := range s.generations {
 		if g.engine != e || g.paused {
 			continue
@@ -89,11 +89,11 @@
 		if g.move != nil {
 			return nil // one move at a time
 		}
-		if first == nil || policy.CompareRuns(&g.run, &first.run, stepDuration) < 0 {
-			first = g
+		if next == nil || policy.CompareRuns(&g.run, &next.run, stepDuration) < 0 {
+			next = g
 		}
 	}
-	return first
+	return next
 }
 
 // randomTarget returns a random engine with enough free capacity in the hall of the generation, or in
--- a/internal/measure/evacuation/simulation.go
+++ b/internal/measure/evacuation/simulation.go
@@ -79,13 +79,13 @@
 
 // generation is a running generation.
 type generation struct {
-	engine       *engine
-	sinceToken   time.Duration // time decoded since its last token
-	move         *transfer     // nil while it is not being moved
-	longestPause time.Duration
-	paused       bool
-	currentPause time.Duration // duration of the latest pause so far
-	run          policy.Run
+	engine         *engine
+	sinceLastToken time.Duration // time decoded since its last token
+	move           *transfer     // nil while it is not being moved
+	longestPause   time.Duration
+	paused         bool
+	currentPause   time.Duration // duration of the latest pause so far
+	run            policy.Run
 }
 
 // transfer is a copy of the KV cache of a generation to another engine, in two parts: a first copy
@@ -151,10 +151,10 @@
 			g.longestPause = max(g.longestPause, g.currentPause)
 			continue
 		}
-		if g.sinceToken += tick; g.sinceToken < stepDuration {
+		if g.sinceLastToken += tick; g.sinceLastToken < stepDuration {
 			continue
 		}
-		g.sinceToken = 0
+		g.sinceLastToken = 0
 		g.run.Left--
 		g.run.Tokens++
 		g.engine.usedTokens++
--- a/internal/measure/main.go
+++ b/internal/measure/main.go
@@ -43,7 +43,7 @@
 	{func(r *Result) float64 { return 100 * r.DeadlinesMet }, "deadlines_met_%"},
 	{func(r *Result) float64 { return 100 * r.LongestKindDeadlinesMet }, "long_met_%"},
 	{func(r *Result) float64 { return r.TokensPerSecond }, "tokens_per_s"},
-	{func(r *Result) float64 { return r.AsksPerRequest }, "asks_per_request"},
+	{func(r *Result) float64 { return r.PlacementRequests }, "asks_per_request"},
 }
 
 // ratioMetrics are the metrics for which the ratio of the policy to the baseline is printed.
--- a/internal/measure/result.go
+++ b/internal/measure/result.go
@@ -4,7 +4,7 @@
 
 // result computes the metrics at the end of a run.
 func (s *simulation) result() *Result {
-	var first, stalls []float64
+	var firstTokenSeconds, stallSeconds []float64
 	v := new(Result)
 	longMet, longTotal := 0, 0
 	longest := len(s.scenario.Mix.Kinds) - 1
@@ -28,11 +28,11 @@
 		case r.state == stateInterrupted:
 			v.Interrupted++
 		case r.firstTokenAt.IsZero():
-			first = append(first, s.now.Sub(r.work.Arrived).Seconds())
+			firstTokenSeconds = append(firstTokenSeconds, s.now.Sub(r.work.Arrived).Seconds())
 			continue
 		}
-		first = append(first, r.firstTokenAt.Sub(r.work.Arrived).Seconds())
-		stalls = append(stalls, s.totalStall(r).Seconds())
+		firstTokenSeconds = append(firstTokenSeconds, r.firstTokenAt.Sub(r.work.Arrived).Seconds())
+		stallSeconds = append(stallSeconds, s.totalStall(r).Seconds())
 	}
 	n := float64(max(1, len(s.requests)))
 	preemptions := int64(0)
@@ -40,14 +40,14 @@
 		preemptions += e.lostPreemptions + e.scheduler.Preemptions
 	}
 	v.DeadlinesMet /= n
-	v.FirstTokenP50, v.FirstTokenP95 = quantile(first, 0.5), quantile(first, 0.95)
+	v.FirstTokenP50, v.FirstTokenP95 = quantile(firstTokenSeconds, 0.5), quantile(firstTokenSeconds, 0.95)
 	v.Interrupted /= n
 	v.LongestKindDeadlinesMet = float64(longMet) / float64(max(1, longTotal))
-	v.Preemptions = 1000 * float64(preemptions) / float64(max(1, len(stalls)))
+	v.Preemptions = 1000 * float64(preemptions) / float64(max(1, len(stallSeconds)))
 	v.Refused /= n
-	v.AsksPerRequest = float64(s.asks) / n
+	v.PlacementRequests = float64(s.placementRequests) / n
 	v.Retries = 1000 * float64(s.retries) / n
-	v.StallMean, v.StallP99 = mean(stalls), quantile(stalls, 0.99)
+	v.StallMean, v.StallP99 = mean(stallSeconds), quantile(stallSeconds, 0.99)
 	v.TimeBetweenTokensP95, v.TimeBetweenTokensP99, v.TimeBetweenTokensP999 = s.tokenGaps.quantile(0.95), s.tokenGaps.quantile(0.99), s.tokenGaps.quantile(0.999)
 	v.TokensPerSecond = float64(s.tokens) / s.scenario.Period.Seconds()
 	return v
--- a/internal/measure/simulation.go
+++ b/internal/measure/simulation.go
@@ -32,19 +32,19 @@
 
 // simulation is the state of one run.
 type simulation struct {
-	boxes     []*entryBox
-	engines   []*modelEngine
-	events    eventHeap
-	now       time.Time
-	sequence  int // number of the latest event
-	random    *rand.Rand
-	requests  []*request
-	scenario  *Scenario
-	start     time.Time
-	tokenGaps gapHistogram
-	tokens    int64 // tokens delivered to clients
-	asks      int64 // admission requests to owners
-	retries   int64 // attempts made again because an engine was down
+	boxes             []*entryBox
+	engines           []*modelEngine
+	events            eventHeap
+	now               time.Time
+	sequence          int // number of the latest event
+	random            *rand.Rand
+	requests          []*request
+	scenario          *Scenario
+	start             time.Time
+	tokenGaps         gapHistogram
+	tokens            int64 // tokens delivered to clients
+	placementRequests int64 // admission requests to owners
+	retries           int64 // attempts made again because an engine was down
 }
 
 // request is a simulated request with its state.
@@ -59,7 +59,7 @@
 	engine       *modelEngine // engine at which it runs or is queued
 	state        state
 	stallTime    time.Duration   // sum of the excess of token gaps over stallThreshold
-	tried        map[string]bool // names of the engines that refused it
+	refusedBy    map[string]bool // names of the engines that refused it
 	work         policy.Work
 }
 
@@ -74,7 +74,7 @@
 )
 
 const (
-	maxAsks          = 3 // engines that may refuse a request before it is refused
+	maxRefusals      = 3 // engines that may refuse a request before it is refused
 	boxCount         = 8
 	burstPeriod      = 60 * time.Second
 	engineCount      = 9
@@ -150,7 +150,7 @@
 	m := s.scenario.Mix
 	k, x := m.sample(s.random)
 	kind := &m.Kinds[k]
-	r := &request{box: s.boxes[s.random.IntN(len(s.boxes))], kindIndex: k, state: stateQueued, tried: make(map[string]bool)}
+	r := &request{box: s.boxes[s.random.IntN(len(s.boxes))], kindIndex: k, state: stateQueued, refusedBy: make(map[string]bool)}
 	r.outputTokens = logNormal(s.random, kind.MedianOutput, kind.OutputSigma, 1, kind.MaxTokens)
 	if s.scenario.DoubleOutputs && s.now.Sub(s.start) > s.scenario.Period/2 {
 		r.outputTokens = min(kind.MaxTokens, 2*r.outputTokens)
--- a/internal/measure/statistics.go
+++ b/internal/measure/statistics.go
@@ -22,7 +22,7 @@
 	TimeBetweenTokensP99    float64 // seconds
 	TimeBetweenTokensP999   float64 // seconds
 	TokensPerSecond         float64
-	AsksPerRequest          float64 // admission requests to owners per request
+	PlacementRequests       float64 // admission requests to owners per request
 }
 
 // gapHistogram is a logarithmic histogram of the times between tokens, with gapBucketsPerDoubling
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -124,16 +124,16 @@
 func (p *Process) scanOutput(output io.Reader, started chan<- bool, ready func(line string) bool) {
 	s := bufio.NewScanner(output)
 	s.Buffer(nil, 1<<20)
-	isReady, last := false, ""
+	isReady, lastLine := false, ""
 	for s.Scan() {
-		last = s.Text()
-		if !isReady && ready(last) {
+		lastLine = s.Text()
+		if !isReady && ready(lastLine) {
 			isReady = true
 			started <- true
 		}
 	}
 	if !isReady {
-		fmt.Println(p.Name, "was not ready; last line of output:", last)
+		fmt.Println(p.Name, "was not ready; last line of output:", lastLine)
 		started <- false
 	}
 	_ = p.command.Wait() // the exit code is available from ExitCode
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -92,7 +92,7 @@
 	delete(x.streams, s)
 	x.mutex.Unlock()
 	close(s.ended)
-	x.meter.End(&s.times)
+	x.meter.RecordEnd(&s.times)
 	s.mutex.Lock()
 	s.closed = true
 	t, m := s.assignment, s.move
@@ -210,7 +210,7 @@
 	s.events++
 	s.lastEventAt = now
 	n := s.tokensPerEvent()
-	x.meter.Tokens(n, now, s.exchange.request.Arrived, &s.times)
+	x.meter.RecordTokens(n, now, s.exchange.request.Arrived, &s.times)
 	if s.assignment.running == nil {
 		return
 	}
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -47,17 +47,17 @@
 func (r *Reader) Next() (Event, error) {
 	var e Event
 	r.data = r.data[:0]
-	seen := false
+	inEvent := false
 	for r.scanner.Scan() {
 		l := r.scanner.Bytes()
 		if len(l) == 0 {
-			if seen {
+			if inEvent {
 				e.Data = r.data
 				return e, nil
 			}
 			continue
 		}
-		seen = true
+		inEvent = true
 		if err := r.parseField(&e, l); err != nil {
 			return Event{}, err
 		}
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -59,21 +59,21 @@
 	PutObject func(ctx context.Context, name string, b []byte) error
 }
 
-// answerStartedKey is the context key of the function set by WithAnswerStarted.
-type answerStartedKey struct{}
+// responseStartKey is the context key of the function set by WithOnResponseStart.
+type responseStartKey struct{}
 
-// AnswerStarted calls the function that WithAnswerStarted has put into ctx, if any. It is called by
+// NotifyResponseStart calls the function that WithOnResponseStart has put into ctx, if any. It is called by
 // implementations of Store when the answer to a call begins to arrive.
-func AnswerStarted(ctx context.Context) {
-	if f, ok := ctx.Value(answerStartedKey{}).(func()); ok {
+func NotifyResponseStart(ctx context.Context) {
+	if f, ok := ctx.Value(responseStartKey{}).(func()); ok {
 		f()
 	}
 }
 
-// WithAnswerStarted returns a context for calls of a Store that call f when their answer begins to
+// WithOnResponseStart returns a context for calls of a Store that call f when their answer begins to
 // arrive. f may be called more than once.
-func WithAnswerStarted(ctx context.Context, f func()) context.Context {
-	return context.WithValue(ctx, answerStartedKey{}, f)
+func WithOnResponseStart(ctx context.Context, f func()) context.Context {
+	return context.WithValue(ctx, responseStartKey{}, f)
 }
 
 // Transaction is a set of writes that is applied atomically if all conditions hold.
--- a/listen.go
+++ b/listen.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, fail.Wrap(fail.Unavailable, fail.Origin{Peer: "callers", Step: "listen"}, "listen", err)
 	}
-	return certificate.Wrap(l, b.settings.TLS.Clients, b.settings.TLS.Certificate, b.settings.TLS.Key)
+	return certificate.NewListener(l, b.settings.TLS.Clients, b.settings.TLS.Certificate, b.settings.TLS.Key)
 }
 
 // linkTLS returns the TLS configurations of the links between boxes, for the accepting and the
