--- a/internal/fake/routed/arrivals.go
+++ b/internal/fake/routed/arrivals.go
@@ -64,7 +64,7 @@
 			}
 		}
 		if n > BackoffMaxRequests {
-			violations = append(violations, fmt.Sprintf("%s got %d requests from %s in the %s of rest that it had asked for", e.id, n, box, v.RetryAfter))
+			violations = append(violations, fmt.Sprintf("%s got %d requests from %s within the %s of back-off that it had requested", e.id, n, box, v.RetryAfter))
 		}
 	}
 	return violations
