--- a/bench_test.go
+++ b/bench_test.go
@@ -20,7 +20,8 @@
 	benchTokens  = 500
 )
 
-// unpacedEngine answers every start with benchTokens tokens as fast as it can.
+// unpacedEngine returns an engine stand-in that sends up to benchTokens tokens per generation as
+// fast as it can.
 func unpacedEngine() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET /v1/load", func(w http.ResponseWriter, _ *http.Request) {
@@ -41,9 +42,9 @@
 	return m
 }
 
-// BenchmarkBoxAgainstDirect measures tokens a second through one box and
-// straight from the stand-in, and the time of a request of one token, in one
-// run, and reports their ratios.
+// BenchmarkBoxAgainstDirect compares requests through one box with requests sent directly to the
+// engine stand-in, in one run: the tokens per second of concurrent streams, and the time of a
+// request for one token. It reports their ratios.
 func BenchmarkBoxAgainstDirect(b *testing.B) {
 	h := newHall(b, 1, 1)
 	h.serve("fast", unpacedEngine())
--- a/callers_test.go
+++ b/callers_test.go
@@ -12,7 +12,9 @@
 	fakeservice "github.com/linetiller/linetiller/internal/fake/service"
 )
 
-// TestServiceCallsRunOnce checks calls that may not be repeated.
+// TestServiceCallsRunOnce checks service calls that must not be repeated: without a key they are
+// refused, and with one they run once, also where the call is repeated at another box or its answer
+// is lost.
 func TestServiceCallsRunOnce(t *testing.T) {
 	h := newHall(t, 2, 1)
 	call := func(box int, method, key string) (int, fakeservice.Answer, string) {
@@ -58,7 +60,8 @@
 	}
 }
 
-// TestBadInput checks every door for clients with input that nobody means.
+// TestBadInput checks invalid requests on every path that clients use: the status and the code of
+// each refusal, and the counter of refusals.
 func TestBadInput(t *testing.T) {
 	h := newHall(t, 1, 1)
 	for _, x := range []struct {
--- a/operators_test.go
+++ b/operators_test.go
@@ -12,8 +12,8 @@
 	"github.com/linetiller/linetiller/internal/resource"
 )
 
-// TestOperatorsRace races writers at different boxes: of each round exactly one
-// wins, and all others are told so with the version that stands.
+// TestOperatorsRace has writers race at different boxes: in each round exactly one succeeds, and
+// the others get a conflict with the current version.
 func TestOperatorsRace(t *testing.T) {
 	h := newHall(t, 3, 1)
 	h.platform.SetFaults(fakeplatform.Faults{LoseAnswers: 3})
@@ -50,7 +50,8 @@
 	}
 }
 
-// TestBadResources checks that every fault is named by its field.
+// TestBadResources checks that an invalid resource is refused with all of its faults, each named by
+// its field.
 func TestBadResources(t *testing.T) {
 	h := newHall(t, 1, 1)
 	_, err := h.operator(0).Apply(t.Context(), newResource(resource.KindUpstream, "bad", resource.UpstreamSpec{
@@ -70,7 +71,8 @@
 	}
 }
 
-// TestWatchResumes ends a watch and takes it up again from the version it had.
+// TestWatchResumes ends a watch several times and resumes it from the last revision that it
+// returned.
 func TestWatchResumes(t *testing.T) {
 	h := newHall(t, 2, 1)
 	errEnough := errors.New("enough")
--- a/scripts_test.go
+++ b/scripts_test.go
@@ -9,13 +9,12 @@
 	"github.com/linetiller/linetiller/internal/cmd"
 )
 
-// TestScripts runs the program's commands as scripts, against a hall of two
-// boxes over loopback.
+// TestScripts runs scripts of the program's commands against a hall of two boxes over loopback.
 func TestScripts(t *testing.T) {
 	runScripts(t, "testdata/script")
 }
 
-// TestEvacuationScript does so for one that empties the hall, in a hall of its own.
+// TestEvacuationScript runs the script that evacuates the hall, in a hall of its own.
 func TestEvacuationScript(t *testing.T) {
 	runScripts(t, "testdata/evacuation")
 }
@@ -37,7 +36,8 @@
 	})
 }
 
-// exitCommand runs "exit CODE linetiller ARGUMENTS…" and checks the exit code.
+// exitCommand implements the script command "exit CODE linetiller ARGUMENTS…", which checks the
+// exit code.
 func exitCommand(ts *testscript.TestScript, _ bool, arguments []string) {
 	err := ts.Exec(arguments[1], arguments[2:]...)
 	got, want := "0", arguments[0]
--- a/tls_test.go
+++ b/tls_test.go
@@ -15,8 +15,8 @@
 	"github.com/linetiller/linetiller/internal/settings"
 )
 
-// TestTLSForCallersAndBoxes runs two boxes under certificates: they know each
-// other, and callers know them.
+// TestTLSForCallersAndBoxes starts a box with a certificate beside one without: clients can call it
+// if they trust the authority of its certificate, and only then.
 func TestTLSForCallersAndBoxes(t *testing.T) {
 	h := newHall(t, 1, 1)
 	d := t.TempDir()
